--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -254,10 +254,10 @@
 	if b == nil {
 		return []string{head("")}
 	}
-	list := []string{head(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, read %s, %d agents, %d missing, knows all: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), ago(b.ReadAge), len(b.Agents), len(b.Missing), b.Complete, b.Flows))}
+	list := []string{head(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, read %s, %d agents, %d missing, knows all: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), ago(b.ReadAge), len(b.Agents), len(b.Failed), b.Complete, b.Flows))}
 	for _, a := range b.Agents {
-		if a.State != "ready" || a.Silent {
-			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, silent: %t, heard %s", a.Addr, a.State, a.Silent, ago(a.Age))))
+		if a.State != "ready" || a.Unresponsive {
+			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, silent: %t, heard %s", a.Addr, a.State, a.Unresponsive, ago(a.Age))))
 		}
 	}
 	return list
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -200,7 +200,7 @@
 	c.offer(0, 2)
 	const wait = 2 * time.Second
 	for port := range uint16(20 * coldLimit) {
-		c.FromBalancer(c.now, balancerA, &Message{Kind: Return, Key: Key{CallerPort: port}, Service: listing, Wait: wait, OnTime: wait}, nil, nil)
+		c.FromBalancer(c.now, balancerA, &Message{Kind: ReserveCapacity, Key: Key{CallerPort: port}, Service: listing, Wait: wait, OnTime: wait}, nil, nil)
 	}
 	refused := 0
 	for _, e := range c.Effects() {
@@ -229,9 +229,9 @@
 		t.Errorf("load %d with the limit used up, %d before", full, idle)
 	}
 	c.port++
-	c.FromBalancer(c.now, balancerA, &Message{Kind: Return, Key: Key{CallerPort: c.port}, Service: listing, Wait: 300 * time.Millisecond}, nil, nil)
+	c.FromBalancer(c.now, balancerA, &Message{Kind: ReserveCapacity, Key: Key{CallerPort: c.port}, Service: listing, Wait: 300 * time.Millisecond}, nil, nil)
 	for _, e := range c.Effects() {
-		if e.Message.Kind == Room {
+		if e.Message.Kind == CapacityReserved {
 			t.Error("a caller was told to come back")
 		}
 	}
@@ -265,7 +265,7 @@
 				c = next
 				c.Checked(c.now, Check{Answered: true, Instance: "i"})
 			case "order":
-				o := rapid.SampledFrom([]ZoneOrder{ZoneUntold, ZoneInService}).Draw(t, "order")
+				o := rapid.SampledFrom([]ZoneOrder{ZoneUnknown, ZoneInService}).Draw(t, "order")
 				c.FromBalancer(c.now, balancerB, &Message{Kind: Hello, Service: records, Revision: 1, ZoneOrder: o}, nil, nil)
 			}
 		}
--- a/flow/director.go
+++ b/flow/director.go
@@ -55,7 +55,7 @@
 	Refusals                                 [Reasons]uint64 // by agents, or for want of their answer
 	Resets                                   [Reasons]uint64 // sent to callers
 	Dropped                                  [Reasons]uint64 // packets
-	Sought, Found                            uint64          // flows
+	Lookups, Found                           uint64          // flows
 	Evicted                                  uint64          // flows forgotten for want of use
 }
 
@@ -91,7 +91,7 @@
 // long as it is heard: removed, it was added again with each of its reports, and
 // named by other balancers it held up searches for the 6 s in which an agent that
 // others hear must be waited for.
-func (a *agent) gone() bool { return a.state == ServerGone }
+func (a *agent) gone() bool { return a.state == ServerEnded }
 
 // service is the agents of one service.
 type service struct {
@@ -188,15 +188,15 @@
 
 // Director is the state machine of a balancer.
 type Director struct {
-	cfg      DirectorConfig
-	place    placement.Config
-	regions  map[uint32]uint32 // of availability zones, both by ZoneID
-	orders   *Orders
-	lacking  lackingZones
-	seen     uint64    // number of the newest orders that anybody spoke of
-	readAt   time.Time // when somebody last read the orders in the store
-	agents   map[netip.AddrPort]*agent
-	services map[ServiceID]*service
+	cfg          DirectorConfig
+	place        placement.Config
+	regions      map[uint32]uint32 // of availability zones, both by ZoneID
+	orders       *Orders
+	lacking      lackingZones
+	newestOrders uint64    // number of the newest orders that anybody spoke of
+	readAt       time.Time // when somebody last read the orders in the store
+	agents       map[netip.AddrPort]*agent
+	services     map[ServiceID]*service
 
 	heardAny        bool                         // some agent was heard in this process
 	missing         map[netip.AddrPort]time.Time // agents that fell silent without a word, and when
@@ -292,9 +292,9 @@
 	otherZone = "other"
 )
 
-// Confirm notes that the store was read at the given time and holds nothing
+// StoreRead notes that the store was read at the given time and holds nothing
 // newer than what was handed to SetOrders.
-func (d *Director) Confirm(readAt time.Time) {
+func (d *Director) StoreRead(readAt time.Time) {
 	if readAt.After(d.readAt) {
 		d.readAt = readAt
 	}
@@ -310,10 +310,10 @@
 
 // Behind reports whether another process spoke of newer orders than those in force
 // here.
-func (d *Director) Behind() bool { return d.orders.Routes == nil || d.seen > d.orders.Number }
+func (d *Director) Behind() bool { return d.orders.Routes == nil || d.newestOrders > d.orders.Number }
 
-// Seen returns the number of the newest orders that anybody spoke of.
-func (d *Director) Seen() uint64 { return d.seen }
+// NewestOrders returns the number of the newest orders that anybody spoke of.
+func (d *Director) NewestOrders() uint64 { return d.newestOrders }
 
 // Effects returns what is to be done and empties the list. The slice is valid
 // until the next call of any method.
@@ -354,7 +354,7 @@
 		d.seekAgain(now, e, &s, packet)
 		return
 	case entryReturning:
-		d.drop(ReasonReturn)
+		d.drop(ReasonResetPending)
 		return
 	}
 	if e.state == entryOpening {
@@ -376,7 +376,7 @@
 
 func (d *Director) send(to netip.AddrPort, m Message, packet []byte) {
 	m.Revision = d.orders.Number
-	if m.Kind.TellsOrders() {
+	if m.Kind.CarriesOrders() {
 		if a := d.agents[to]; a != nil {
 			m.ZoneOrder = d.zoneOrder(a.zone)
 			m.ColdRate = d.orders.coldRate(m.Service)
--- a/flow/director_config.go
+++ b/flow/director_config.go
@@ -13,15 +13,15 @@
 
 	// OpenTimeout is how long an agent may take to answer an offer.
 	OpenTimeout time.Duration
-	// AgentSilence is the time without a message after which an agent is
+	// AgentTimeout is the time without a message after which an agent is
 	// offered no new flows.
-	AgentSilence time.Duration
-	// AgentForget is the time without a message after which an agent is no
+	AgentTimeout time.Duration
+	// AgentExpiry is the time without a message after which an agent is no
 	// longer asked for flows. Its own don't count as lost for MaxAge.
-	AgentForget time.Duration
-	// SureAfter is the time from the start until the balancer has heard of all
+	AgentExpiry time.Duration
+	// DiscoveryTime is the time from the start until the balancer has heard of all
 	// agents that live; before, no flow counts as held by nobody.
-	SureAfter time.Duration
+	DiscoveryTime time.Duration
 	// MaxFlows bounds the flows remembered.
 	MaxFlows int
 	// MaxOpening bounds the flows that are being offered.
@@ -37,13 +37,13 @@
 	// DefaultOpenTimeout is ten times the longest exchange between zones, and a
 	// quarter of the time after which a caller repeats its first packet.
 	DefaultOpenTimeout = 50 * time.Millisecond
-	// DefaultAgentSilence is three reports at their least interval.
-	DefaultAgentSilence = silentReports * ReportEvery
-	// DefaultAgentForget is above the time in which a killed agent is back.
-	DefaultAgentForget = 6 * time.Second
-	// DefaultSureAfter is more than two reports: agents know a balancer that
+	// DefaultAgentTimeout is three reports at their least interval.
+	DefaultAgentTimeout = silentReports * ReportEvery
+	// DefaultAgentExpiry is above the time in which a killed agent is back.
+	DefaultAgentExpiry = 6 * time.Second
+	// DefaultDiscoveryTime is more than two reports: agents know a balancer that
 	// was restarted and go on reporting to it.
-	DefaultSureAfter = 600 * time.Millisecond
+	DefaultDiscoveryTime = 600 * time.Millisecond
 	// DefaultMaxFlows is four times a balancer's share of the target, in about
 	// 10 MB.
 	DefaultMaxFlows = 1 << 16
@@ -57,9 +57,9 @@
 
 func (c *DirectorConfig) setDefaults() {
 	c.OpenTimeout = cmp.Or(c.OpenTimeout, DefaultOpenTimeout)
-	c.AgentSilence = cmp.Or(c.AgentSilence, DefaultAgentSilence)
-	c.AgentForget = cmp.Or(c.AgentForget, DefaultAgentForget)
-	c.SureAfter = cmp.Or(c.SureAfter, DefaultSureAfter)
+	c.AgentTimeout = cmp.Or(c.AgentTimeout, DefaultAgentTimeout)
+	c.AgentExpiry = cmp.Or(c.AgentExpiry, DefaultAgentExpiry)
+	c.DiscoveryTime = cmp.Or(c.DiscoveryTime, DefaultDiscoveryTime)
 	c.MaxFlows = cmp.Or(c.MaxFlows, DefaultMaxFlows)
 	c.MaxOpening = cmp.Or(c.MaxOpening, DefaultMaxOpening)
 	c.MaxAge = cmp.Or(c.MaxAge, DefaultMaxAge)
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -119,7 +119,7 @@
 func TestReadsOfOthersAreHeardOf(t *testing.T) {
 	w := newWorld(t, 1)
 	a, b := w.balancers[balancerA], w.balancers[balancerB]
-	a.Confirm(w.now)
+	a.StoreRead(w.now)
 	a.SetRoutes(testRoutes(5))
 	w.pass(HelloEvery + ReportEvery)
 	if !b.Behind() {
@@ -136,7 +136,7 @@
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{MaxFlows: 100, MaxOpening: 50}, nil)
 	d.SetRoutes(testRoutes(1))
-	d.Introduce(now, agentAddr(0), listing, "a")
+	d.AddAgent(now, agentAddr(0), listing, "a")
 	for i := range 1000 {
 		syn := Segment{Key: Key{CallerPort: uint16(i), Service: [4]byte{198, 18, 0, 1}, ServicePort: listingPort}, Seq: 1, Syn: true}
 		d.FromCaller(now, syn, make([]byte, 32))
@@ -172,11 +172,11 @@
 	d := w.addBalancer(balancerB)
 	for n := range 3 {
 		if agentAddr(n) != home {
-			d.Introduce(w.now, agentAddr(n), listing, "a")
+			d.AddAgent(w.now, agentAddr(n), listing, "a")
 		}
 	}
 	w.cut = func(from, to netip.AddrPort) bool { return from == home || to == home }
-	d.IntroduceBalancer(balancerA)
+	d.AddBalancer(balancerA)
 	for range 10 {
 		w.pass(2 * retransmission)
 		c.request(balancerB)
@@ -203,7 +203,7 @@
 	for b, d := range w.balancers {
 		for other := range w.balancers {
 			if other != b {
-				d.IntroduceBalancer(other)
+				d.AddBalancer(other)
 			}
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 	w.agents[agentAddr(2)] = a
 	w.beat(2, 1, false)
-	a.gate.Introduce(w.now, balancerA)
+	a.gate.AddBalancer(w.now, balancerA)
 	w.pass(2 * HelloEvery)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
@@ -234,8 +234,8 @@
 	c.request(balancerA)
 	home := c.holders()[0]
 	d := w.addBalancer(balancerB)
-	d.Introduce(w.now, agentAddr(1-home), listing, "a")
-	w.pass(2 * DefaultSureAfter)
+	d.AddAgent(w.now, agentAddr(1-home), listing, "a")
+	w.pass(2 * DefaultDiscoveryTime)
 	c.request(balancerB)
 	if len(w.resets) > 0 {
 		t.Fatal("flow reset by a balancer that knows no other balancer")
@@ -252,7 +252,7 @@
 	w := newWorld(t, 2)
 	w.pass(aloneAfter)
 	d := w.addBalancer(balancerA)
-	d.Introduce(w.now, agentAddr(0), listing, "a")
+	d.AddAgent(w.now, agentAddr(0), listing, "a")
 	w.pass(2 * HelloEvery)
 	a := &worldAgent{
 		gate:   NewGate(w.now, GateConfig{Zone: "a", Incarnation: 9, Service: records}, nil),
@@ -260,7 +260,7 @@
 	}
 	w.agents[agentAddr(2)] = a
 	w.beat(2, 1, false)
-	a.gate.Introduce(w.now, balancerA)
+	a.gate.AddBalancer(w.now, balancerA)
 	w.pass(2 * HelloEvery)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
@@ -299,13 +299,13 @@
 			if !w.balancers[balancerB].Ready() {
 				t.Error("the other balancer is not ready")
 			}
-			w.pass(DefaultAgentForget)
+			w.pass(DefaultAgentExpiry)
 			if w.balancers[balancerA].Ready() {
 				t.Error("ready once the agents are forgotten")
 			}
 			w.cut = nil
 			for n := range 3 {
-				w.gate(n).Introduce(w.now, balancerA)
+				w.gate(n).AddBalancer(w.now, balancerA)
 			}
 			w.pass(time.Second)
 			if !w.balancers[balancerA].Ready() {
@@ -324,7 +324,7 @@
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
-	d.Introduce(now, agentAddr(0), listing, "a")
+	d.AddAgent(now, agentAddr(0), listing, "a")
 	if !d.Ready() {
 		t.Error("not ready at the start, when agents are about to answer")
 	}
@@ -346,7 +346,7 @@
 		now := time.Unix(1000, 0)
 		d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 		for i := range c.agents {
-			d.Introduce(now, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7700), listing, "a")
+			d.AddAgent(now, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7700), listing, "a")
 		}
 		d.Tick(now)
 		hello := d.Effects()[0].Message
--- a/flow/explore_test.go
+++ b/flow/explore_test.go
@@ -63,8 +63,8 @@
 
 func newExplored(t failer) *explored {
 	x := &explored{w: newWorld(t, 3), revision: 1}
-	x.w.balancers[balancerA].IntroduceBalancer(balancerB)
-	x.w.balancers[balancerB].IntroduceBalancer(balancerA)
+	x.w.balancers[balancerA].AddBalancer(balancerB)
+	x.w.balancers[balancerB].AddBalancer(balancerA)
 	x.open(balancerA)
 	x.usedAt = x.w.now
 	x.holder = x.callers[0].holders()[0]
@@ -123,11 +123,11 @@
 	d := x.w.addBalancer(addr)
 	d.SetRoutes(testRoutes(x.revision))
 	for n := range 3 {
-		d.Introduce(x.w.now, agentAddr(n), listing, "a")
+		d.AddAgent(x.w.now, agentAddr(n), listing, "a")
 	}
 	for b := range x.w.balancers {
 		if b != addr {
-			d.IntroduceBalancer(b)
+			d.AddBalancer(b)
 		}
 	}
 }
--- a/flow/started.go
+++ b/flow/fleet_start.go
@@ -8,7 +8,7 @@
 	startSpan = 10 * time.Second
 	// meetTime is the least time that a balancer listens before it takes the agents
 	// that the store names, and that it hears, for all. While the store has not
-	// answered it is DirectorConfig.SureAfter.
+	// answered it is DirectorConfig.DiscoveryTime.
 	meetTime = 100 * time.Millisecond
 	// lookEvery is the time between two looks in the first moments.
 	lookEvery = 25 * time.Millisecond
@@ -44,7 +44,7 @@
 		}
 	}
 	d.othersStarted = heard > missing
-	least := d.cfg.SureAfter
+	least := d.cfg.DiscoveryTime
 	if d.listed {
 		least = meetTime
 	}
@@ -63,9 +63,9 @@
 // startUndecided reports whether the next looks may yet find that everything has
 // just started. Packets that agents would need otherwise are not sent until then.
 func (d *Director) startUndecided(now time.Time) bool {
-	return d.othersStarted && !d.everyoneStarted && now.Sub(d.started) < d.cfg.SureAfter
+	return d.othersStarted && !d.everyoneStarted && now.Sub(d.started) < d.cfg.DiscoveryTime
 }
 
-// Listed notes that the store has named the agents that it knows, all of which were
+// StoreListed notes that the store has named the agents that it knows, all of which were
 // introduced.
-func (d *Director) Listed() { d.listed = true }
+func (d *Director) StoreListed() { d.listed = true }
--- a/flow/started_test.go
+++ b/flow/fleet_start_test.go
@@ -25,13 +25,13 @@
 	for b, d := range w.balancers {
 		for other := range w.balancers {
 			if other != b {
-				d.IntroduceBalancer(other)
+				d.AddBalancer(other)
 			}
 		}
 		for n := range len(w.agents) {
-			d.Introduce(w.now, agentAddr(n), listing, "a")
+			d.AddAgent(w.now, agentAddr(n), listing, "a")
 		}
-		d.Listed()
+		d.StoreListed()
 	}
 	w.settle()
 	w.pass(40 * time.Millisecond)
@@ -93,8 +93,8 @@
 	for n := range len(w.agents) {
 		delete(w.gate(n).balancers, balancerB)
 	}
-	d.Introduce(w.now, agentAddr(other), listing, "a")
-	d.Listed()
+	d.AddAgent(w.now, agentAddr(other), listing, "a")
+	d.StoreListed()
 	w.pass(300 * time.Millisecond)
 	c.request(balancerB)
 	w.pass(300 * time.Millisecond)
@@ -120,9 +120,9 @@
 	}
 	for _, d := range w.balancers {
 		for n := range len(w.agents) {
-			d.Introduce(w.now, agentAddr(n), listing, "a")
+			d.AddAgent(w.now, agentAddr(n), listing, "a")
 		}
-		d.Listed()
+		d.StoreListed()
 	}
 	w.pass(2 * time.Second)
 	c.request(balancerB)
@@ -139,8 +139,8 @@
 // that another balancer hears and that has to be waited for.
 func TestAgentOfGoneServerHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	w.pass(2 * time.Second)
 	w.gate(2).Leave(w.now, w.server(2).instance, 0)
 	w.server(2).mute = true
@@ -161,7 +161,7 @@
 func TestSearchEndsWhenAnAgentCountsAsAbsent(t *testing.T) {
 	w := newWorld(t, 2)
 	w.pass(startSpan)
-	w.balancers[balancerA].Introduce(w.now, agentAddr(9), listing, "a")
+	w.balancers[balancerA].AddAgent(w.now, agentAddr(9), listing, "a")
 	w.caller(1, listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
 	w.pass(absentAfter - 100*time.Millisecond)
 	if len(w.resets) > 0 {
@@ -193,9 +193,9 @@
 		return from == still && to == balancerB || from == balancerB && to == still
 	}
 	for n := range len(w.agents) {
-		d.Introduce(w.now, agentAddr(n), listing, "a")
+		d.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
-	d.Listed()
+	d.StoreListed()
 	d.othersNew = true
 	c.request(balancerB)
 	w.pass(absentAfter - 100*time.Millisecond)
@@ -213,10 +213,10 @@
 func TestNewsOfAgentsIsNoRoster(t *testing.T) {
 	w := newWorld(t, 3)
 	a, b := w.addBalancer(balancerA), w.addBalancer(balancerB)
-	a.IntroduceBalancer(balancerB)
+	a.AddBalancer(balancerB)
 	for n := range len(w.agents) {
 		w.restartAgent(n)
-		a.Introduce(w.now, agentAddr(n), listing, "a")
+		a.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
 	for range 2 {
 		a.Tick(w.now)
@@ -229,7 +229,7 @@
 	b.Tick(w.now)
 	asked := false
 	for _, e := range clone(b.Effects()) {
-		asked = asked || e.Message.Kind == AskRoster
+		asked = asked || e.Message.Kind == MemberListRequest
 	}
 	if !asked {
 		t.Error("no roster is asked for")
@@ -249,11 +249,11 @@
 	w.startAll(3)
 	w.pass(300 * time.Millisecond)
 	d := w.addBalancer(balancerB)
-	d.IntroduceBalancer(balancerA)
+	d.AddBalancer(balancerA)
 	for n := range len(w.agents) {
-		d.Introduce(w.now, agentAddr(n), listing, "a")
+		d.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
-	d.Listed()
+	d.StoreListed()
 	c.request(balancerB)
 	w.pass(300 * time.Millisecond)
 	if len(w.resets) != 1 {
@@ -273,9 +273,9 @@
 	w.pass(time.Second)
 	delete(w.agents, agentAddr(2))
 	d := w.addBalancer(balancerB)
-	d.IntroduceBalancer(balancerA)
+	d.AddBalancer(balancerA)
 	for n := range 2 {
-		d.Introduce(w.now, agentAddr(n), listing, "a")
+		d.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
 	w.pass(100 * time.Millisecond)
 	if d.agents[agentAddr(2)] == nil {
@@ -296,8 +296,8 @@
 // it back, also one that had heard it before it said so.
 func TestRosterFromBeforeFarewellBringsNobodyBack(t *testing.T) {
 	w := newWorld(t, 3)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	w.pass(2 * time.Second)
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) && to == balancerA }
 	w.gate(2).Leave(w.now, w.server(2).instance, 0)
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -126,33 +126,33 @@
 
 // Gate is the state machine of an agent.
 type Gate struct {
-	cfg       GateConfig
-	started   time.Time
-	seen      uint64    // number of the newest orders that anybody spoke of
-	readAt    time.Time // when somebody last read the orders in the store
-	told      told
-	restored  restored
-	server    server
-	flows     map[Key]*held
-	spare     []*held // of flows that were forgotten, to be used again
-	requests  int
-	begun     fifo[time.Time] // requests of the last second, in the order of time
-	waiting   fifo[waiting]
-	answered  fifo[waiting] // flows that callers have not confirmed
-	queue     []queued
-	returns   []queued        // callers of ended flows that wait to be told; without packets
-	reserved  fifo[time.Time] // until when room is kept for callers that were told
-	balancers map[netip.AddrPort]*subscriber
-	reportAt  time.Time
-	tickAt    time.Time
-	sweptAt   time.Time
-	meter     placement.Meter
-	normal    time.Duration // mean time from a request to the server's answer
-	normalOf  int           // requests behind it, up to normalAfter
-	answer    []byte        // to a query, of the running call
-	stats     GateStats
-	out       []Effect
-	trace     GateTracer
+	cfg          GateConfig
+	started      time.Time
+	newestOrders uint64    // number of the newest orders that anybody spoke of
+	readAt       time.Time // when somebody last read the orders in the store
+	orders       receivedOrders
+	restored     restored
+	server       server
+	flows        map[Key]*held
+	spare        []*held // of flows that were forgotten, to be used again
+	requests     int
+	begun        fifo[time.Time] // requests of the last second, in the order of time
+	waiting      fifo[waiting]
+	answered     fifo[waiting] // flows that callers have not confirmed
+	queue        []queued
+	returns      []queued        // callers of ended flows that wait to be told; without packets
+	reserved     fifo[time.Time] // until when room is kept for callers that were told
+	balancers    map[netip.AddrPort]*subscriber
+	reportAt     time.Time
+	tickAt       time.Time
+	sweptAt      time.Time
+	meter        placement.Meter
+	normal       time.Duration // mean time from a request to the server's answer
+	normalOf     int           // requests behind it, up to normalAfter
+	answer       []byte        // to a query, of the running call
+	stats        GateStats
+	out          []Effect
+	trace        GateTracer
 }
 
 // NewGate returns a Gate that has not heard of its server.
@@ -192,7 +192,7 @@
 // FromBalancer takes a message of a balancer. s is the header of the packet
 // that came with it, or nil.
 func (g *Gate) FromBalancer(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
-	g.seen = max(g.seen, m.Revision)
+	g.newestOrders = max(g.newestOrders, m.Revision)
 	if at := ReadAt(now, m.ReadAge); at.After(g.readAt) {
 		g.readAt = at
 	}
@@ -210,7 +210,7 @@
 	case Query:
 		g.onQuery(now, from, packet)
 		return
-	case Return:
+	case ReserveCapacity:
 		g.onReturn(now, from, m)
 		return
 	}
@@ -220,7 +220,7 @@
 	switch m.Kind {
 	case Open:
 		g.onOpen(now, from, m, s, packet)
-	case Pass, Seek:
+	case Pass, Lookup:
 		g.onPacket(now, from, m.Kind, s, packet)
 	}
 }
@@ -246,8 +246,8 @@
 	return b
 }
 
-// Introduce makes a balancer known that others told of.
-func (g *Gate) Introduce(now time.Time, balancer netip.AddrPort) {
+// AddBalancer makes a balancer known that others told of.
+func (g *Gate) AddBalancer(now time.Time, balancer netip.AddrPort) {
 	if _, known := g.balancers[balancer]; known {
 		return
 	}
@@ -257,7 +257,7 @@
 
 // reply sends m with what the agent says about itself in every message.
 func (g *Gate) reply(now time.Time, to netip.AddrPort, m Message, packet []byte) {
-	m.Revision = g.seen
+	m.Revision = g.newestOrders
 	m.ReadAge = AgeOf(now, g.readAt)
 	m.Incarnation = g.cfg.Incarnation
 	m.State = g.State(now)
@@ -271,7 +271,7 @@
 			m.Reason = ReasonStarted
 		}
 		m.Zone = ZoneID(g.cfg.Zone)
-		m.Heard = g.silenceOf(now, to)
+		m.LastReceived = g.silenceOf(now, to)
 	}
 	g.out = append(g.out, Effect{Kind: SendMessage, To: to, Message: m, Packet: packet})
 }
@@ -368,8 +368,8 @@
 func (g *Gate) barred(now time.Time, m *Message) Reason {
 	switch g.State(now) {
 	case ServerReady:
-	case ServerSilent:
-		return ReasonSilent
+	case ServerUnresponsive:
+		return ReasonUnresponsive
 	case ServerEvacuated:
 		return ReasonEvacuated
 	default:
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -103,7 +103,7 @@
 	g := NewGate(now, GateConfig{Service: listing}, nil)
 	s := Segment{Key: Key{CallerPort: 1}, Seq: 5, Ack: 9, HasAck: true, Data: 10}
 	seek := func() (toServer, notHeld bool) {
-		g.FromBalancer(now, balancerA, &Message{Kind: Seek}, &s, []byte{1})
+		g.FromBalancer(now, balancerA, &Message{Kind: Lookup}, &s, []byte{1})
 		for _, e := range g.Effects() {
 			toServer = toServer || e.Kind == SendServer
 			notHeld = notHeld || e.Message.Kind == NotHeld
--- a/flow/held.go
+++ b/flow/held.go
@@ -53,7 +53,7 @@
 	}
 	f.via = from
 	g.noteCaller(now, f, s)
-	if kind == Seek && f.state == gateOpen {
+	if kind == Lookup && f.state == gateOpen {
 		g.reply(now, from, Message{Kind: Held, Key: s.Key}, nil)
 	}
 	g.toServer(packet)
@@ -230,7 +230,7 @@
 	case s.first():
 	case f.state == gateProbed:
 		g.forget(s.Key)
-		g.notHeld(now, via, Seek, s, ReasonNotHeld, packet)
+		g.notHeld(now, via, Lookup, s, ReasonNotHeld, packet)
 	case f.state == gateOpen && !f.closed():
 		g.end(f)
 		f.state = gateLost
@@ -280,7 +280,7 @@
 			g.stateChanged(now, before, "no answer to a first packet")
 		}
 		g.end(f)
-		g.refuse(now, f.via, w.key, ReasonSilent)
+		g.refuse(now, f.via, w.key, ReasonUnresponsive)
 	}
 }
 
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -96,20 +96,20 @@
 	b.d.SetRoutes(f.routes)
 	for _, other := range f.balancers {
 		if other != b {
-			b.d.IntroduceBalancer(other.addr)
+			b.d.AddBalancer(other.addr)
 		}
 	}
 	for _, a := range f.agents {
-		b.d.Introduce(f.Now(), a.addr, service, "a")
+		b.d.AddAgent(f.Now(), a.addr, service, "a")
 	}
-	b.d.Listed()
+	b.d.StoreListed()
 	f.balancerDid(b)
 }
 
 func (f *fleet) startAgent(a *agent) {
 	a.g = flow.NewGate(f.Now(), flow.GateConfig{Zone: "a", Incarnation: f.rng.Uint64(), Service: service}, nil)
 	for _, b := range f.balancers {
-		a.g.Introduce(f.Now(), b.addr)
+		a.g.AddBalancer(f.Now(), b.addr)
 	}
 	if a.server != nil {
 		a.g.Checked(f.Now(), flow.Check{Answered: true, Instance: a.server.instance})
--- a/flow/find.go
+++ b/flow/lookup.go
@@ -17,7 +17,7 @@
 		d.drop(ReasonOverflow)
 		return
 	}
-	d.stats.Sought++
+	d.stats.Lookups++
 	d.seek(now, e, s, packet, false)
 }
 
@@ -39,7 +39,7 @@
 		k.all = true
 		targets = d.notAsked(k)
 	}
-	d.trace.Sought(now, s.Key, len(targets), k.all)
+	d.trace.LookupStarted(now, s.Key, len(targets), k.all)
 	if len(targets) == 0 {
 		d.drop(ReasonNoAgent)
 		d.forget(s.Key)
@@ -138,7 +138,7 @@
 			q = &k.asked[len(k.asked)-1]
 		}
 		if atOnce {
-			d.question(addr, Message{Kind: Seek}, k.packet)
+			d.question(addr, Message{Kind: Lookup}, k.packet)
 			continue
 		}
 		q.waits = true
@@ -356,7 +356,7 @@
 	}
 	limit := absentAfter
 	if a.vouched && !a.empty {
-		limit = d.cfg.AgentForget
+		limit = d.cfg.AgentExpiry
 	}
 	return now.Sub(a.introduced) >= limit
 }
--- a/flow/find_test.go
+++ b/flow/lookup_test.go
@@ -29,7 +29,7 @@
 	d := NewDirector(w.now, DirectorConfig{}, nil)
 	d.SetRoutes(testRoutes(1))
 	w.balancers[balancerB] = d
-	d.Introduce(w.now, agentAddr((c.holders()[0]+1)%3), listing, "a")
+	d.AddAgent(w.now, agentAddr((c.holders()[0]+1)%3), listing, "a")
 	c.request(balancerB)
 	if len(w.resets) > 0 {
 		t.Fatal("flow reset by a balancer that had just started")
@@ -77,7 +77,7 @@
 	count := func() {
 		for _, e := range clone(d.Effects()) {
 			switch e.Message.Kind {
-			case Seek:
+			case Lookup:
 				asked++
 			case Pass:
 				passed++
@@ -114,7 +114,7 @@
 	c.request(balancerA)
 	home := agentAddr(c.holders()[0])
 	w.cut = func(from, to netip.AddrPort) bool { return from == home || to == home }
-	w.pass(DefaultAgentForget + time.Second)
+	w.pass(DefaultAgentExpiry + time.Second)
 	w.cut = nil
 	c.request(balancerA)
 	c.request(balancerB)
@@ -137,8 +137,8 @@
 // all.
 func TestAgentThatOthersKnowIsAsked(t *testing.T) {
 	w := newWorld(t, 2)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	w.pass(time.Second)
 	w.addAgent(2, records)
 	delete(w.balancers[balancerB].agents, agentAddr(2))
@@ -157,7 +157,7 @@
 // Cause: a balancer waits for others to confirm that it knows all agents.
 func TestLostFlowIsResetWithoutOtherBalancers(t *testing.T) {
 	w := newWorld(t, 2)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
+	w.balancers[balancerA].AddBalancer(balancerB)
 	w.pass(5 * time.Second)
 	delete(w.balancers, balancerB)
 	c := w.caller(1, listingPort)
@@ -183,7 +183,7 @@
 	w.gate(2).Checked(w.now, Check{Absent: true})
 	w.pass(time.Second)
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) || to == agentAddr(2) }
-	for i, silence := range []time.Duration{DefaultAgentSilence, DefaultAgentForget, time.Second} {
+	for i, silence := range []time.Duration{DefaultAgentTimeout, DefaultAgentExpiry, time.Second} {
 		w.pass(silence)
 		w.caller(uint16(100+i), listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
 		w.pass(100 * time.Millisecond)
@@ -200,8 +200,8 @@
 // Cause: what an agent said before a cut passes for what holds now.
 func TestEmptyAgentBehindCutMayHoldFlowsNow(t *testing.T) {
 	w := newWorld(t, 1)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	w.addAgent(1, records)
 	g := w.restartAgent(1)
 	g.Checked(w.now, Check{Absent: true})
@@ -209,7 +209,7 @@
 	w.cut = func(from, to netip.AddrPort) bool {
 		return from == agentAddr(1) && to == balancerB || from == balancerB && to == agentAddr(1)
 	}
-	w.pass(DefaultAgentSilence + ReportEvery)
+	w.pass(DefaultAgentTimeout + ReportEvery)
 	g.Heartbeat(w.now, Heartbeat{Instance: "i-new", Sequence: 1, Service: records, Slots: 5})
 	w.server(1).instance, w.server(1).sequence = "i-new", 1
 	w.settle()
@@ -238,7 +238,7 @@
 	var messages, bytes, asked int
 	count := func() {
 		for _, e := range d.Effects() {
-			if e.Kind != SendMessage || e.Message.Kind != Seek && e.Message.Kind != Query {
+			if e.Kind != SendMessage || e.Message.Kind != Lookup && e.Message.Kind != Query {
 				continue
 			}
 			messages++
@@ -307,8 +307,8 @@
 func TestRosterOfTheSameSilenceHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
 	w.pass(startSpan)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	w.restartAgent(2)
 	w.gate(2).Checked(w.now, Check{Absent: true})
 	w.pass(time.Second)
@@ -318,7 +318,7 @@
 	}
 	w.pass(200 * time.Millisecond)
 	w.cut = func(from, to netip.AddrPort) bool { return from == gone || to == gone }
-	for i, wait := range []time.Duration{DefaultAgentSilence - 150*time.Millisecond, DefaultAgentForget, time.Second} {
+	for i, wait := range []time.Duration{DefaultAgentTimeout - 150*time.Millisecond, DefaultAgentExpiry, time.Second} {
 		w.pass(wait)
 		w.caller(uint16(100+i), listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
 		w.pass(300 * time.Millisecond)
@@ -337,8 +337,8 @@
 func TestNewServerAfterOneThatIsGoneIsAsked(t *testing.T) {
 	w := newWorld(t, 2)
 	w.pass(startSpan)
-	w.balancers[balancerA].IntroduceBalancer(balancerB)
-	w.balancers[balancerB].IntroduceBalancer(balancerA)
+	w.balancers[balancerA].AddBalancer(balancerB)
+	w.balancers[balancerB].AddBalancer(balancerA)
 	for n := range 2 {
 		w.gate(n).Leave(w.now, w.server(n).instance, 0)
 		w.settle()
--- a/flow/confirm.go
+++ b/flow/member_check.go
@@ -36,7 +36,7 @@
 	}
 	c.question, c.askedAt = d.nextSerial(), now
 	c.tries++
-	d.askBalancers(Message{Kind: AskRoster, Incarnation: c.question})
+	d.askBalancers(Message{Kind: MemberListRequest, Incarnation: c.question})
 	return false
 }
 
@@ -53,7 +53,7 @@
 
 // askBalancers sends a question to some of the other balancers.
 func (d *Director) askBalancers(m Message) {
-	for _, addr := range d.SomeBalancers(d.now, askRosters) {
+	for _, addr := range d.SampleBalancers(d.now, askRosters) {
 		d.send(addr, m, nil)
 	}
 }
--- a/flow/roster.go
+++ b/flow/members.go
@@ -33,10 +33,10 @@
 	aloneAfter = 3 * time.Second
 )
 
-// IntroduceBalancer makes another balancer known. A balancer that has started
+// AddBalancer makes another balancer known. A balancer that has started
 // asks others for the agents that they know: the store may name too few, since
 // keys can be taken away, and an agent that stands still can't report.
-func (d *Director) IntroduceBalancer(addr netip.AddrPort) {
+func (d *Director) AddBalancer(addr netip.AddrPort) {
 	if _, known := d.balancers[addr]; !known {
 		d.balancers[addr] = time.Time{}
 	}
@@ -46,10 +46,10 @@
 // a few others a second.
 const livelyFor = 3 * time.Second
 
-// SomeBalancers returns up to n other balancers, in no order: all but one among those
+// SampleBalancers returns up to n other balancers, in no order: all but one among those
 // heard lately if there are as many, since of all that are known half may be gone, and
 // one among all, so that those who are heard by nobody are spoken to as well.
-func (d *Director) SomeBalancers(now time.Time, n int) []netip.AddrPort {
+func (d *Director) SampleBalancers(now time.Time, n int) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, n)
 	for addr, heard := range d.balancers {
 		if len(list) < n-1 && !heard.IsZero() && now.Sub(heard) < livelyFor {
@@ -95,7 +95,7 @@
 // takeBalancers introduces the balancers that an agent knows.
 func (d *Director) takeBalancers(b []byte) {
 	for ; len(b) >= balancerEntry; b = b[balancerEntry:] {
-		d.IntroduceBalancer(netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.LittleEndian.Uint16(b[4:])))
+		d.AddBalancer(netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.LittleEndian.Uint16(b[4:])))
 	}
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	d.rosterAt = now.Add(askRosterEvery)
-	d.askBalancers(Message{Kind: AskRoster})
+	d.askBalancers(Message{Kind: MemberListRequest})
 }
 
 // sure reports whether this balancer knows all agents that may hold a flow: one
@@ -116,17 +116,17 @@
 func (d *Director) sure(now time.Time) bool {
 	up := now.Sub(d.started)
 	told := d.rosterKnown || d.othersNew
-	return up >= aloneAfter || told && (d.everyoneStarted || up >= d.cfg.SureAfter)
+	return up >= aloneAfter || told && (d.everyoneStarted || up >= d.cfg.DiscoveryTime)
 }
 
 // FromBalancer takes a message of another balancer, and what follows it.
 func (d *Director) FromBalancer(now time.Time, from netip.AddrPort, m *Message, roster []byte) {
 	d.now = now
-	d.seen = max(d.seen, m.Revision)
-	d.Confirm(ReadAt(now, m.ReadAge))
+	d.newestOrders = max(d.newestOrders, m.Revision)
+	d.StoreRead(ReadAt(now, m.ReadAge))
 	d.balancers[from] = now
 	switch m.Kind {
-	case AskRoster:
+	case MemberListRequest:
 		d.sendRoster(now, from, m.Incarnation)
 		return
 	case Configured:
@@ -148,7 +148,7 @@
 // to a question. One that has just started says so: the few that it knows would
 // pass for all.
 func (d *Director) sendRoster(now time.Time, to netip.AddrPort, question uint64) {
-	m := Message{Kind: Roster, Incarnation: question}
+	m := Message{Kind: MemberList, Incarnation: question}
 	if !d.sure(now) {
 		m.Reason = ReasonState
 	}
@@ -214,7 +214,7 @@
 	if len(d.news) == 0 || now.Before(d.newsAt) {
 		return
 	}
-	for _, addr := range d.SomeBalancers(now, announceTo) {
+	for _, addr := range d.SampleBalancers(now, announceTo) {
 		d.send(addr, Message{Kind: Announce}, d.news)
 	}
 	d.news = nil
@@ -224,7 +224,7 @@
 func (d *Director) takeRoster(now time.Time, roster []byte) {
 	for ; len(roster) >= rosterEntry; roster = roster[rosterEntry:] {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(roster[:4])), binary.LittleEndian.Uint16(roster[4:]))
-		d.Introduce(now, addr, ServiceID(binary.LittleEndian.Uint64(roster[6:])), "")
+		d.AddAgent(now, addr, ServiceID(binary.LittleEndian.Uint64(roster[6:])), "")
 		a := d.agents[addr]
 		a.vouched = true
 		last := roster[rosterEntry-1]
--- a/flow/message.go
+++ b/flow/message.go
@@ -16,9 +16,9 @@
 	Open MessageKind = 1 + iota
 	// Pass brings a packet of a flow that the agent should hold. To an agent.
 	Pass
-	// Seek brings a packet of a flow that the balancer does not know. Whoever
+	// Lookup brings a packet of a flow that the balancer does not know. Whoever
 	// holds the flow passes the packet on; all answer. To an agent.
-	Seek
+	Lookup
 	// Taken answers Open: the server answered the caller.
 	Taken
 	// Refused answers Open: the flow is not with this agent.
@@ -35,10 +35,10 @@
 	Hello
 	// Report tells an agent's state and load.
 	Report
-	// AskRoster asks another balancer for the agents that it knows.
-	AskRoster
-	// Roster answers AskRoster; the agents follow, in several messages if need be.
-	Roster
+	// MemberListRequest asks another balancer for the agents that it knows.
+	MemberListRequest
+	// MemberList answers MemberListRequest; the agents follow, in several messages if need be.
+	MemberList
 	// Balancers tells a balancer that has just started of others; their
 	// addresses follow. From an agent.
 	Balancers
@@ -46,12 +46,12 @@
 	Query
 	// QueryAnswer answers Query; what there is to say of the flows follows.
 	QueryAnswer
-	// Return asks for room for the caller of a flow that has ended, before the
+	// ReserveCapacity asks for room for the caller of a flow that has ended, before the
 	// caller is told to open a new one. To an agent, which answers with Queued
 	// and then with Room, or with Refused.
-	Return
-	// Room answers Return: the server has room for the caller's new flow.
-	Room
+	ReserveCapacity
+	// CapacityReserved answers Return: the server has room for the caller's new flow.
+	CapacityReserved
 	// Configured tells another balancer of the configuration in force at the sender,
 	// and of the latest read of the store, whose number follows.
 	Configured
@@ -74,19 +74,19 @@
 
 // BetweenBalancers reports whether k is sent by balancers to balancers.
 func (k MessageKind) BetweenBalancers() bool {
-	return k == AskRoster || k == Roster || k == Configured || k == Announce
+	return k == MemberListRequest || k == MemberList || k == Configured || k == Announce
 }
 
 // CarriesPacket reports whether what follows a message of this kind, if anything
 // does, is a packet of a flow.
 func (k MessageKind) CarriesPacket() bool {
-	return k == Open || k == Pass || k == Seek || k == NotHeld
+	return k == Open || k == Pass || k == Lookup || k == NotHeld
 }
 
-// TellsOrders reports whether a message of this kind tells an agent the operator's order
+// CarriesOrders reports whether a message of this kind tells an agent the operator's order
 // for its availability zone. Those that bring packets of open flows do not: they are
 // most of all messages, and nothing that they ask for depends on it.
-func (k MessageKind) TellsOrders() bool { return k == Open || k == Hello || k == Return }
+func (k MessageKind) CarriesOrders() bool { return k == Open || k == Hello || k == ReserveCapacity }
 
 // Valid reports whether k is one of the kinds.
 func (k MessageKind) Valid() bool { return k >= Open && k <= lastKind }
@@ -94,22 +94,22 @@
 // Message is one message between processes. Which fields count
 // depends on Kind; Revision does in all of them.
 type Message struct {
-	Kind        MessageKind
-	Reason      Reason              // Refused, NotHeld; ReasonState in Hello, Roster: the sender has just started; in Report, ReasonNotHeld: the server holds no flow and gets none, ReasonStarted: it and the sender have just started
-	State       ServerState         // sent by agents
-	Priority    uint8               // Open, Return: of the route, 0 is the most urgent; Roster: messages of it that follow
-	OnTime      time.Duration       // Open, Return: how long it may wait and still be answered in time
-	Wait        time.Duration       // Open, Return: how long it may wait for room at all, 0 for not; Hello: time between the agent's reports
-	Occupancy   placement.Occupancy // sent by agents
-	Service     ServiceID           // Open, Return: the route's; Hello: the receiver's, as far as known; sent by agents: their server's
-	Revision    uint64              // number of the operator's orders in force at the sender; sent by agents: the newest that a balancer had in force
-	ColdRate    ColdRate            // Open, Hello, Return: of the service named, by the orders of that number
-	ZoneOrder   ZoneOrder           // Open, Hello, Return: for the receiver's availability zone, by the orders of that number
-	Heard       time.Duration       // Report: since the sender last heard the receiver
-	ReadAge     ReadAge             // of the latest read of the configuration that the sender knows of
-	Incarnation uint64              // sent by agents: drawn at the start of the process; AskRoster, Roster: number of the question; Configured: drawn by the process that read the store
-	Key         Key                 // Taken, Refused, Queued, Held, NotHeld, Return, Room
-	Zone        uint32              // Report: hash of the sender's availability zone
+	Kind         MessageKind
+	Reason       Reason              // Refused, NotHeld; ReasonState in Hello, MemberList: the sender has just started; in Report, ReasonNotHeld: the server holds no flow and gets none, ReasonStarted: it and the sender have just started
+	State        ServerState         // sent by agents
+	Priority     uint8               // Open, Return: of the route, 0 is the most urgent; MemberList: messages of it that follow
+	OnTime       time.Duration       // Open, Return: how long it may wait and still be answered in time
+	Wait         time.Duration       // Open, Return: how long it may wait for room at all, 0 for not; Hello: time between the agent's reports
+	Occupancy    placement.Occupancy // sent by agents
+	Service      ServiceID           // Open, Return: the route's; Hello: the receiver's, as far as known; sent by agents: their server's
+	Revision     uint64              // number of the operator's orders in force at the sender; sent by agents: the newest that a balancer had in force
+	ColdRate     ColdRate            // Open, Hello, Return: of the service named, by the orders of that number
+	ZoneOrder    ZoneOrder           // Open, Hello, Return: for the receiver's availability zone, by the orders of that number
+	LastReceived time.Duration       // Report: since the sender last heard the receiver
+	ReadAge      ReadAge             // of the latest read of the configuration that the sender knows of
+	Incarnation  uint64              // sent by agents: drawn at the start of the process; MemberListRequest, MemberList: number of the request; Configured: drawn by the process that read the store
+	Key          Key                 // Taken, Refused, Queued, Held, NotHeld, Return, Room
+	Zone         uint32              // Report: hash of the sender's availability zone
 }
 
 // ReadAge is the age of a read of the configuration in the store, in
--- a/flow/offer.go
+++ b/flow/offer.go
@@ -134,7 +134,7 @@
 		if a.service != o.service || o.wasTried(a.addr) || !d.inService(a) || !d.mayServe(a, &o.route) {
 			continue
 		}
-		if a.state == ServerDraining || a.state == ServerGone {
+		if a.state == ServerDraining || a.state == ServerEnded {
 			continue
 		}
 		rank := o.key.hash() ^ hashAddr(a.addr)
@@ -165,7 +165,7 @@
 	case reason == ReasonNoAgent && d.outOfRegion(o):
 		reason, reset = ReasonRegion, true
 	}
-	d.trace.GaveUp(now, ID{o.key, o.opener}, o.route, reason, o.tries, now.Sub(o.since), reset)
+	d.trace.Abandoned(now, ID{o.key, o.opener}, o.route, reason, o.tries, now.Sub(o.since), reset)
 	d.forget(o.key)
 	if !reset {
 		d.drop(reason)
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -37,7 +37,7 @@
 
 // returnWaiting asks for room for a caller.
 func returnWaiting(g *Gate, now time.Time, port uint16, onTime time.Duration, reason Reason) {
-	m := Message{Kind: Return, Key: Key{CallerPort: port}, Service: listing, Priority: 2, Reason: reason, OnTime: onTime, Wait: time.Second}
+	m := Message{Kind: ReserveCapacity, Key: Key{CallerPort: port}, Service: listing, Priority: 2, Reason: reason, OnTime: onTime, Wait: time.Second}
 	g.FromBalancer(now, balancerA, &m, nil, nil)
 }
 
@@ -55,7 +55,7 @@
 	finishOne(g, now)
 	told := false
 	for _, e := range g.Effects() {
-		told = told || e.Message.Kind == Room
+		told = told || e.Message.Kind == CapacityReserved
 	}
 	if !told || g.waitingFor(late) == nil {
 		t.Errorf("caller told: %v, late flow still waits: %v", told, g.waitingFor(late) != nil)
--- a/flow/orders.go
+++ b/flow/orders.go
@@ -27,7 +27,7 @@
 
 // The orders.
 const (
-	ZoneUntold    ZoneOrder = iota // the sender does not know the agent's zone, or no orders
+	ZoneUnknown   ZoneOrder = iota // the sender does not know the agent's zone, or no orders
 	ZoneInService                  // takes new flows
 	ZoneEvacuated                  // gets no new flows until the operator gives it back
 	// ZoneUnconfirmed gets no new flows either: it was evacuated before the store came back
@@ -37,8 +37,8 @@
 	lastZoneOrder = ZoneUnconfirmed
 )
 
-// barsNewFlows reports whether the zone gets no new flows.
-func (o ZoneOrder) barsNewFlows() bool { return o == ZoneEvacuated || o == ZoneUnconfirmed }
+// excludesNewFlows reports whether the zone gets no new flows.
+func (o ZoneOrder) excludesNewFlows() bool { return o == ZoneEvacuated || o == ZoneUnconfirmed }
 
 // Valid reports whether o is one of the orders.
 func (o ZoneOrder) Valid() bool { return o <= lastZoneOrder }
@@ -59,7 +59,7 @@
 		o = &Orders{Number: o.Number, Routes: before.Routes, Evacuated: o.Evacuated}
 	}
 	d.orders = o
-	d.seen = max(d.seen, o.Number)
+	d.newestOrders = max(d.newestOrders, o.Number)
 	d.lacking.update(now, before, o)
 	for _, a := range d.agents {
 		d.learnLacking(now, a)
@@ -109,7 +109,7 @@
 	_, evacuated := o.Evacuated[zone]
 	switch {
 	case o.Number == 0 || zone == 0 && len(o.Evacuated) > 0:
-		return ZoneUntold
+		return ZoneUnknown
 	case evacuated:
 		return ZoneEvacuated
 	}
@@ -154,7 +154,7 @@
 		if a.service != id || a.gone() {
 			continue
 		}
-		if !d.zoneOrder(a.zone).barsNewFlows() {
+		if !d.zoneOrder(a.zone).excludesNewFlows() {
 			return false
 		}
 		known = true
@@ -167,8 +167,8 @@
 	return slices.Sorted(maps.Keys(d.orders.Evacuated))
 }
 
-// told is what an agent knows of the operator's orders.
-type told struct {
+// receivedOrders is what an agent knows of the operator's orders.
+type receivedOrders struct {
 	number  uint64 // of the orders; 0: none told yet
 	zone    ZoneOrder
 	service ServiceID // that the rate below is of
@@ -178,21 +178,21 @@
 // receiveOrders takes what a balancer tells of the operator's orders. Balancers learn them
 // unevenly: of all that were told the one with the highest number counts.
 func (g *Gate) receiveOrders(now time.Time, m *Message) {
-	if m.ZoneOrder == ZoneUntold || m.Revision < g.told.number {
+	if m.ZoneOrder == ZoneUnknown || m.Revision < g.orders.number {
 		return
 	}
 	if g.mayLack(now, m.ZoneOrder) {
 		return
 	}
-	known := m.Service == g.told.service || m.Service != g.server.service
-	if m.Revision == g.told.number && known && !g.overrules(now, m.ZoneOrder) {
+	known := m.Service == g.orders.service || m.Service != g.server.service
+	if m.Revision == g.orders.number && known && !g.overrules(now, m.ZoneOrder) {
 		return
 	}
 	before := g.State(now)
 	if g.evacuated() && m.ZoneOrder == ZoneInService {
 		g.server.coldUnknown = true // it had nothing to do, and may be cold by now
 	}
-	g.told = told{number: m.Revision, zone: m.ZoneOrder, service: m.Service, cold: m.ColdRate}
+	g.orders = receivedOrders{number: m.Revision, zone: m.ZoneOrder, service: m.Service, cold: m.ColdRate}
 	if g.State(now) == before {
 		return
 	}
@@ -201,4 +201,4 @@
 }
 
 // evacuated reports whether the agent's zone gets no new flows.
-func (g *Gate) evacuated() bool { return g.told.zone.barsNewFlows() }
+func (g *Gate) evacuated() bool { return g.orders.zone.excludesNewFlows() }
--- a/flow/orders_test.go
+++ b/flow/orders_test.go
@@ -49,7 +49,7 @@
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetOrders(now, ordered(3, "b"))
-	d.Introduce(now, agentAddr(0), listing, "")
+	d.AddAgent(now, agentAddr(0), listing, "")
 	report := Message{Kind: Report, State: ServerReady, Service: listing}
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Taken, State: ServerReady, Service: listing}, nil, nil)
 	d.Effects()
@@ -217,9 +217,9 @@
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			number := rapid.IntRange(1, len(state)).Draw(t, "number")
 			m := Message{Revision: uint64(number), ZoneOrder: state[number-1], Service: listing}
-			m.Kind = rapid.SampledFrom([]MessageKind{Hello, Open, Return}).Draw(t, "kind")
+			m.Kind = rapid.SampledFrom([]MessageKind{Hello, Open, ReserveCapacity}).Draw(t, "kind")
 			if rapid.Bool().Draw(t, "untold") {
-				m.ZoneOrder = ZoneUntold
+				m.ZoneOrder = ZoneUnknown
 			} else {
 				newest = max(newest, number)
 			}
--- a/flow/peers.go
+++ b/flow/peers.go
@@ -51,9 +51,9 @@
 	return h.Sum32()
 }
 
-// Introduce makes an agent known that others told of. It is asked for its state
+// AddAgent makes an agent known that others told of. It is asked for its state
 // at the next tick. Agents that are known already keep what they said.
-func (d *Director) Introduce(now time.Time, addr netip.AddrPort, id ServiceID, zone string) {
+func (d *Director) AddAgent(now time.Time, addr netip.AddrPort, id ServiceID, zone string) {
 	if d.agents[addr] != nil {
 		return
 	}
@@ -69,8 +69,8 @@
 // came with it, or nil.
 func (d *Director) FromAgent(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
 	d.now = now
-	d.seen = max(d.seen, m.Revision)
-	d.Confirm(ReadAt(now, m.ReadAge))
+	d.newestOrders = max(d.newestOrders, m.Revision)
+	d.StoreRead(ReadAt(now, m.ReadAge))
 	d.noteSender(now, from, m)
 	switch m.Kind {
 	case Taken:
@@ -79,7 +79,7 @@
 		d.onRefused(now, from, m)
 	case Balancers:
 		d.takeBalancers(packet)
-	case Room:
+	case CapacityReserved:
 		d.onRoom(now, from, m)
 	case QueryAnswer:
 		d.onQueryAnswer(now, from, packet)
@@ -105,7 +105,7 @@
 	a.asked = 0
 	d.heardAny = true
 	a.silent = a.silent && !a.answers(now, m)
-	a.empty = m.State == ServerGone || m.State != ServerReady && (a.empty || m.Kind == Report && m.Reason == ReasonNotHeld)
+	a.empty = m.State == ServerEnded || m.State != ServerReady && (a.empty || m.Kind == Report && m.Reason == ReasonNotHeld)
 	a.service, a.state, a.incarnation = m.Service, m.State, m.Incarnation
 	if m.Kind == Report {
 		a.young = m.Reason == ReasonStarted
@@ -133,7 +133,7 @@
 // A report alone shows only the way back: behind a cut of one way an agent goes
 // on reporting and gets none of the flows offered to it.
 func (a *agent) answers(now time.Time, m *Message) bool {
-	return m.Kind != Report || now.Add(-m.Heard).After(a.silentAt)
+	return m.Kind != Report || now.Add(-m.LastReceived).After(a.silentAt)
 }
 
 // setSilent leaves an agent out of new flows until it is heard again.
@@ -274,14 +274,14 @@
 		return
 	}
 	silence := now.Sub(a.heard)
-	if silence >= d.cfg.AgentForget {
+	if silence >= d.cfg.AgentExpiry {
 		d.removeAgent(now, a, "forgotten")
 		if !a.empty && !a.gone() {
 			d.missing[a.addr] = now
 		}
 		return
 	}
-	if silence >= max(d.cfg.AgentSilence, silentReports*d.reportEvery()) || a.unanswering(now) {
+	if silence >= max(d.cfg.AgentTimeout, silentReports*d.reportEvery()) || a.unanswering(now) {
 		d.setSilent(now, a.addr)
 	}
 }
--- a/flow/property_test.go
+++ b/flow/property_test.go
@@ -17,8 +17,8 @@
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &play{t: t, w: newWorld(t, 3), draining: map[int]bool{}}
-		p.w.balancers[balancerA].IntroduceBalancer(balancerB)
-		p.w.balancers[balancerB].IntroduceBalancer(balancerA)
+		p.w.balancers[balancerA].AddBalancer(balancerB)
+		p.w.balancers[balancerB].AddBalancer(balancerA)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			p.step()
 		}
@@ -60,10 +60,10 @@
 	case "restart balancer":
 		d := p.w.addBalancer(via)
 		for i := range 3 {
-			d.Introduce(p.w.now, agentAddr(i), listing, "a")
+			d.AddAgent(p.w.now, agentAddr(i), listing, "a")
 		}
 		for b := range p.w.balancers {
-			d.IntroduceBalancer(b)
+			d.AddBalancer(b)
 		}
 	case "restart all processes":
 		p.restartAll()
@@ -86,12 +86,12 @@
 	for b := range p.w.balancers {
 		d := p.w.addBalancer(b)
 		for n := range 3 {
-			d.Introduce(p.w.now, agentAddr(n), listing, "a")
+			d.AddAgent(p.w.now, agentAddr(n), listing, "a")
 		}
 		for other := range p.w.balancers {
-			d.IntroduceBalancer(other)
+			d.AddBalancer(other)
 		}
-		d.Listed()
+		d.StoreListed()
 	}
 	for n := range 3 {
 		p.beat(n)
--- a/flow/query.go
+++ b/flow/query.go
@@ -207,7 +207,7 @@
 		return 0
 	}
 	p.ref.k.question(p.agent).waits = false
-	d.question(p.agent, Message{Kind: Seek}, p.ref.k.packet)
+	d.question(p.agent, Message{Kind: Lookup}, p.ref.k.packet)
 	return len(p.ref.k.packet)
 }
 
@@ -224,20 +224,20 @@
 	delete(d.queries.sent, number)
 	for _, ref := range v.flows {
 		if !ref.ends() {
-			d.onFinding(now, from, ref.k, findingOf(ref.k.segment.Key, b[numberSize:]))
+			d.onFinding(now, from, ref.k, resultFor(ref.k.segment.Key, b[numberSize:]))
 		}
 	}
 }
 
 // onFinding takes what an agent says of one flow.
-func (d *Director) onFinding(now time.Time, from netip.AddrPort, k *seek, f Finding) {
+func (d *Director) onFinding(now time.Time, from netip.AddrPort, k *seek, f LookupResult) {
 	e := d.flows[k.segment.Key]
 	if e == nil || e.seek != k {
 		return
 	}
-	if f == NeedsPacket || f == CannotTell {
+	if f == FlowNeedsPacket || f == FlowUnknown {
 		if d.everyoneStarted {
-			f = NotHere
+			f = FlowNotHeld
 		}
 		if q := k.question(from); q != nil {
 			q.unsure = true
@@ -245,16 +245,16 @@
 		}
 	}
 	switch f {
-	case Here:
+	case FlowHeld:
 		d.found(now, e, from, true)
-	case Ended:
+	case FlowLost:
 		d.lost(now, e, &k.segment, ReasonLost)
-	case NeedsPacket:
+	case FlowNeedsPacket:
 		if p := k.question(from); p != nil && !p.waits {
 			p.waits = true
 			d.queries.packets.push(packetDue{seekRef{k, k.serial}, from})
 		}
-	case NotHere:
+	case FlowNotHeld:
 		d.answered(now, e, from)
 	}
 }
--- a/flow/reborn_test.go
+++ b/flow/reborn_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("state %v after the old start's end", s)
 	}
 	g.Leave(now, "i-1", 200)
-	if s := g.State(now); s != ServerGone {
+	if s := g.State(now); s != ServerEnded {
 		t.Errorf("state %v after its own end", s)
 	}
 }
@@ -106,7 +106,7 @@
 			if g.Heartbeat(now, c.beat) {
 				t.Error("the heartbeat counts")
 			}
-			if b := g.Beliefs(now); b.Instance != "i-1" || b.Service != listing {
+			if b := g.Snapshot(now); b.Instance != "i-1" || b.Service != listing {
 				t.Errorf("server %s of service %d", b.Instance, b.Service)
 			}
 		})
--- a/flow/returning.go
+++ b/flow/reset.go
@@ -110,7 +110,7 @@
 		reason = ReasonStarted
 	}
 	d.send(to.Addr, Message{
-		Kind: Return, Reason: reason, Key: r.key, Service: r.service, Priority: r.priority,
+		Kind: ReserveCapacity, Reason: reason, Key: r.key, Service: r.service, Priority: r.priority,
 		OnTime: max(0, r.onTime.Sub(now)), Wait: r.until.Sub(now),
 	}, nil)
 }
--- a/flow/restored.go
+++ b/flow/restored.go
@@ -116,7 +116,7 @@
 // come back from an older copy. Balancers are told with the agent's messages: they may not
 // have read the store since.
 func (g *Gate) StoreRestored(now time.Time, first uint64) {
-	g.seen = max(g.seen, first)
+	g.newestOrders = max(g.newestOrders, first)
 	g.restored = restoredAt(now, first)
 }
 
@@ -128,7 +128,7 @@
 	if zone != ZoneInService || !g.evacuated() || !now.Before(g.restored.until) {
 		return false
 	}
-	return g.told.number < g.restored.first || g.told.zone == ZoneUnconfirmed
+	return g.orders.number < g.restored.first || g.orders.zone == ZoneUnconfirmed
 }
 
 // overrules reports whether a balancer's order holds in place of another one's under the
@@ -136,7 +136,7 @@
 // that has started since; once the operator has had its time, neither knows more.
 func (g *Gate) overrules(now time.Time, zone ZoneOrder) bool {
 	if zone == ZoneUnconfirmed {
-		return g.told.zone == ZoneInService && now.Before(g.restored.until)
+		return g.orders.zone == ZoneInService && now.Before(g.restored.until)
 	}
-	return zone == ZoneInService && g.told.zone == ZoneUnconfirmed
+	return zone == ZoneInService && g.orders.zone == ZoneUnconfirmed
 }
--- a/flow/restored_test.go
+++ b/flow/restored_test.go
@@ -13,8 +13,8 @@
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	near, far := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
-	d.Introduce(now, near, 1, "a")
-	d.Introduce(now, far, 1, "b")
+	d.AddAgent(now, near, 1, "a")
+	d.AddAgent(now, far, 1, "b")
 	d.Tick(now)
 	d.Effects()
 	now = now.Add(10 * time.Millisecond)
@@ -37,7 +37,7 @@
 func TestAgentTellsThatTheStoreCameBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
-	g.Introduce(now, netip.MustParseAddrPort("10.0.0.9:1"))
+	g.AddBalancer(now, netip.MustParseAddrPort("10.0.0.9:1"))
 	g.Effects()
 	const first = 1 << 44
 	g.StoreRestored(now, first)
--- a/flow/room.go
+++ b/flow/room.go
@@ -64,7 +64,7 @@
 // grantReturn has a caller told to come back.
 func (g *Gate) grantReturn(now time.Time, q queued) {
 	g.reserved.push(now.Add(reserveTime))
-	g.reply(now, q.via, Message{Kind: Room, Key: q.key}, nil)
+	g.reply(now, q.via, Message{Kind: CapacityReserved, Key: q.key}, nil)
 }
 
 // refuseReturns hands back the callers that have waited for too long.
--- a/flow/room_test.go
+++ b/flow/room_test.go
@@ -8,7 +8,7 @@
 // askReturn asks a gate for room for a caller and returns the kinds of its answers.
 func askReturn(g *Gate, now time.Time, port uint16, wait time.Duration) []MessageKind {
 	key := Key{CallerPort: port}
-	g.FromBalancer(now, balancerA, &Message{Kind: Return, Key: key, Service: listing, Wait: wait}, nil, nil)
+	g.FromBalancer(now, balancerA, &Message{Kind: ReserveCapacity, Key: key, Service: listing, Wait: wait}, nil, nil)
 	return answersFor(g, key)
 }
 
@@ -40,7 +40,7 @@
 	told := 0
 	for port := range uint16(10) {
 		for _, kind := range askReturn(g, now, port, time.Second) {
-			if kind == Room {
+			if kind == CapacityReserved {
 				told++
 			}
 		}
@@ -51,7 +51,7 @@
 	now = now.Add(reserveTime)
 	g.Tick(now)
 	for _, e := range g.Effects() {
-		if e.Message.Kind == Room {
+		if e.Message.Kind == CapacityReserved {
 			told++
 		}
 	}
@@ -137,8 +137,8 @@
 		if e.Message.Kind != QueryAnswer {
 			continue
 		}
-		for port, want := range []Finding{NotHere, Here, Ended, NotHere} {
-			if got := findingOf(Key{CallerPort: uint16(port)}, e.Packet[numberSize:]); got != want {
+		for port, want := range []LookupResult{FlowNotHeld, FlowHeld, FlowLost, FlowNotHeld} {
+			if got := resultFor(Key{CallerPort: uint16(port)}, e.Packet[numberSize:]); got != want {
 				t.Errorf("port %d: %v, want %v", port, got, want)
 			}
 		}
--- a/flow/server.go
+++ b/flow/server.go
@@ -48,7 +48,7 @@
 	v := &g.server
 	switch {
 	case v.gone:
-		return ServerGone
+		return ServerEnded
 	case !v.known:
 		return ServerUnknown
 	case v.draining:
@@ -58,7 +58,7 @@
 	case g.evacuated():
 		return ServerEvacuated
 	case v.silent:
-		return ServerSilent
+		return ServerUnresponsive
 	}
 	return ServerReady
 }
--- a/flow/beliefs.go
+++ b/flow/snapshot.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// DirectorBeliefs is what a balancer believes at one moment, for operators.
-type DirectorBeliefs struct {
+// DirectorSnapshot is what a balancer believes at one moment, for operators.
+type DirectorSnapshot struct {
 	Revision  uint64   `json:"revision"`     // of the configuration in force, 0 for none
 	Orders    uint64   `json:"orders"`       // number of the operator's orders in force, 0 for none
 	Newest    uint64   `json:"newest_heard"` // newest orders that any process spoke of
@@ -21,24 +21,24 @@
 	Ready       bool             `json:"ready"`       // takes callers' packets
 	Complete    bool             `json:"knows_all"`   // knows every agent that may hold a flow
 	Flows       int              `json:"flows"`       // remembered
-	Agents      []AgentBelief    `json:"agents"`      // in the order of their addresses
-	Missing     []netip.AddrPort `json:"missing"`     // agents that fell silent without a word
+	Agents      []AgentSnapshot  `json:"agents"`      // in the order of their addresses
+	Failed      []netip.AddrPort `json:"missing"`     // agents that fell silent without a word
 	Balancers   []netip.AddrPort `json:"other_balancers"`
 }
 
-// AgentBelief is what a balancer believes about one agent.
-type AgentBelief struct {
-	Addr    netip.AddrPort `json:"address"`
-	Service ServiceID      `json:"service"`
-	State   string         `json:"state"`
-	Silent  bool           `json:"silent"`       // left out of new flows
-	Age     time.Duration  `json:"heard_age_ns"` // since it was heard, negative if never
+// AgentSnapshot is what a balancer believes about one agent.
+type AgentSnapshot struct {
+	Addr         netip.AddrPort `json:"address"`
+	Service      ServiceID      `json:"service"`
+	State        string         `json:"state"`
+	Unresponsive bool           `json:"silent"`       // left out of new flows
+	Age          time.Duration  `json:"heard_age_ns"` // since it was heard, negative if never
 }
 
-// Beliefs returns what the balancer believes now.
-func (d *Director) Beliefs(now time.Time) DirectorBeliefs {
-	b := DirectorBeliefs{
-		Newest: d.seen, ReadAge: ageSince(now, d.readAt), Ready: d.Ready(), Complete: d.complete(now), Flows: len(d.flows),
+// Snapshot returns what the balancer believes now.
+func (d *Director) Snapshot(now time.Time) DirectorSnapshot {
+	b := DirectorSnapshot{
+		Newest: d.newestOrders, ReadAge: ageSince(now, d.readAt), Ready: d.Ready(), Complete: d.complete(now), Flows: len(d.flows),
 		Balancers: slices.Collect(maps.Keys(d.balancers)),
 		Orders:    d.orders.Number, Evacuated: d.evacuatedZones(), Unconfirmed: slices.Sorted(maps.Keys(d.lacking.zones)),
 	}
@@ -46,13 +46,13 @@
 		b.Revision, b.Routes = r.Revision, r.Len()
 	}
 	for _, a := range d.agents {
-		b.Agents = append(b.Agents, AgentBelief{Addr: a.addr, Service: a.service, State: a.state.String(), Silent: a.silent, Age: ageSince(now, a.heard)})
+		b.Agents = append(b.Agents, AgentSnapshot{Addr: a.addr, Service: a.service, State: a.state.String(), Unresponsive: a.silent, Age: ageSince(now, a.heard)})
 	}
 	for addr := range d.missing {
-		b.Missing = append(b.Missing, addr)
+		b.Failed = append(b.Failed, addr)
 	}
-	slices.SortFunc(b.Agents, func(x, y AgentBelief) int { return x.Addr.Compare(y.Addr) })
-	slices.SortFunc(b.Missing, netip.AddrPort.Compare)
+	slices.SortFunc(b.Agents, func(x, y AgentSnapshot) int { return x.Addr.Compare(y.Addr) })
+	slices.SortFunc(b.Failed, netip.AddrPort.Compare)
 	slices.SortFunc(b.Balancers, netip.AddrPort.Compare)
 	return b
 }
@@ -67,8 +67,8 @@
 	return now.Sub(at)
 }
 
-// GateBeliefs is what an agent believes at one moment, for operators.
-type GateBeliefs struct {
+// GateSnapshot is what an agent believes at one moment, for operators.
+type GateSnapshot struct {
 	Service      ServiceID        `json:"service"`
 	State        string           `json:"state"`
 	Instance     string           `json:"instance"`
@@ -80,17 +80,17 @@
 	Flows        int              `json:"flows"`     // remembered
 	Orders       uint64           `json:"orders"`    // number of the newest orders that the agent was told, 0 for none
 	Evacuated    bool             `json:"evacuated"` // its availability zone gets no new flows
-	KnowsAll     bool             `json:"knows_all"` // a flow that is not known is not at the server
+	Complete     bool             `json:"knows_all"` // a flow that is not known is not at the server
 	Balancers    []netip.AddrPort `json:"balancers"`
 }
 
-// Beliefs returns what the agent believes now.
-func (g *Gate) Beliefs(now time.Time) GateBeliefs {
+// Snapshot returns what the agent believes now.
+func (g *Gate) Snapshot(now time.Time) GateSnapshot {
 	v := &g.server
-	b := GateBeliefs{
+	b := GateSnapshot{
 		Service: v.service, State: g.State(now).String(), Instance: v.instance, Sequence: v.sequence, HeartbeatAge: ageSince(now, v.heartbeatAt),
-		Slots: v.slots, Requests: g.requests, Queued: len(g.queue), Flows: len(g.flows), KnowsAll: g.sure(now),
-		Orders: g.told.number, Evacuated: g.evacuated(),
+		Slots: v.slots, Requests: g.requests, Queued: len(g.queue), Flows: len(g.flows), Complete: g.sure(now),
+		Orders: g.orders.number, Evacuated: g.evacuated(),
 	}
 	for addr := range g.balancers {
 		b.Balancers = append(b.Balancers, addr)
--- a/flow/trace.go
+++ b/flow/trace.go
@@ -14,13 +14,13 @@
 	Taken(now time.Time, id ID, route Route, agent netip.AddrPort, offers int, after time.Duration)
 	// Refused: an agent did not take the flow. It is offered to another.
 	Refused(now time.Time, key Key, route Route, agent netip.AddrPort, reason Reason, occupancy placement.Occupancy)
-	// GaveUp: nobody took the flow. Its caller is told by a reset, or left to
+	// Abandoned: nobody took the flow. Its caller is told by a reset, or left to
 	// repeat.
-	GaveUp(now time.Time, id ID, route Route, reason Reason, offers int, after time.Duration, reset bool)
+	Abandoned(now time.Time, id ID, route Route, reason Reason, offers int, after time.Duration, reset bool)
 	// Reset: the caller is told that the flow is not open.
 	Reset(now time.Time, key Key, reason Reason)
-	// Sought: a flow that is not known is looked for at so many agents.
-	Sought(now time.Time, key Key, agents int, all bool)
+	// LookupStarted: a flow that is not known is looked for at so many agents.
+	LookupStarted(now time.Time, key Key, agents int, all bool)
 	// Ended: the flow is nowhere any more. Its caller is told when an agent has room
 	// for its next flow, after so long at most.
 	Ended(now time.Time, key Key, reason Reason, agent netip.AddrPort, atMost time.Duration)
@@ -34,9 +34,9 @@
 
 func (noTracer) Taken(time.Time, ID, Route, netip.AddrPort, int, time.Duration)             {}
 func (noTracer) Refused(time.Time, Key, Route, netip.AddrPort, Reason, placement.Occupancy) {}
-func (noTracer) GaveUp(time.Time, ID, Route, Reason, int, time.Duration, bool)              {}
+func (noTracer) Abandoned(time.Time, ID, Route, Reason, int, time.Duration, bool)           {}
 func (noTracer) Reset(time.Time, Key, Reason)                                               {}
-func (noTracer) Sought(time.Time, Key, int, bool)                                           {}
+func (noTracer) LookupStarted(time.Time, Key, int, bool)                                    {}
 func (noTracer) Ended(time.Time, Key, Reason, netip.AddrPort, time.Duration)                {}
 func (noTracer) Found(time.Time, Key, netip.AddrPort, time.Duration)                        {}
 func (noTracer) Agent(time.Time, netip.AddrPort, ServiceID, ServerState, string)            {}
--- a/flow/types.go
+++ b/flow/types.go
@@ -98,12 +98,12 @@
 
 // The states of a backend server.
 const (
-	ServerUnknown   ServerState = iota // not heard of in this process, or not lately
-	ServerReady                        // takes new flows
-	ServerDraining                     // keeps its flows, takes no new ones
-	ServerSilent                       // does not react to packets
-	ServerGone                         // has ended
-	ServerEvacuated                    // could take new flows, and its availability zone gets none
+	ServerUnknown      ServerState = iota // not heard of in this process, or not lately
+	ServerReady                           // takes new flows
+	ServerDraining                        // keeps its flows, takes no new ones
+	ServerUnresponsive                    // does not react to packets
+	ServerEnded                           // has ended
+	ServerEvacuated                       // could take new flows, and its availability zone gets none
 )
 
 var serverStates = [...]string{"unknown", "ready", "draining", "silent", "gone", "evacuated"}
@@ -121,22 +121,22 @@
 
 // The reasons.
 const (
-	ReasonNone      Reason = iota
-	ReasonState            // the server is not ready: draining, gone or not heard of
-	ReasonService          // the server belongs to another service
-	ReasonBusy             // too many requests at work
-	ReasonBounced          // the server sent the packet back
-	ReasonSilent           // the server did not answer in time
-	ReasonTimeout          // the agent did not answer in time
-	ReasonNoRoute          // no route of the configuration leads anywhere
-	ReasonNoAgent          // no agent of the service is left to offer the flow to
-	ReasonNotHeld          // the server holds no such flow
-	ReasonLost             // the server held the flow and has lost it
-	ReasonOverflow         // a bounded table is full
-	ReasonReturn           // the flow has ended, and its caller is told as soon as there is room for it
-	ReasonStarted          // the server and its agent have just started
-	ReasonEvacuated        // the operator has taken the availability zone out of service
-	ReasonRegion           // all servers are in regions that the route does not name
+	ReasonNone         Reason = iota
+	ReasonState               // the server is not ready: draining, gone or not heard of
+	ReasonService             // the server belongs to another service
+	ReasonBusy                // too many requests at work
+	ReasonBounced             // the server sent the packet back
+	ReasonUnresponsive        // the server did not answer in time
+	ReasonTimeout             // the agent did not answer in time
+	ReasonNoRoute             // no route of the configuration leads anywhere
+	ReasonNoAgent             // no agent of the service is left to offer the flow to
+	ReasonNotHeld             // the server holds no such flow
+	ReasonLost                // the server held the flow and has lost it
+	ReasonOverflow            // a bounded table is full
+	ReasonResetPending        // the flow has ended, and its caller is told as soon as there is room for it
+	ReasonStarted             // the server and its agent have just started
+	ReasonEvacuated           // the operator has taken the availability zone out of service
+	ReasonRegion              // all servers are in regions that the route does not name
 )
 
 var reasons = [...]string{"none", "state", "service", "busy", "bounced", "silent", "timeout", "no_route", "no_agent", "not_held", "lost", "overflow", "return", "started", "evacuated", "region"}
--- a/flow/world_test.go
+++ b/flow/world_test.go
@@ -111,8 +111,8 @@
 	w.agents[agentAddr(n)] = a
 	w.beat(n, 1, false)
 	for b, d := range w.balancers {
-		d.Introduce(w.now, agentAddr(n), service, "a")
-		a.gate.Introduce(w.now, b)
+		d.AddAgent(w.now, agentAddr(n), service, "a")
+		a.gate.AddBalancer(w.now, b)
 	}
 	w.settle()
 	return a
@@ -123,7 +123,7 @@
 	g := NewGate(w.now, GateConfig{Zone: "a", Incarnation: uint64(n) + 1000, Service: listing}, nil)
 	w.agents[agentAddr(n)].gate = g
 	for b := range w.balancers {
-		g.Introduce(w.now, b)
+		g.AddBalancer(w.now, b)
 	}
 	w.settle()
 	return g
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -140,7 +140,7 @@
 // They have the agent in their rosters then, whatever the store does.
 func (a *Agent) introduceSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
-		a.gate.Introduce(node.Now(), netip.AddrPortFrom(seed, a.cfg.Settings.InternalPort))
+		a.gate.AddBalancer(node.Now(), netip.AddrPortFrom(seed, a.cfg.Settings.InternalPort))
 	}
 }
 
@@ -156,7 +156,7 @@
 func (a *Agent) Beliefs() node.Beliefs {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.gate.Beliefs(node.Now())
+	now := a.gate.Snapshot(node.Now())
 	return node.Beliefs{VM: a.cfg.Settings.Name, Role: node.RoleAgent, Zone: a.cfg.Settings.Zone, Agent: &now}
 }
 
@@ -369,7 +369,7 @@
 	a.event(func(now time.Time) {
 		for _, p := range peers {
 			if p.Role == node.RoleBalancer {
-				a.gate.Introduce(now, p.Addr)
+				a.gate.AddBalancer(now, p.Addr)
 			}
 		}
 	})
--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -168,7 +168,7 @@
 func (b *Balancer) Beliefs() node.Beliefs {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.director.Beliefs(node.Now())
+	now := b.director.Snapshot(node.Now())
 	return node.Beliefs{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
 }
 
@@ -177,7 +177,7 @@
 func (b *Balancer) introduceSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		if seed != b.cfg.Settings.IP {
-			b.director.IntroduceBalancer(netip.AddrPortFrom(seed, b.cfg.Settings.InternalPort))
+			b.director.AddBalancer(netip.AddrPortFrom(seed, b.cfg.Settings.InternalPort))
 		}
 	}
 }
@@ -354,12 +354,12 @@
 		for _, p := range peers {
 			switch p.Role {
 			case node.RoleAgent:
-				d.Introduce(now, p.Addr, flow.IDOf(p.Service), p.Zone)
+				d.AddAgent(now, p.Addr, flow.IDOf(p.Service), p.Zone)
 			case node.RoleBalancer:
-				d.IntroduceBalancer(p.Addr)
+				d.AddBalancer(p.Addr)
 			}
 		}
-		d.Listed()
+		d.StoreListed()
 		d.Tick(now)
 	})
 	out.Flush()
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -22,12 +22,12 @@
 func (b *Balancer) propagate(out *node.Output) {
 	now := node.Now()
 	b.mu.Lock()
-	b.plan.NoteRevision(now, b.director.Seen())
-	b.director.Confirm(b.plan.ReadAt())
+	b.plan.NoteRevision(now, b.director.NewestOrders())
+	b.director.StoreRead(b.plan.ReadAt())
 	digest, send := b.plan.NextDigest(now)
 	var to []netip.AddrPort
 	if send {
-		to = b.director.SomeBalancers(now, propagation.Fanout)
+		to = b.director.SampleBalancers(now, propagation.Fanout)
 	}
 	due := b.plan.Due(now)
 	watches := b.plan.Watches()
@@ -110,7 +110,7 @@
 	}
 	to := []netip.AddrPort{source}
 	if !source.IsValid() {
-		to = p.b.director.SomeBalancers(now, node.AskAtOnce)
+		to = p.b.director.SampleBalancers(now, node.AskAtOnce)
 	}
 	if len(to) == 0 {
 		return nil, false // nobody is known yet
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -43,8 +43,8 @@
 	t.log.Info("flow refused by agent", node.FlowField(key), zap.String("route", route.Name), zap.Stringer("agent", agent), zap.Stringer("reason", reason), zap.Uint8("occupancy", uint8(occupancy)))
 }
 
-// GaveUp implements flow.Tracer.
-func (t *tracer) GaveUp(_ time.Time, id flow.ID, route flow.Route, reason flow.Reason, offers int, after time.Duration, reset bool) {
+// Abandoned implements flow.Tracer.
+func (t *tracer) Abandoned(_ time.Time, id flow.ID, route flow.Route, reason flow.Reason, offers int, after time.Duration, reset bool) {
 	t.log.Info("flow not taken", node.FlowField(id.Key), zap.String("route", route.Name), zap.Stringer("reason", reason), zap.Int("offers", offers), zap.Duration("after", after), zap.Bool("reset", reset))
 	t.spans.Balancer(id, t.self, after, reason.String(), attribute.String("route", route.Name), attribute.Int("offers", offers))
 }
@@ -54,8 +54,8 @@
 	t.log.Info("flow reset", node.FlowField(key), zap.Stringer("reason", reason))
 }
 
-// Sought implements flow.Tracer.
-func (t *tracer) Sought(_ time.Time, key flow.Key, agents int, all bool) {
+// LookupStarted implements flow.Tracer.
+func (t *tracer) LookupStarted(_ time.Time, key flow.Key, agents int, all bool) {
 	t.log.Info("flow sought", node.FlowField(key), zap.Int("agents", agents), zap.Bool("all", all))
 }
 
@@ -172,7 +172,7 @@
 	ch <- prometheus.MustNewConstMetric(descReadAge, prometheus.GaugeValue, age)
 	count(descOffered, s.Offered)
 	count(descTaken, s.Taken)
-	count(descSought, s.Sought)
+	count(descSought, s.Lookups)
 	count(descFound, s.Found)
 	count(descEvicted, s.Evicted)
 	for r := range flow.Reasons {
--- a/internal/flowframe/frame.go
+++ b/internal/flowframe/frame.go
@@ -63,7 +63,7 @@
 	m.Key.Append(h[atKey:atKey])
 	le.PutUint16(h[atOnTime:], millis(m.OnTime))
 	le.PutUint16(h[atWait:], millis(m.Wait))
-	le.PutUint16(h[atHeard:], millis(m.Heard))
+	le.PutUint16(h[atHeard:], millis(m.LastReceived))
 	le.PutUint16(h[atColdRate:], uint16(m.ColdRate))
 	return append(b, h[:]...)
 }
@@ -102,7 +102,7 @@
 	m.Zone = le.Uint32(b[atZone:])
 	m.Key, _ = flow.DecodeKey(b[atKey:])
 	m.OnTime = time.Duration(le.Uint16(b[atOnTime:])) * time.Millisecond
-	m.Heard = time.Duration(le.Uint16(b[atHeard:])) * time.Millisecond
+	m.LastReceived = time.Duration(le.Uint16(b[atHeard:])) * time.Millisecond
 	m.ColdRate = flow.ColdRate(le.Uint16(b[atColdRate:]))
 	m.Wait = time.Duration(le.Uint16(b[atWait:])) * time.Millisecond
 	return m, b[Size:], true
--- a/internal/flowframe/frame_test.go
+++ b/internal/flowframe/frame_test.go
@@ -10,7 +10,7 @@
 
 var sample = flow.Message{
 	Kind: flow.Open, Reason: flow.ReasonBusy, State: flow.ServerDraining, Priority: 2, OnTime: 90 * time.Millisecond,
-	Wait: time.Second, Heard: 30 * time.Millisecond, ReadAge: 1700, Occupancy: 99, Service: flow.IDOf("listing"),
+	Wait: time.Second, LastReceived: 30 * time.Millisecond, ReadAge: 1700, Occupancy: 99, Service: flow.IDOf("listing"),
 	Revision: 1 << 40, Incarnation: 77, Zone: flow.ZoneID("a"),
 	Key: flow.Key{Caller: [4]byte{1, 2, 3, 4}, CallerPort: 5, Service: [4]byte{6, 7, 8, 9}, ServicePort: 10},
 }
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -12,11 +12,11 @@
 
 // Beliefs is the answer of the page. One of the two parts is set.
 type Beliefs struct {
-	VM       string                `json:"vm"`
-	Role     Role                  `json:"role"`
-	Zone     string                `json:"zone"`
-	Balancer *flow.DirectorBeliefs `json:"balancer,omitempty"`
-	Agent    *flow.GateBeliefs     `json:"agent,omitempty"`
+	VM       string                 `json:"vm"`
+	Role     Role                   `json:"role"`
+	Zone     string                 `json:"zone"`
+	Balancer *flow.DirectorSnapshot `json:"balancer,omitempty"`
+	Agent    *flow.GateSnapshot     `json:"agent,omitempty"`
 }
 
 // BeliefsPage serves what tell returns.
