--- a/admission/config.go
+++ b/admission/config.go
@@ -20,7 +20,7 @@
 	Queue         int           // requests that wait for a slot; default catalogue.DefaultQueue; negative is none
 	Rate          int           // requests a second; 0 is no limit
 	LongFlows     int           // open streams and downloads; default Connections - Slots
-	Warmup        time.Duration // time in which the limit grows from 1 to Slots after Warm; 0 is no ramp
+	Warmup        time.Duration // time in which the limit grows from 1 to Slots after RestartRamp; 0 is no ramp
 	ServiceTime   time.Duration // assumed before the first answer; default DefaultServiceTime
 	MaxRetryAfter time.Duration // longest come-back time; default DefaultMaxRetryAfter
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -39,7 +39,7 @@
 		owners:  make(map[string]*owner),
 	}
 	c.Configure(now, cfg)
-	c.Warm(now)
+	c.RestartRamp(now)
 	return c
 }
 
@@ -62,9 +62,9 @@
 	c.dispatch(now)
 }
 
-// Warm tells that the backend server has just started: the cold-start ramp
+// RestartRamp tells that the backend server has just started: the cold-start ramp
 // begins again.
-func (c *Controller) Warm(now time.Time) {
+func (c *Controller) RestartRamp(now time.Time) {
 	c.lim.since = now
 }
 
@@ -72,9 +72,9 @@
 // or wait already run to their end.
 func (c *Controller) Drain() { c.draining = true }
 
-// SetBackend tells whether the backend server can be reached. When it can't,
+// SetBackendReachable tells whether the backend server can be reached. When it can't,
 // waiting requests are refused at once.
-func (c *Controller) SetBackend(now time.Time, up bool) {
+func (c *Controller) SetBackendReachable(now time.Time, up bool) {
 	c.noBackend = !up
 	if up {
 		c.dispatch(now)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -53,7 +53,7 @@
 	c := New(t0, Config{Slots: 1})
 	c.Offer(t0, request(1, "a"))
 	c.Offer(t0, request(2, "a"))
-	c.SetBackend(t0, false)
+	c.SetBackendReachable(t0, false)
 	got := c.Effects(nil)
 	if len(got) != 1 || got[0].Kind != Refuse || got[0].Refusal.Reason != ReasonNoBackend {
 		t.Fatalf("effects %v, want a refusal", got)
--- a/catalogue/calls_bench_test.go
+++ b/catalogue/calls_bench_test.go
@@ -131,7 +131,7 @@
 			d.watches = append(d.watches, waiting{c, d.now.Add(storeWait)})
 			continue
 		}
-		r := Make(context.Background(), d.st, c)
+		r := MakeCall(context.Background(), d.st, c)
 		d.bytes += len(r.Value.Data)
 		d.f.Done(d.now, r)
 	}
--- a/catalogue/check.go
+++ b/catalogue/check.go
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("catalogue: service %q: %s %q is not allowed; %s", e.Service, e.Field, e.Value, e.Remedy)
 }
 
-// ClashError reports an address that another entry holds.
-type ClashError struct {
+// AddressConflictError reports an address that another entry holds.
+type AddressConflictError struct {
 	Service string
 	Address netip.Addr
 	Holder  string // the service that holds it
 }
 
-func (e *ClashError) Error() string {
+func (e *AddressConflictError) Error() string {
 	return fmt.Sprintf("catalogue: service %q: address %s belongs to service %q; use another address or remove it there in the same edit", e.Service, e.Address, e.Holder)
 }
 
@@ -52,10 +52,10 @@
 	return fmt.Sprintf("catalogue: service %q belongs to owner %q, not %q; choose another service name or ask that owner to delete the entry", e.Service, e.Holder, e.Owner)
 }
 
-// MissingError reports a service without an entry.
-type MissingError struct{ Service string }
+// EntryNotFoundError reports a service without an entry.
+type EntryNotFoundError struct{ Service string }
 
-func (e *MissingError) Error() string {
+func (e *EntryNotFoundError) Error() string {
 	return fmt.Sprintf("catalogue: no entry for service %q; list the entries and correct the name", e.Service)
 }
 
--- a/catalogue/editor.go
+++ b/catalogue/editor.go
@@ -63,28 +63,28 @@
 	return fmt.Sprintf("catalogue: edit %s did not take effect and never will, revision %d is another edit's; apply it again", e.Edit, e.Revision)
 }
 
-// UnknownError reports an edit that may be in force. Editor.Settle with Edit
+// UnknownOutcomeError reports an edit that may be in force. Editor.Resolve with Edit
 // finds out.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	Edit EditID
 	Err  error
 }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("unknown whether edit %s took effect: %v; ask again with this edit ID before you edit the same entries", e.Edit, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Err }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// errInFlight tells why Settle cannot refuse an edit on top of the head.
+// errInFlight tells why Resolve cannot refuse an edit on top of the head.
 var errInFlight = errors.New("it is not in the store, but no later edit rules out that it still arrives")
 
-// errForgotten tells why Settle cannot find an old edit.
+// errForgotten tells why Resolve cannot find an old edit.
 var errForgotten = errors.New("it is older than the kept history; compare the entries themselves")
 
 // Apply carries out an edit as a whole. It returns a *RefusedError or an
-// *UnknownError; Accepted is valid only without an error. Edits of other
+// *UnknownOutcomeError; Accepted is valid only without an error. Edits of other
 // services that win the race are no reason to refuse: the edit is checked
 // again on top of them.
 func (ed *Editor) Apply(ctx context.Context, e Edit) (Accepted, error) {
@@ -194,7 +194,7 @@
 		return refused(err)
 	}
 	for range settleAttempts {
-		_, settled := ed.Settle(ctx, id)
+		_, settled := ed.Resolve(ctx, id)
 		var lost *NotAppliedError
 		switch {
 		case settled == nil:
@@ -202,32 +202,32 @@
 		case errors.As(settled, &lost):
 			return &StoreError{KindConflict, settled}
 		case !errors.Is(settled, errInFlight):
-			return &UnknownError{id, err}
+			return &UnknownOutcomeError{id, err}
 		}
 		if _, err = ed.Store.CompareAndSwap(ctx, HeadKey, version, data); err == nil {
 			return nil
 		}
 	}
-	return &UnknownError{id, err}
+	return &UnknownOutcomeError{id, err}
 }
 
-// Settle finds out what became of an edit whose answer was lost. It returns a
-// *RefusedError once the edit can no longer take effect, and an *UnknownError
+// Resolve finds out what became of an edit whose answer was lost. It returns a
+// *RefusedError once the edit can no longer take effect, and an *UnknownOutcomeError
 // while it still can or when it is older than the kept history.
-func (ed *Editor) Settle(ctx context.Context, id EditID) (Accepted, error) {
+func (ed *Editor) Resolve(ctx context.Context, id EditID) (Accepted, error) {
 	h, _, err := ReadHead(ctx, ed.Store)
 	if err != nil {
-		return Accepted{}, &UnknownError{id, err}
+		return Accepted{}, &UnknownOutcomeError{id, err}
 	}
 	if h.Revision <= id.Base() {
-		return Accepted{}, &UnknownError{id, errInFlight}
+		return Accepted{}, &UnknownOutcomeError{id, errInFlight}
 	}
 	if id.Base() < h.oldest() {
-		return Accepted{}, &UnknownError{id, errForgotten}
+		return Accepted{}, &UnknownOutcomeError{id, errForgotten}
 	}
 	changes, err := h.changesAfter(ctx, ed.Store, id.Base())
 	if err != nil {
-		return Accepted{}, &UnknownError{id, err}
+		return Accepted{}, &UnknownOutcomeError{id, err}
 	}
 	n := slices.IndexFunc(changes, func(c Change) bool { return c.Edit != id })
 	if n < 0 {
--- a/catalogue/editor_test.go
+++ b/catalogue/editor_test.go
@@ -23,11 +23,11 @@
 		edit Edit
 		want any
 	}{
-		{"clash", Edit{Put: []Entry{entry("catalogo", "bocina", "10.0.0.1")}}, new(*ClashError)},
-		{"clash inside", Edit{Put: []Entry{entry("a", "b", "10.0.0.9"), entry("c", "b", "10.0.0.9")}}, new(*ClashError)},
+		{"clash", Edit{Put: []Entry{entry("catalogo", "bocina", "10.0.0.1")}}, new(*AddressConflictError)},
+		{"clash inside", Edit{Put: []Entry{entry("a", "b", "10.0.0.9"), entry("c", "b", "10.0.0.9")}}, new(*AddressConflictError)},
 		{"other owner", Edit{Put: []Entry{entry("listing", "bocina", "10.0.0.1")}}, new(*OwnerError)},
 		{"other owner deletes", Edit{Owner: "bocina", Delete: []string{"listing"}}, new(*OwnerError)},
-		{"missing", Edit{Owner: "bocina", Delete: []string{"paquetes"}}, new(*MissingError)},
+		{"missing", Edit{Owner: "bocina", Delete: []string{"paquetes"}}, new(*EntryNotFoundError)},
 		{"twice", Edit{Put: []Entry{entry("a", "b", "10.0.0.8"), entry("a", "b", "10.0.0.9")}}, new(*DuplicateError)},
 		{"base ahead", Edit{Base: 9, Put: []Entry{entry("a", "b", "10.0.0.8")}}, new(*BaseError)},
 	}
@@ -112,20 +112,20 @@
 	// editor cannot know that a late request will not arrive.
 	st.set(0, 0, 1)
 	_, err := ed.Apply(context.Background(), Edit{Editor: "ayse", Put: []Entry{entry("records", "kanatpar", "10.0.0.2")}})
-	var unknown *UnknownError
+	var unknown *UnknownOutcomeError
 	if !errors.As(err, &unknown) {
 		t.Fatalf("got %v, want unknown", err)
 	}
 	st.set(0, 0, 0)
-	if _, err := ed.Settle(context.Background(), unknown.Edit); !errors.As(err, &unknown) {
+	if _, err := ed.Resolve(context.Background(), unknown.Edit); !errors.As(err, &unknown) {
 		t.Fatalf("settle before a later edit: %v, want unknown", err)
 	}
 	put(t, ed, entry("other", "kanatpar", "10.0.0.3"))
 	var lost *NotAppliedError
-	if _, err := ed.Settle(context.Background(), unknown.Edit); !errors.As(err, &lost) {
+	if _, err := ed.Resolve(context.Background(), unknown.Edit); !errors.As(err, &lost) {
 		t.Fatalf("settle after a later edit: %v, want not applied", err)
 	}
-	if got, err := ed.Settle(context.Background(), a.Edit); err != nil || got.Revision != 1 {
+	if got, err := ed.Resolve(context.Background(), a.Edit); err != nil || got.Revision != 1 {
 		t.Fatalf("settle of the first edit: %+v, %v", got, err)
 	}
 }
--- a/catalogue/follower.go
+++ b/catalogue/follower.go
@@ -214,8 +214,8 @@
 	d.due = now.Add(wait/2 + time.Duration(f.cfg.Rand.Int64N(int64(wait/2)+1)))
 }
 
-// Make carries out a call. It blocks until the answer or the call's timeout.
-func Make(ctx context.Context, st Store, c Call) Result {
+// MakeCall carries out a call. It blocks until the answer or the call's timeout.
+func MakeCall(ctx context.Context, st Store, c Call) Result {
 	if c.Timeout > 0 {
 		limited, cancel := context.WithTimeout(ctx, c.Timeout)
 		defer cancel()
--- a/catalogue/follower_test.go
+++ b/catalogue/follower_test.go
@@ -34,7 +34,7 @@
 			d.watches = append(d.watches, c)
 			continue
 		}
-		d.f.Done(d.now, Make(context.Background(), d.st, c))
+		d.f.Done(d.now, MakeCall(context.Background(), d.st, c))
 	}
 	waiting := d.watches
 	d.watches = nil
@@ -139,7 +139,7 @@
 	d := newFollowed(t)
 	d.edit(1)
 	calls := d.f.Next(d.now)
-	late := Make(context.Background(), d.st, calls[0])
+	late := MakeCall(context.Background(), d.st, calls[0])
 	next := d.edit(1)
 	b, err := LoadSince(context.Background(), d.st, Digest{})
 	if err != nil {
--- a/catalogue/held.go
+++ b/catalogue/held.go
@@ -1,31 +1,31 @@
 package catalogue
 
-// Held is an agent's copy of its one entry. It follows the newest revision
+// HeldEntry is an agent's copy of its one entry. It follows the newest revision
 // that any replica has answered with, so a replica that lags cannot revert
 // it. It is not safe for concurrent use.
-type Held struct {
+type HeldEntry struct {
 	service  string
 	entry    Entry
 	found    bool
 	revision uint64
 }
 
-// NewHeld returns an empty copy of the entry of a service.
-func NewHeld(service string) *Held { return &Held{service: service} }
+// NewHeldEntry returns an empty copy of the entry of a service.
+func NewHeldEntry(service string) *HeldEntry { return &HeldEntry{service: service} }
 
 // Request returns the message that asks a replica for the entry.
-func (h *Held) Request() Message {
+func (h *HeldEntry) Request() Message {
 	return Message{Request: &EntryRequest{Service: h.service, Known: h.entry.Version, KnownNumber: h.entry.Number}}
 }
 
 // Entry returns the entry, and false if the service has none.
-func (h *Held) Entry() (Entry, bool) { return h.entry, h.found }
+func (h *HeldEntry) Entry() (Entry, bool) { return h.entry, h.found }
 
 // Revision returns the revision of the newest answer, 0 before the first.
-func (h *Held) Revision() uint64 { return h.revision }
+func (h *HeldEntry) Revision() uint64 { return h.revision }
 
 // Receive takes a replica's answer and reports whether the entry changed.
-func (h *Held) Receive(m Message) bool {
+func (h *HeldEntry) Receive(m Message) bool {
 	if m.Reply == nil || m.Reply.Service != h.service || m.Digest.Revision < h.revision {
 		return false
 	}
--- a/catalogue/interim.go
+++ b/catalogue/interim.go
@@ -23,7 +23,7 @@
 
 // Offer returns the message by which an agent gives its entry to a balancer
 // that has no catalogue, and false if it holds none.
-func (h *Held) Offer() (Message, bool) {
+func (h *HeldEntry) Offer() (Message, bool) {
 	if !h.found {
 		return Message{}, false
 	}
--- a/catalogue/interim_test.go
+++ b/catalogue/interim_test.go
@@ -7,7 +7,7 @@
 
 func holding(t *testing.T, e Entry, revision uint64) Message {
 	t.Helper()
-	h := NewHeld(e.Service)
+	h := NewHeldEntry(e.Service)
 	h.Receive(Message{Digest: Digest{Revision: revision}, Reply: &EntryReply{Service: e.Service, Found: true, Entry: &e}})
 	m, ok := h.Offer()
 	if !ok {
@@ -45,7 +45,7 @@
 	if i.Receive(holding(t, bad, 20)) {
 		t.Error("an entry that breaks a rule is taken")
 	}
-	if _, ok := NewHeld("x").Offer(); ok {
+	if _, ok := NewHeldEntry("x").Offer(); ok {
 		t.Error("an agent offers an entry that it never had")
 	}
 }
--- a/catalogue/layout_test.go
+++ b/catalogue/layout_test.go
@@ -34,7 +34,7 @@
 	if want := 1 + len(h.pages()) + len(h.garbage()); len(st.values) != want {
 		t.Errorf("%d keys in the store, the head accounts for %d", len(st.values), want)
 	}
-	if _, err := ed.Settle(context.Background(), NewEditID(3)); !errors.Is(err, errForgotten) {
+	if _, err := ed.Resolve(context.Background(), NewEditID(3)); !errors.Is(err, errForgotten) {
 		t.Errorf("settle of an old edit: %v", err)
 	}
 	changes, oldest, err := ed.History(context.Background(), 0)
--- a/catalogue/plan.go
+++ b/catalogue/plan.go
@@ -34,8 +34,8 @@
 }
 
 // Plan checks an edit against the state and returns the changes that carry it
-// out, none if it changes nothing. Errors: *FieldError, *ClashError,
-// *OwnerError, *MissingError and *DuplicateError.
+// out, none if it changes nothing. Errors: *FieldError, *AddressConflictError,
+// *OwnerError, *EntryNotFoundError and *DuplicateError.
 func (c *Catalogue) Plan(e Edit, id EditID, now time.Time) ([]Change, error) {
 	if err := c.check(e); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 func (c *Catalogue) checkDelete(service, owner string) error {
 	old, ok := c.entries[service]
 	if !ok {
-		return &MissingError{service}
+		return &EntryNotFoundError{service}
 	}
 	if old.Owner != owner {
 		return &OwnerError{service, owner, old.Owner}
@@ -109,7 +109,7 @@
 				ok = ok && !named[holder]
 			}
 			if ok {
-				return &ClashError{e.Service, a, holder}
+				return &AddressConflictError{e.Service, a, holder}
 			}
 			holders[a] = e.Service
 		}
--- a/catalogue/property_test.go
+++ b/catalogue/property_test.go
@@ -80,7 +80,7 @@
 	}
 	_, err := w.ed.Apply(context.Background(), e)
 	var refused *RefusedError
-	var unknown *UnknownError
+	var unknown *UnknownOutcomeError
 	if err != nil && !errors.As(err, &refused) && !errors.As(err, &unknown) {
 		w.t.Fatalf("edit: %v", err)
 	}
--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -57,7 +57,7 @@
 	first, second := w.edit(1, 1), w.edit(1, 1)
 	_ = lagging.ReceiveLoad(epoch, Bulk{Changes: first})
 	_ = ahead.ReceiveLoad(epoch, Bulk{Changes: append(first, second...)})
-	h := NewHeld(first[0].Entry.Service)
+	h := NewHeldEntry(first[0].Entry.Service)
 	ask := func(r *Replica) bool {
 		r.Receive(epoch, nodeAddr(9), h.Request())
 		return h.Receive(r.Outgoing()[0].Message)
--- a/cmd/hemlockctl/edit.go
+++ b/cmd/hemlockctl/edit.go
@@ -75,7 +75,7 @@
 	}
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
-	a, err := c.editor.Settle(ctx, id)
+	a, err := c.editor.Resolve(ctx, id)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	}
 	e, ok := cat.Entry(c.args[0])
 	if !ok {
-		return &catalogue.MissingError{Service: c.args[0]}
+		return &catalogue.EntryNotFoundError{Service: c.args[0]}
 	}
 	return c.showEntry(cat.Revision(), e)
 }
--- a/cmd/hemlockctl/main.go
+++ b/cmd/hemlockctl/main.go
@@ -127,7 +127,7 @@
 func (c *cli) finish(err error, errOut io.Writer) int {
 	var (
 		wrong   *usageError
-		unknown *catalogue.UnknownError
+		unknown *catalogue.UnknownOutcomeError
 		refused *catalogue.RefusedError
 	)
 	switch {
--- a/flow/find.go
+++ b/flow/find.go
@@ -33,7 +33,7 @@
 	e.seek = k
 	var targets []netip.AddrPort
 	if v := d.serviceOf(s.Key); !all && v != nil && len(d.agents) > askAllUpTo {
-		targets = v.all.Nearest(s.Key.hash(), askFirst, d.targets[:0])
+		targets = v.all.AppendRanked(s.Key.hash(), askFirst, d.targets[:0])
 		d.targets = targets
 	} else {
 		k.all = true
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -26,7 +26,7 @@
 	rng       *rand.Rand
 	leaves    chan struct{}
 
-	held     *catalogue.Held
+	held     *catalogue.HeldEntry
 	slots    *membership.Slots // nil without a store
 	contacts *contact.Caller
 	seeds    []netip.AddrPort // of the settings and the contact slots
@@ -43,7 +43,7 @@
 	d := &duty{
 		a:      a,
 		link:   link,
-		held:   catalogue.NewHeld(a.cfg.Service),
+		held:   catalogue.NewHeldEntry(a.cfg.Service),
 		rng:    newRand(),
 		leaves: make(chan struct{}, 1),
 		health: make(chan bool, 1),
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -76,7 +76,7 @@
 	own := f.occupancy()
 	other := placement.Alternate{Addr: h.Alternate, Occupancy: placement.Occupancy(h.Load)}
 	d := f.decider.Decide(now, f.packet.ID, own, other, h.Flags&frame.FlagAlternate != 0)
-	if !d.HandOn {
+	if !d.Forward {
 		f.fresh.now.Add(1)
 		return netip.AddrPort{}, false
 	}
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -28,7 +28,7 @@
 	if up {
 		d.readyAt = now
 	}
-	d.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackend(now, up) })
+	d.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackendReachable(now, up) })
 	d.a.log.Info("backend server", zap.Bool("reachable", up))
 	d.announceState(now)
 }
--- a/internal/balancer/storecalls.go
+++ b/internal/balancer/storecalls.go
@@ -27,7 +27,7 @@
 	for _, call := range calls {
 		go func() {
 			select {
-			case c.results <- catalogue.Make(ctx, c.store, call):
+			case c.results <- catalogue.MakeCall(ctx, c.store, call):
 			case <-ctx.Done():
 			}
 		}()
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -25,7 +25,7 @@
 		do(func(now time.Time) { due = f.Next(now) })
 		for _, c := range due {
 			calls.Go(func() {
-				r := catalogue.Make(ctx, st, c)
+				r := catalogue.MakeCall(ctx, st, c)
 				select {
 				case results <- r:
 				case <-ctx.Done():
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -137,8 +137,8 @@
 	op := porcupine.Operation{ClientId: who, Input: q, Call: call, Return: r.now()}
 	var (
 		refused *catalogue.RefusedError
-		unknown *catalogue.UnknownError
-		missing *catalogue.MissingError
+		unknown *catalogue.UnknownOutcomeError
+		missing *catalogue.EntryNotFoundError
 	)
 	switch {
 	case err == nil:
--- a/placement/alternate.go
+++ b/placement/alternate.go
@@ -37,7 +37,7 @@
 	return c, true
 }
 
-// maxNearest bounds the agents that Pick and Nearest look at.
+// maxNearest bounds the agents that Pick and AppendRanked look at.
 const maxNearest = 16
 
 // Pick returns the agent believed least loaded among the first Config.Samples
@@ -45,7 +45,7 @@
 // names: agents that have refused this flow already. ok is false when none is
 // left. It is for callers that offer a flow to one agent after the other and
 // need no primary. Whoever knows about the same agents finds a flow placed so
-// among the first of the same order, see Nearest.
+// among the first of the same order, see AppendRanked.
 func (t *Table) Pick(id uint64, load *Load, now time.Time, skip func(netip.AddrPort) bool) (alt Alternate, ok bool) {
 	var order [maxNearest]int
 	best, bestCost, bestOccupancy := None, 0, Full
@@ -66,8 +66,8 @@
 	return Alternate{Addr: t.Addr(best), Occupancy: bestOccupancy}, true
 }
 
-// Nearest appends the first n agents of the flow's rendezvous order to list.
-func (t *Table) Nearest(id uint64, n int, list []netip.AddrPort) []netip.AddrPort {
+// AppendRanked appends the first n agents of the flow's rendezvous order to list.
+func (t *Table) AppendRanked(id uint64, n int, list []netip.AddrPort) []netip.AddrPort {
 	var order [maxNearest]int
 	for _, i := range t.nearest(id, order[:min(n, maxNearest)]) {
 		list = append(list, t.Addr(i))
--- a/placement/decider.go
+++ b/placement/decider.go
@@ -35,8 +35,8 @@
 
 // Decision is what an agent does with the Initial packets of one flow.
 type Decision struct {
-	HandOn bool
-	To     netip.AddrPort // the agent to hand on to; set with HandOn
+	Forward bool
+	To      netip.AddrPort // the agent to hand on to; set with Forward
 }
 
 // remembered is one decision in 24 bytes.
@@ -50,15 +50,15 @@
 // each decision for a few seconds: the other Initial packets of the flow may
 // come by balancers that name another alternate, and must follow the first.
 // When more flows arrive within TTL than it can remember, the decision closest
-// to its end is forgotten and counted in Forgotten. A forgotten flow whose
+// to its end is forgotten and counted in Evicted. A forgotten flow whose
 // handshake is still under way may be decided anew, which costs that handshake.
 //
 // The agent that a flow is handed on to decides by the same rule, with the
 // primary as its alternate: belief is stale, and the two agents' own counts
 // settle which is busier. The primary keeps what comes back ([Decider.Keep]).
 type Decider struct {
-	// Forgotten counts decisions that were dropped before their time.
-	Forgotten uint64
+	// Evicted counts decisions that were dropped before their time.
+	Evicted uint64
 	// Unanswered counts flows handed on that came back as a repeat.
 	Unanswered uint64
 
@@ -129,7 +129,7 @@
 		}
 	}
 	if at < oldest.until {
-		d.Forgotten++
+		d.Evicted++
 	}
 	*oldest = remembered{id: id, until: at + d.ttl}
 	return oldest, false
@@ -150,7 +150,7 @@
 	if r.to == 0 {
 		return Decision{}
 	}
-	return Decision{HandOn: true, To: unpack(r.to)}
+	return Decision{Forward: true, To: unpack(r.to)}
 }
 
 func (d *Decider) handsOn(own, alternate Occupancy) bool {
--- a/placement/decider_test.go
+++ b/placement/decider_test.go
@@ -26,8 +26,8 @@
 	} {
 		alt.Occupancy = c.alt
 		got := NewDecider(1, DeciderOptions{}).Decide(testStart, testID(1), c.own, alt, c.has)
-		if got.HandOn != c.handOn {
-			t.Errorf("%s: hand on %v", c.name, got.HandOn)
+		if got.Forward != c.handOn {
+			t.Errorf("%s: hand on %v", c.name, got.Forward)
 		}
 	}
 }
@@ -40,11 +40,11 @@
 	d := NewDecider(1, DeciderOptions{})
 	first := d.Decide(testStart, testID(1), 200, Alternate{agents[0].Addr, 0}, true)
 	second := d.Decide(testStart.Add(repeatAfter/2), testID(1), 0, Alternate{agents[1].Addr, 0}, true)
-	if !first.HandOn || second != first {
+	if !first.Forward || second != first {
 		t.Errorf("first %v, second %v", first, second)
 	}
 	late := d.Decide(testStart.Add(DefaultTTL+time.Second), testID(1), 0, Alternate{agents[1].Addr, 0}, true)
-	if late.HandOn {
+	if late.Forward {
 		t.Errorf("a decision outlived its time: %v", late)
 	}
 }
@@ -58,7 +58,7 @@
 	dead := Alternate{testAgents(1)[0].Addr, 0}
 	d.Decide(testStart, testID(1), 200, dead, true)
 	for _, after := range []time.Duration{time.Second, 2 * time.Second} {
-		if got := d.Decide(testStart.Add(after), testID(1), 200, dead, true); got.HandOn {
+		if got := d.Decide(testStart.Add(after), testID(1), 200, dead, true); got.Forward {
 			t.Errorf("the repeat after %v follows", after)
 		}
 	}
@@ -74,15 +74,15 @@
 	agents := testAgents(2)
 	primary, alternate := NewDecider(1, DeciderOptions{}), NewDecider(2, DeciderOptions{})
 	id := testID(1)
-	if !primary.Decide(testStart, id, 100, Alternate{agents[1].Addr, 10}, true).HandOn {
+	if !primary.Decide(testStart, id, 100, Alternate{agents[1].Addr, 10}, true).Forward {
 		t.Fatal("the primary keeps")
 	}
 	back := alternate.Decide(testStart, id, 200, Alternate{agents[0].Addr, 100}, true)
-	if !back.HandOn || back.To != agents[0].Addr {
+	if !back.Forward || back.To != agents[0].Addr {
 		t.Fatalf("the busier alternate decided %v", back)
 	}
 	primary.Keep(testStart, id)
-	if got := primary.Decide(testStart, id, 200, Alternate{agents[1].Addr, 0}, true); got.HandOn {
+	if got := primary.Decide(testStart, id, 200, Alternate{agents[1].Addr, 0}, true); got.Forward {
 		t.Errorf("the returned flow leaves again: %v", got)
 	}
 }
@@ -96,10 +96,10 @@
 		actual := Occupancy(rapid.IntRange(0, int(Full)).Draw(t, "actual"))
 		id := rapid.SliceOfN(rapid.Byte(), 8, 20).Draw(t, "id")
 		primary, alternate := NewDecider(1, DeciderOptions{}), NewDecider(2, DeciderOptions{})
-		if !primary.Decide(testStart, id, Full, Alternate{agents[1].Addr, believed}, true).HandOn {
+		if !primary.Decide(testStart, id, Full, Alternate{agents[1].Addr, believed}, true).Forward {
 			t.Fatal("the full primary keeps the flow")
 		}
-		if alternate.Decide(testStart, id, actual, Alternate{agents[0].Addr, Full}, true).HandOn {
+		if alternate.Decide(testStart, id, actual, Alternate{agents[0].Addr, Full}, true).Forward {
 			t.Fatal("the flow goes back to the full primary")
 		}
 	})
@@ -110,8 +110,8 @@
 	for i := range uint64(2 * DefaultDecisions) {
 		d.Decide(testStart, testID(i), 0, Alternate{}, false)
 	}
-	if d.Forgotten < DefaultDecisions {
-		t.Errorf("forgotten: %d", d.Forgotten)
+	if d.Evicted < DefaultDecisions {
+		t.Errorf("forgotten: %d", d.Evicted)
 	}
 }
 
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -32,6 +32,6 @@
 	busy := placement.Usage{SlotsBusy: 5, Slots: 5, Queue: 3, Connections: 9, MaxConnections: 2000}
 	decider := placement.NewDecider(1, placement.DeciderOptions{})
 	decision := decider.Decide(now, cid, busy.Occupancy(), choice.Alternate, choice.HasAlternate)
-	fmt.Println(decision.HandOn, decision.To == choice.Alternate.Addr)
+	fmt.Println(decision.Forward, decision.To == choice.Alternate.Addr)
 	// Output: true true
 }
--- a/placement/lab/placed.go
+++ b/placement/lab/placed.go
@@ -128,7 +128,7 @@
 	alt, ok := t.Alternate(cid, primary, p.loads[b], now)
 	own := p.occupancy(m, first)
 	d := p.deciders[first].Decide(now, cid, own, alt, ok)
-	if !d.HandOn {
+	if !d.Forward {
 		return first, first
 	}
 	to := agentIndex(d.To)
@@ -136,7 +136,7 @@
 		return first, to
 	}
 	primaryAgent := placement.Alternate{Addr: agentAddr(first), Occupancy: own}
-	if p.deciders[to].Decide(now, cid, p.occupancy(m, to), primaryAgent, true).HandOn {
+	if p.deciders[to].Decide(now, cid, p.occupancy(m, to), primaryAgent, true).Forward {
 		p.deciders[first].Keep(now, cid)
 		return first, first
 	}
