--- a/flow/answer_time_test.go
+++ b/flow/answer_time_test.go
@@ -8,9 +8,9 @@
 // answerAll has the server of g answer n requests, each after took.
 func answerAll(g *Gate, now *time.Time, n int, took time.Duration) {
 	for range n {
-		f := &held{asked: true, askedAt: *now}
+		f := &gateFlow{asked: true, askedAt: *now}
 		*now = now.Add(took)
-		g.judge(*now, f)
+		g.recordAnswerTime(*now, f)
 	}
 }
 
@@ -41,7 +41,7 @@
 	answerAll(g, &now, 100, 40*time.Millisecond)
 	answerAll(g, &now, 20, 3*time.Second)
 	answerAll(g, &now, 200, 40*time.Millisecond)
-	if n := g.Stats().Hasty; n > 0 {
+	if n := g.Stats().ImplausiblyFast; n > 0 {
 		t.Fatalf("%d usual answers counted as hasty", n)
 	}
 }
--- a/flow/cold.go
+++ b/flow/cold.go
@@ -52,7 +52,7 @@
 
 // coldLimited reports whether the limit for cold servers holds now.
 func (g *Gate) coldLimited(now time.Time) bool {
-	return g.orders.cold != 0 && g.orders.service == g.server.service && g.cold(now)
+	return g.orders.coldRate != 0 && g.orders.service == g.server.service && g.cold(now)
 }
 
 // coldRoom reports whether a cold server bears another request besides so many that are
@@ -64,7 +64,7 @@
 	if !g.server.complete && now.Sub(g.started) < coldWindow {
 		return false // what an earlier process passed on in the last second is not known
 	}
-	return g.begunLately(now)+coming < g.orders.cold.requests()
+	return g.begunLately(now)+coming < g.orders.coldRate.requests()
 }
 
 // begunLately returns the number of requests of the last second.
@@ -104,7 +104,7 @@
 	if !g.coldLimited(now) {
 		return busy
 	}
-	taken := float64(g.begunLately(now)+len(g.queue)) / float64(g.orders.cold.requests())
+	taken := float64(g.begunLately(now)+len(g.queue)) / float64(g.orders.coldRate.requests())
 	return max(busy, int(math.Ceil(taken*float64(g.room()))))
 }
 
@@ -127,5 +127,5 @@
 	if !g.coldLimited(now) || !g.server.coldUnknown && g.server.coldUntil.Before(until) {
 		return math.MaxInt
 	}
-	return int(coldWaitPart * until.Sub(now).Seconds() * float64(g.orders.cold) * coldRateUnit)
+	return int(coldWaitPart * until.Sub(now).Seconds() * float64(g.orders.coldRate) * coldRateUnit)
 }
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -30,7 +30,7 @@
 // beat sends a heartbeat that says how much longer the server is cold.
 func (c *coldGate) beat(cold time.Duration) {
 	c.beats++
-	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, Cold: cold})
+	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, ColdFor: cold})
 	c.collect()
 }
 
@@ -123,7 +123,7 @@
 	passed := c.passed
 	again := newColdGate(c.now.Add(100 * time.Millisecond))
 	again.passed, again.beats = passed, 5
-	again.Checked(again.now, Check{Answered: true, Instance: "i"})
+	again.StatusCheck(again.now, StatusCheckResult{Answered: true, Instance: "i"})
 	for range 300 {
 		again.now = again.now.Add(10 * time.Millisecond)
 		again.offer(0, 2)
@@ -253,7 +253,7 @@
 			case "beat":
 				c.beat(30 * time.Second)
 			case "late beat":
-				c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5, Cold: 30 * time.Second})
+				c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5, ColdFor: 30 * time.Second})
 			case "tick":
 				c.Tick(c.now)
 				c.collect()
@@ -263,7 +263,7 @@
 				next := newColdGate(c.now)
 				next.passed, next.beats, next.port = c.passed, c.beats+2, c.port
 				c = next
-				c.Checked(c.now, Check{Answered: true, Instance: "i"})
+				c.StatusCheck(c.now, StatusCheckResult{Answered: true, Instance: "i"})
 			case "order":
 				o := rapid.SampledFrom([]ZoneOrder{ZoneUnknown, ZoneInService}).Draw(t, "order")
 				c.FromBalancer(c.now, balancerB, &Message{Kind: Hello, Service: records, Revision: 1, ZoneOrder: o}, nil, nil)
--- a/flow/director.go
+++ b/flow/director.go
@@ -213,7 +213,7 @@
 
 	load           *placement.Load
 	flows          map[Key]*entry
-	spare          spare
+	spare          freeLists
 	queries        queries          // questions of searches
 	serial         uint64           // of the latest wait or seek
 	queue          fifo[due]        // flows offered, in the order of time
@@ -398,7 +398,7 @@
 
 // placed notes that agent holds the flow.
 func (d *Director) placed(e *entry, agent netip.AddrPort) {
-	d.spare.drop(e)
+	d.spare.release(e)
 	e.agent = agent
 	e.state = entryPlaced
 }
@@ -406,7 +406,7 @@
 // forget removes a flow.
 func (d *Director) forget(key Key) {
 	if e := d.flows[key]; e != nil {
-		d.spare.dropAll(e)
+		d.spare.releaseAll(e)
 		delete(d.flows, key)
 	}
 }
--- a/flow/explore_test.go
+++ b/flow/explore_test.go
@@ -115,7 +115,7 @@
 	if v.mute {
 		return
 	}
-	g.Checked(x.w.now, Check{Answered: true})
+	g.StatusCheck(x.w.now, StatusCheckResult{Answered: true})
 	x.beat(n)
 }
 
--- a/flow/fleet_start_test.go
+++ b/flow/fleet_start_test.go
@@ -20,7 +20,7 @@
 		v.flows = map[Key]*serverFlow{}
 		v.seq += 1 << 20
 		g := w.restartAgent(n)
-		g.Checked(w.now, Check{Answered: true, Instance: v.instance})
+		g.StatusCheck(w.now, StatusCheckResult{Answered: true, Instance: v.instance})
 	}
 	for b, d := range w.balancers {
 		for other := range w.balancers {
@@ -116,7 +116,7 @@
 		w.addBalancer(b)
 	}
 	for n := range len(w.agents) {
-		w.restartAgent(n).Checked(w.now, Check{Answered: true, Instance: w.server(n).instance})
+		w.restartAgent(n).StatusCheck(w.now, StatusCheckResult{Answered: true, Instance: w.server(n).instance})
 	}
 	for _, d := range w.balancers {
 		for n := range len(w.agents) {
@@ -142,7 +142,7 @@
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
 	w.pass(2 * time.Second)
-	w.gate(2).Leave(w.now, w.server(2).instance, 0)
+	w.gate(2).Deregister(w.now, w.server(2).instance, 0)
 	w.server(2).mute = true
 	w.settle()
 	w.pass(time.Second)
@@ -269,7 +269,7 @@
 func TestVanishedEmptyAgentThatOthersNameHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
 	w.restartAgent(2)
-	w.gate(2).Checked(w.now, Check{Absent: true})
+	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
 	w.pass(time.Second)
 	delete(w.agents, agentAddr(2))
 	d := w.addBalancer(balancerB)
@@ -300,7 +300,7 @@
 	w.balancers[balancerB].AddBalancer(balancerA)
 	w.pass(2 * time.Second)
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) && to == balancerA }
-	w.gate(2).Leave(w.now, w.server(2).instance, 0)
+	w.gate(2).Deregister(w.now, w.server(2).instance, 0)
 	w.settle()
 	delete(w.agents, agentAddr(2))
 	w.now = w.now.Add(20 * time.Millisecond)
--- a/flow/spare.go
+++ b/flow/freelist.go
@@ -1,10 +1,10 @@
 package flow
 
-// spare keeps what ended flows leave behind, so that the first packet of the
+// freeLists keeps what ended flows leave behind, so that the first packet of the
 // next one allocates nothing: under a flood of first packets or of packets of
 // unknown flows the collector would else take a small VM's processor. What it
 // holds is bounded by the flows that were ever remembered at once.
-type spare struct {
+type freeLists struct {
 	entries  []*entry
 	openings []*opening
 	seeks    []*seek
@@ -22,29 +22,29 @@
 	return v
 }
 
-func (p *spare) entry() *entry {
+func (p *freeLists) entry() *entry {
 	e := take(&p.entries)
 	*e = entry{}
 	return e
 }
 
-func (p *spare) opening() *opening {
+func (p *freeLists) opening() *opening {
 	o := take(&p.openings)
 	*o = opening{}
 	return o
 }
 
 // seek returns a seek with the memory of an earlier one.
-func (p *spare) seek() *seek {
+func (p *freeLists) seek() *seek {
 	k := take(&p.seeks)
 	*k = seek{asked: k.asked[:0], packet: k.packet[:0], kept: k.kept[:0]}
 	return k
 }
 
-// drop takes back what belongs to an entry beside its place. Effects of the
+// release takes back what belongs to an entry beside its place. Effects of the
 // running call may still refer to it; nothing is taken out again before the next
 // call.
-func (p *spare) drop(e *entry) {
+func (p *freeLists) release(e *entry) {
 	if e.open != nil {
 		p.openings = append(p.openings, e.open)
 		e.open = nil
@@ -61,8 +61,8 @@
 	}
 }
 
-// dropAll takes an entry back whole.
-func (p *spare) dropAll(e *entry) {
-	p.drop(e)
+// releaseAll takes an entry back whole.
+func (p *freeLists) releaseAll(e *entry) {
+	p.release(e)
 	p.entries = append(p.entries, e)
 }
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -61,16 +61,16 @@
 // Heartbeat is one heartbeat of the backend server.
 type Heartbeat struct {
 	Instance string // identity of the server; it may keep it when it starts anew
-	// Born tells one start of the server from another under the same identity: the
+	// StartTimeMs tells one start of the server from another under the same identity: the
 	// time of day of the start by the server's own clock, in Unix milliseconds. It
 	// is compared with nothing else. 0 if the server does not tell.
-	Born     int64
-	Addr     netip.AddrPort // where it takes packets
-	Sequence uint64         // increases with each heartbeat of one start
-	Service  ServiceID
-	Draining bool
-	Slots    int           // requests that the server works on at once
-	Cold     time.Duration // how much longer the server is slow after its start
+	StartTimeMs int64
+	Addr        netip.AddrPort // where it takes packets
+	Sequence    uint64         // increases with each heartbeat of one start
+	Service     ServiceID
+	Draining    bool
+	Slots       int           // requests that the server works on at once
+	ColdFor     time.Duration // how much longer the server is slow after its start
 }
 
 // GateStats counts what a Gate did. All but the gauges only grow.
@@ -79,7 +79,7 @@
 	Offered, Taken             uint64
 	Refusals                   [Reasons]uint64
 	NotHeld, Lost              uint64
-	Hasty                      uint64 // answers too quick to be work
+	ImplausiblyFast            uint64 // answers too quick to be work
 	ToServer, ToCaller         uint64 // packets
 	Heartbeats, OldHeartbeats  uint64
 	Dropped                    uint64 // packets without a place in a bounded table
@@ -95,8 +95,8 @@
 	gateLost                      // the server held it and has lost it
 )
 
-// held is one flow at the agent.
-type held struct {
+// gateFlow is one flow at the agent.
+type gateFlow struct {
 	state     gateState
 	via       netip.AddrPort // balancer that brought the last packet
 	instance  string         // of the server
@@ -133,8 +133,8 @@
 	orders       receivedOrders
 	restored     restored
 	server       server
-	flows        map[Key]*held
-	spare        []*held // of flows that were forgotten, to be used again
+	flows        map[Key]*gateFlow
+	spare        []*gateFlow // of flows that were forgotten, to be used again
 	requests     int
 	begun        fifo[time.Time] // requests of the last second, in the order of time
 	waiting      fifo[waiting]
@@ -165,7 +165,7 @@
 		cfg:       cfg,
 		started:   now,
 		server:    server{service: cfg.Service, slots: DefaultSlots},
-		flows:     make(map[Key]*held),
+		flows:     make(map[Key]*gateFlow),
 		balancers: make(map[netip.AddrPort]*subscriber),
 		tickAt:    now,
 		sweptAt:   now,
@@ -278,7 +278,7 @@
 
 // empty reports whether the server holds no flow and gets none as things stand.
 func (g *Gate) empty(now time.Time) bool {
-	if g.State(now) == ServerReady || !g.sure(now) {
+	if g.State(now) == ServerReady || !g.complete(now) {
 		return false
 	}
 	for _, f := range g.flows {
@@ -321,7 +321,7 @@
 }
 
 // room is the number of requests at work up to which flows reach the server.
-func (g *Gate) room() int { return max(1, int(g.cfg.QueueFactor*float64(g.server.slots))) }
+func (g *Gate) room() int { return max(1, int(g.cfg.CapacityFactor*float64(g.server.slots))) }
 
 // onOpen decides whether a first packet reaches the server.
 func (g *Gate) onOpen(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
@@ -386,7 +386,7 @@
 
 // onCopy takes another copy of the first packet of a flow that was taken. A
 // flow that the caller has not confirmed is new to the server still.
-func (g *Gate) onCopy(now time.Time, from netip.AddrPort, f *held, s *Segment, packet []byte) {
+func (g *Gate) onCopy(now time.Time, from netip.AddrPort, f *gateFlow, s *Segment, packet []byte) {
 	f.via = from
 	f.used = now
 	if f.state != gateOpen && g.State(now) != ServerReady {
@@ -423,16 +423,16 @@
 }
 
 // hold notes a flow in place of what was known of its key.
-func (g *Gate) hold(now time.Time, key Key, state gateState) *held {
+func (g *Gate) hold(now time.Time, key Key, state gateState) *gateFlow {
 	g.forget(key)
 	f := take(&g.spare)
-	*f = held{state: state, instance: g.server.instance, opened: now, used: now}
+	*f = gateFlow{state: state, instance: g.server.instance, opened: now, used: now}
 	g.flows[key] = f
 	return f
 }
 
 // begin counts a request as being worked on.
-func (g *Gate) begin(now time.Time, f *held) {
+func (g *Gate) begin(now time.Time, f *gateFlow) {
 	if f.busy {
 		return
 	}
@@ -442,7 +442,7 @@
 	g.noteBegun(now)
 }
 
-func (g *Gate) end(f *held) {
+func (g *Gate) end(f *gateFlow) {
 	if f.busy {
 		f.busy = false
 		g.requests--
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -24,7 +24,7 @@
 	if m := w.offerTo(0, listing, 1002); m.Kind != Refused || m.Reason != ReasonState {
 		t.Fatalf("draining server after a restart of its agent: %v, %v", m.Kind, m.Reason)
 	}
-	w.gate(0).Checked(w.now, Check{Answered: true})
+	w.gate(0).StatusCheck(w.now, StatusCheckResult{Answered: true})
 	if m := w.offerTo(0, listing, 1003); m.Kind != Refused {
 		t.Fatalf("draining server that answers a status check: %v", m.Kind)
 	}
@@ -45,7 +45,7 @@
 		t.Fatalf("flow of records at a server of listing: %v, %v", m.Kind, m.Reason)
 	}
 	w.server(0).mute = true // no heartbeats any more
-	w.pass(DefaultFresh)
+	w.pass(DefaultHeartbeatTTL)
 	if m := w.offerTo(0, listing, 1001); m.Kind != Refused || m.Reason != ReasonState {
 		t.Fatalf("server not heard of for as long as an address rests: %v, %v", m.Kind, m.Reason)
 	}
@@ -113,7 +113,7 @@
 	if toServer, notHeld := seek(); toServer || notHeld {
 		t.Fatalf("before the status check: to server %v, not held %v", toServer, notHeld)
 	}
-	g.Checked(now, Check{Absent: true})
+	g.StatusCheck(now, StatusCheckResult{Absent: true})
 	if toServer, notHeld := seek(); toServer || !notHeld {
 		t.Fatalf("no server there: to server %v, not held %v", toServer, notHeld)
 	}
@@ -338,7 +338,7 @@
 	w.cut = func(from, to netip.AddrPort) bool { return from == holder && to == balancerB }
 	g := w.restartAgent(other)
 	w.server(other).mute = true
-	g.Checked(w.now, Check{Answered: true, Instance: w.server(other).instance})
+	g.StatusCheck(w.now, StatusCheckResult{Answered: true, Instance: w.server(other).instance})
 	c.request(balancerB)
 	w.pass(200 * time.Millisecond)
 	w.server(other).mute = false
--- a/flow/held.go
+++ b/flow/held.go
@@ -9,7 +9,7 @@
 func (g *Gate) onPacket(now time.Time, from netip.AddrPort, kind MessageKind, s *Segment, packet []byte) {
 	f := g.flows[s.Key]
 	switch {
-	case f == nil && g.sure(now):
+	case f == nil && g.complete(now):
 		g.notHeld(now, from, kind, s, ReasonNotHeld, packet)
 	case f == nil && !g.server.alive:
 		// Not known yet whether there is a server; a packet to nobody may be
@@ -32,20 +32,20 @@
 // copyOf reports whether a first packet is another copy of the one that opened
 // the flow. Callers use their ports again: a first packet with another sequence
 // number begins a new flow, which has to pass the gate like any other.
-func (f *held) copyOf(s *Segment) bool { return f.hasOpener && f.opener == s.Seq }
+func (f *gateFlow) copyOf(s *Segment) bool { return f.hasOpener && f.opener == s.Seq }
 
 // matches reports whether the caller acknowledges bytes that this server sent.
 // Another server may have answered the same first packet, or hold a newer flow
 // from the same port; passed on to this one, its packet would be answered with
 // a reset.
-func (f *held) matches(s *Segment) bool {
+func (f *gateFlow) matches(s *Segment) bool {
 	if f.state == gateOffered {
 		return !s.HasAck
 	}
 	return !f.hasFirst || !s.HasAck || s.Ack-f.first <= f.serverEnd-f.first+ackSlack
 }
 
-func (g *Gate) passOn(now time.Time, from netip.AddrPort, kind MessageKind, f *held, s *Segment, packet []byte) {
+func (g *Gate) passOn(now time.Time, from netip.AddrPort, kind MessageKind, f *gateFlow, s *Segment, packet []byte) {
 	f.used = now
 	if f.state == gateAnswered {
 		f.state = gateOpen
@@ -61,7 +61,7 @@
 
 // noteCaller keeps count of requests: data that the caller had not sent before
 // is a request, until the server sends data.
-func (g *Gate) noteCaller(now time.Time, f *held, s *Segment) {
+func (g *Gate) noteCaller(now time.Time, f *gateFlow, s *Segment) {
 	end := s.Seq + uint32(s.Data)
 	fresh := !f.hasEnd || int32(end-f.callerEnd) > 0
 	if s.Data > 0 && fresh {
@@ -78,10 +78,10 @@
 	}
 }
 
-// sure reports whether a flow that is not in the table is not at the server:
+// complete reports whether a flow that is not in the table is not at the server:
 // there was no server at the start, every flow of this instance came through
 // this process, or any older one has reached its greatest age.
-func (g *Gate) sure(now time.Time) bool {
+func (g *Gate) complete(now time.Time) bool {
 	return g.server.absent || g.server.known && g.server.complete || now.Sub(g.started) >= g.cfg.MaxAge
 }
 
@@ -133,7 +133,7 @@
 }
 
 // learn notes a flow that the server had before this process knew of it.
-func (g *Gate) learn(now time.Time, key Key) *held {
+func (g *Gate) learn(now time.Time, key Key) *gateFlow {
 	if g.flows[key] == nil && len(g.flows) >= g.cfg.MaxFlows {
 		g.stats.Dropped++
 		return nil
@@ -141,7 +141,7 @@
 	return g.hold(now, key, gateOpen)
 }
 
-func (g *Gate) noteServer(now time.Time, f *held, s *Segment) {
+func (g *Gate) noteServer(now time.Time, f *gateFlow, s *Segment) {
 	f.used = now
 	if s.Syn {
 		if f.state != gateOpen && !(f.hasFirst && f.first == s.Seq) {
@@ -166,7 +166,7 @@
 	}
 	if s.Data > 0 {
 		g.end(f)
-		g.judge(now, f)
+		g.recordAnswerTime(now, f)
 	}
 	if s.Fin {
 		f.finServer = true
@@ -178,12 +178,12 @@
 	}
 }
 
-// judge takes the time of a server's answer. A server that fails at once looks
+// recordAnswerTime takes the time of a server's answer. A server that fails at once looks
 // idle, and would be offered every flow; it answers in far less time than the
 // work takes. Answers can't be read at this layer, their time can. Failures only
 // add to the load that the agent reports, so a service that is as quick as this
 // everywhere loses nothing.
-func (g *Gate) judge(now time.Time, f *held) {
+func (g *Gate) recordAnswerTime(now time.Time, f *gateFlow) {
 	if !f.asked {
 		return
 	}
@@ -193,7 +193,7 @@
 	hasty := known && took < g.normal/hastyPart
 	g.meter.Done(now, hasty)
 	if hasty {
-		g.stats.Hasty++
+		g.stats.ImplausiblyFast++
 	}
 	g.learnNormal(took, hasty)
 }
@@ -218,7 +218,7 @@
 
 // onBounced takes a packet that the server sent back: a first packet that it
 // can't accept, or a packet of a flow that it does not hold.
-func (g *Gate) onBounced(now time.Time, f *held, s *Segment, packet []byte) {
+func (g *Gate) onBounced(now time.Time, f *gateFlow, s *Segment, packet []byte) {
 	if f == nil || !f.via.IsValid() {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 // closed reports whether both ends have sent their last byte.
-func (f *held) closed() bool { return f.finCaller && f.finServer }
+func (f *gateFlow) closed() bool { return f.finCaller && f.finServer }
 
 // Tick does what is due.
 func (g *Gate) Tick(now time.Time) {
@@ -326,11 +326,11 @@
 func (g *Gate) sweep(now time.Time) {
 	g.sweptAt = now
 	for key, f := range g.flows {
-		if f.busy && now.Sub(f.busyAt) >= g.cfg.RequestLimit {
+		if f.busy && now.Sub(f.busyAt) >= g.cfg.RequestTimeout {
 			g.end(f)
 		}
 		idle := now.Sub(f.used)
-		if idle >= g.cfg.Idle || f.closed() && idle >= closedLinger {
+		if idle >= g.cfg.IdleTimeout || f.closed() && idle >= closedLinger {
 			g.forget(key)
 		}
 	}
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -112,7 +112,7 @@
 		a.g.AddBalancer(f.Now(), b.addr)
 	}
 	if a.server != nil {
-		a.g.Checked(f.Now(), flow.Check{Answered: true, Instance: a.server.instance})
+		a.g.StatusCheck(f.Now(), flow.StatusCheckResult{Answered: true, Instance: a.server.instance})
 	}
 	f.agentDid(a)
 }
--- a/flow/lab/server.go
+++ b/flow/lab/server.go
@@ -43,7 +43,7 @@
 	wait := beatAgain
 	if g := v.a.g; g != nil {
 		cold := max(0, coldFor-v.f.Now().Sub(v.started))
-		g.Heartbeat(v.f.Now(), flow.Heartbeat{Instance: v.instance, Sequence: v.sequence, Service: service, Slots: v.f.c.Slots, Cold: cold})
+		g.Heartbeat(v.f.Now(), flow.Heartbeat{Instance: v.instance, Sequence: v.sequence, Service: service, Slots: v.f.c.Slots, ColdFor: cold})
 		v.f.agentDid(v.a)
 		wait = beat
 	}
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -25,7 +25,7 @@
 // placed among, or all of the fleet. The one that holds it passes the packet on
 // at once, so a flow that is found loses no time.
 func (d *Director) seek(now time.Time, e *entry, s *Segment, packet []byte, all bool) {
-	d.spare.drop(e)
+	d.spare.release(e)
 	k := d.spare.seek()
 	k.serial, k.begun, k.all, k.since, k.segment = d.nextSerial(), now, all, now, *s
 	k.packet = append(k.packet, packet...)
--- a/flow/lookup_result.go
+++ b/flow/lookup_result.go
@@ -51,7 +51,7 @@
 func (g *Gate) lookup(now time.Time, s *Segment) LookupResult {
 	f := g.flows[s.Key]
 	switch {
-	case f == nil && g.sure(now):
+	case f == nil && g.complete(now):
 		g.stats.NotHeld++
 		return FlowNotHeld
 	case f == nil && !g.server.alive:
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -180,7 +180,7 @@
 func TestEmptyAgentThatVanishesHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
 	w.restartAgent(2)
-	w.gate(2).Checked(w.now, Check{Absent: true})
+	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
 	w.pass(time.Second)
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) || to == agentAddr(2) }
 	for i, silence := range []time.Duration{DefaultAgentTimeout, DefaultAgentExpiry, time.Second} {
@@ -204,7 +204,7 @@
 	w.balancers[balancerB].AddBalancer(balancerA)
 	w.addAgent(1, records)
 	g := w.restartAgent(1)
-	g.Checked(w.now, Check{Absent: true})
+	g.StatusCheck(w.now, StatusCheckResult{Absent: true})
 	w.pass(time.Second)
 	w.cut = func(from, to netip.AddrPort) bool {
 		return from == agentAddr(1) && to == balancerB || from == balancerB && to == agentAddr(1)
@@ -310,7 +310,7 @@
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
 	w.restartAgent(2)
-	w.gate(2).Checked(w.now, Check{Absent: true})
+	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
 	w.pass(time.Second)
 	gone := agentAddr(2)
 	w.cut = func(from, to netip.AddrPort) bool {
@@ -340,7 +340,7 @@
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
 	for n := range 2 {
-		w.gate(n).Leave(w.now, w.server(n).instance, 0)
+		w.gate(n).Deregister(w.now, w.server(n).instance, 0)
 		w.settle()
 		w.cut = func(from, to netip.AddrPort) bool {
 			return from == agentAddr(n) && to == balancerB || from == balancerB && to == agentAddr(n)
@@ -380,7 +380,7 @@
 	for _, agents := range []int{3, 150} {
 		w := newWorld(t, agents)
 		w.restartAgent(2)
-		w.gate(2).Checked(w.now, Check{Absent: true})
+		w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
 		w.pass(startSpan)
 		w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) || to == agentAddr(2) }
 		w.caller(1, listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
--- a/flow/orders.go
+++ b/flow/orders.go
@@ -169,10 +169,10 @@
 
 // receivedOrders is what an agent knows of the operator's orders.
 type receivedOrders struct {
-	number  uint64 // of the orders; 0: none told yet
-	zone    ZoneOrder
-	service ServiceID // that the rate below is of
-	cold    ColdRate
+	number   uint64 // of the orders; 0: none told yet
+	zone     ZoneOrder
+	service  ServiceID // that the rate below is of
+	coldRate ColdRate
 }
 
 // receiveOrders takes what a balancer tells of the operator's orders. Balancers learn them
@@ -192,7 +192,7 @@
 	if g.evacuated() && m.ZoneOrder == ZoneInService {
 		g.server.coldUnknown = true // it had nothing to do, and may be cold by now
 	}
-	g.orders = receivedOrders{number: m.Revision, zone: m.ZoneOrder, service: m.Service, cold: m.ColdRate}
+	g.orders = receivedOrders{number: m.Revision, zone: m.ZoneOrder, service: m.Service, coldRate: m.ColdRate}
 	if g.State(now) == before {
 		return
 	}
--- a/flow/property_test.go
+++ b/flow/property_test.go
@@ -55,7 +55,7 @@
 		p.crash(n)
 	case "restart agent":
 		p.w.restartAgent(n)
-		p.w.gate(n).Checked(p.w.now, Check{Answered: true})
+		p.w.gate(n).StatusCheck(p.w.now, StatusCheckResult{Answered: true})
 		p.beat(n)
 	case "restart balancer":
 		d := p.w.addBalancer(via)
@@ -81,7 +81,7 @@
 // restartAll replaces all balancers and agents; the servers live on.
 func (p *play) restartAll() {
 	for n := range 3 {
-		p.w.restartAgent(n).Checked(p.w.now, Check{Answered: true, Instance: p.w.server(n).instance})
+		p.w.restartAgent(n).StatusCheck(p.w.now, StatusCheckResult{Answered: true, Instance: p.w.server(n).instance})
 	}
 	for b := range p.w.balancers {
 		d := p.w.addBalancer(b)
--- a/flow/reborn_test.go
+++ b/flow/reborn_test.go
@@ -38,7 +38,7 @@
 			g := NewGate(now, GateConfig{Service: listing}, nil)
 			taken := false
 			for _, b := range c.beats {
-				taken = g.Heartbeat(now, Heartbeat{Instance: "i-1", Born: b.born, Sequence: b.sequence, Service: listing, Draining: b.draining})
+				taken = g.Heartbeat(now, Heartbeat{Instance: "i-1", StartTimeMs: b.born, Sequence: b.sequence, Service: listing, Draining: b.draining})
 			}
 			if taken != c.taken || g.State(now) != c.state {
 				t.Errorf("taken %v, state %v; want %v, %v", taken, g.State(now), c.taken, c.state)
@@ -59,8 +59,8 @@
 	v := w.server(n)
 	v.flows = map[Key]*serverFlow{}
 	v.sequence = 1
-	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, Born: 1 << 40, Sequence: 9, Service: listing, Slots: 5})
-	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, Born: 1<<40 + 500, Sequence: 1, Service: listing, Slots: 5})
+	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, StartTimeMs: 1 << 40, Sequence: 9, Service: listing, Slots: 5})
+	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, StartTimeMs: 1<<40 + 500, Sequence: 1, Service: listing, Slots: 5})
 	c.request(balancerA)
 	w.pass(200 * time.Millisecond)
 	if len(w.resets) != 1 {
@@ -74,12 +74,12 @@
 func TestOldStartsFarewellIsNotTheNewOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
-	g.Heartbeat(now, Heartbeat{Instance: "i-1", Born: 200, Sequence: 1, Service: listing})
-	g.Leave(now, "i-1", 100)
+	g.Heartbeat(now, Heartbeat{Instance: "i-1", StartTimeMs: 200, Sequence: 1, Service: listing})
+	g.Deregister(now, "i-1", 100)
 	if s := g.State(now); s != ServerReady {
 		t.Errorf("state %v after the old start's end", s)
 	}
-	g.Leave(now, "i-1", 200)
+	g.Deregister(now, "i-1", 200)
 	if s := g.State(now); s != ServerEnded {
 		t.Errorf("state %v after its own end", s)
 	}
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -57,7 +57,7 @@
 		return
 	}
 	r := d.returningOf(now, e, s, reason)
-	d.spare.drop(e)
+	d.spare.release(e)
 	e.state = entryReturning
 	e.returning = r
 	d.askRoom(now, e)
--- a/flow/room.go
+++ b/flow/room.go
@@ -82,7 +82,9 @@
 
 // returnRoom is the number of requests at work, and callers told to come back, up
 // to which another one is told.
-func (g *Gate) returnRoom() int { return max(1, int(g.cfg.ReturnFactor*float64(g.server.slots))) }
+func (g *Gate) returnRoom() int {
+	return max(1, int(g.cfg.CallerCapacityFactor*float64(g.server.slots)))
+}
 
 // useReserved has a new flow take the room that was kept longest.
 func (g *Gate) useReserved() {
--- a/flow/server.go
+++ b/flow/server.go
@@ -37,7 +37,7 @@
 
 // is reports whether b is of this start, as far as both tell.
 func (s start) is(b *Heartbeat) bool {
-	return s.instance != "" && s.instance == b.Instance && (s.born == b.Born || s.born == 0 || b.Born == 0)
+	return s.instance != "" && s.instance == b.Instance && (s.born == b.StartTimeMs || s.born == 0 || b.StartTimeMs == 0)
 }
 
 // start returns which start of the server is known.
@@ -53,7 +53,7 @@
 		return ServerUnknown
 	case v.draining:
 		return ServerDraining
-	case now.Sub(v.heartbeatAt) >= g.cfg.Fresh:
+	case now.Sub(v.heartbeatAt) >= g.cfg.HeartbeatTTL:
 		return ServerUnknown
 	case g.evacuated():
 		return ServerEvacuated
@@ -77,7 +77,7 @@
 	if !v.start().is(&b) {
 		g.newInstance(now, &b)
 	}
-	v.born = cmp.Or(b.Born, v.born)
+	v.born = cmp.Or(b.StartTimeMs, v.born)
 	if v.sequence == 0 {
 		v.young = b.Sequence <= youngSequence && now.Sub(g.started) <= youngAge
 		defer g.report(now, true)
@@ -94,7 +94,7 @@
 	if b.Slots > 0 {
 		v.slots = b.Slots
 	}
-	v.coldUntil, v.coldUnknown = now.Add(b.Cold), false
+	v.coldUntil, v.coldUnknown = now.Add(b.ColdFor), false
 	g.stateChanged(now, before, "heartbeat")
 	g.dequeue(now)
 	return true
@@ -116,14 +116,14 @@
 	}
 	// A clock that was set back gives a new start a lower number than the old one
 	// has, so a lower number alone does not tell which is older.
-	older := b.Instance == v.instance && b.Born < v.born
-	if !v.known || now.Sub(v.heartbeatAt) >= g.cfg.Fresh || b.Sequence <= earlySequence && !older {
+	older := b.Instance == v.instance && b.StartTimeMs < v.born
+	if !v.known || now.Sub(v.heartbeatAt) >= g.cfg.HeartbeatTTL || b.Sequence <= earlySequence && !older {
 		return true
 	}
 	if v.rival.is(b) && b.Sequence > v.rivalSeq {
 		return true
 	}
-	v.rival, v.rivalSeq = start{b.Instance, b.Born}, b.Sequence
+	v.rival, v.rivalSeq = start{b.Instance, b.StartTimeMs}, b.Sequence
 	return false
 }
 
@@ -136,7 +136,7 @@
 	if g.cfg.Server.IsValid() && b.Addr.IsValid() && b.Addr != g.cfg.Server {
 		return true
 	}
-	heard := v.known && now.Sub(v.heartbeatAt) < g.cfg.Fresh
+	heard := v.known && now.Sub(v.heartbeatAt) < g.cfg.HeartbeatTTL
 	return heard && b.Service != v.service && b.Service != g.cfg.Service
 }
 
@@ -145,7 +145,7 @@
 	v := &g.server
 	hadOne := v.instance != ""
 	v.previous = v.start()
-	v.instance, v.born = b.Instance, b.Born
+	v.instance, v.born = b.Instance, b.StartTimeMs
 	v.sequence = 0
 	v.rival = start{}
 	// All flows of this instance came through this process if it heard of the
@@ -169,17 +169,17 @@
 	g.trace.Instance(now, v.instance, b.Sequence, v.complete)
 }
 
-// Check is the outcome of a status check.
-type Check struct {
+// StatusCheckResult is the outcome of a status check.
+type StatusCheckResult struct {
 	Absent   bool   // nobody listens at the server's address
 	Answered bool   // a server answered, whatever it said
 	Instance string // of the server, if it is ready
 }
 
-// Checked takes the outcome of a status check made because no heartbeat has come
+// StatusCheck takes the outcome of a status check made because no heartbeat has come
 // yet: after a start of this process alone the server need not wait for its next
 // one, and its open flows go on.
-func (g *Gate) Checked(now time.Time, c Check) {
+func (g *Gate) StatusCheck(now time.Time, c StatusCheckResult) {
 	v := &g.server
 	if v.known {
 		return
@@ -197,10 +197,10 @@
 	g.stateChanged(now, ServerUnknown, "status check")
 }
 
-// Leave notes that the instance has said that it ends. What an earlier start under
+// Deregister notes that the instance has said that it ends. What an earlier start under
 // the same identity said does not count.
-func (g *Gate) Leave(now time.Time, instance string, born int64) {
-	if !g.server.start().is(&Heartbeat{Instance: instance, Born: born}) {
+func (g *Gate) Deregister(now time.Time, instance string, born int64) {
+	if !g.server.start().is(&Heartbeat{Instance: instance, StartTimeMs: born}) {
 		return
 	}
 	before := g.State(now)
--- a/flow/snapshot.go
+++ b/flow/snapshot.go
@@ -89,7 +89,7 @@
 	v := &g.server
 	b := GateSnapshot{
 		Service: v.service, State: g.State(now).String(), Instance: v.instance, Sequence: v.sequence, HeartbeatAge: ageSince(now, v.heartbeatAt),
-		Slots: v.slots, Requests: g.requests, Queued: len(g.queue), Flows: len(g.flows), Complete: g.sure(now),
+		Slots: v.slots, Requests: g.requests, Queued: len(g.queue), Flows: len(g.flows), Complete: g.complete(now),
 		Orders: g.orders.number, Evacuated: g.evacuated(),
 	}
 	for addr := range g.balancers {
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -40,7 +40,7 @@
 	Control   func(node.ServerEvents) http.Handler
 	Readiness func(ready func() bool) http.Handler
 	// CheckServer asks the server for its status.
-	CheckServer func(ctx context.Context, server netip.AddrPort) (flow.Check, error)
+	CheckServer func(ctx context.Context, server netip.AddrPort) (flow.StatusCheckResult, error)
 	Traces      *tracing.Provider // nil is off
 }
 
@@ -94,7 +94,7 @@
 	cfg.Gate.Service = flow.IDOf(s.Service)
 	cfg.Gate.Server = s.Server
 	cfg.Gate.MaxAge = s.MaxFlowAge
-	cfg.Gate.Fresh = fresh(s)
+	cfg.Gate.HeartbeatTTL = fresh(s)
 	a := &Agent{cfg: cfg, log: log, kick: make(chan struct{}, 1)}
 	spans, err := node.NewSpans(cfg.Traces)
 	if err != nil {
@@ -243,7 +243,7 @@
 
 // Leave implements node.ServerEvents.
 func (a *Agent) Leave(instance string, born int64) {
-	a.event(func(now time.Time) { a.gate.Leave(now, instance, born) })
+	a.event(func(now time.Time) { a.gate.Deregister(now, instance, born) })
 }
 
 // readBalancers is the duty that takes balancers' messages.
@@ -392,7 +392,7 @@
 		defer cancel()
 		check, err := a.cfg.CheckServer(ctx, a.cfg.Settings.Server)
 		a.log.Info("status check", zap.String("instance", check.Instance), zap.Bool("answered", check.Answered), zap.Bool("absent", check.Absent), zap.Error(err))
-		a.event(func(now time.Time) { a.gate.Checked(now, check) })
+		a.event(func(now time.Time) { a.gate.StatusCheck(now, check) })
 		<-a.ctx.Done()
 		return nil
 	}, func(error) { a.cancel() })
--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -119,7 +119,7 @@
 	count(descTaken, s.Taken)
 	count(descNotHeld, s.NotHeld)
 	count(descLost, s.Lost)
-	count(descHasty, s.Hasty)
+	count(descHasty, s.ImplausiblyFast)
 	count(descToServer, s.ToServer)
 	count(descToCaller, s.ToCaller)
 	count(descHeartbeats, s.Heartbeats)
