--- a/flow/answer_time_test.go
+++ b/flow/answer_time_test.go
@@ -8,7 +8,7 @@
 // answerAll has the server of g answer n requests, each after took.
 func answerAll(g *Gate, now *time.Time, n int, took time.Duration) {
 	for range n {
-		f := &gateFlow{asked: true, askedAt: *now}
+		f := &gateFlow{answerPending: true, requestSentAt: *now}
 		*now = now.Add(took)
 		g.recordAnswerTime(*now, f)
 	}
--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -232,9 +232,9 @@
 		data := Segment{Key: key, Seq: 2, Ack: 10, HasAck: true, Data: 68}
 		g.FromBalancer(now, balancerA, &Message{Kind: Pass}, &data, packet)
 		g.FromServer(now, Segment{Key: key, Seq: 10, Ack: 70, HasAck: true, Data: 68}, packet)
-		g.forget(key)
-		g.waiting.pop()
-		g.answered.pop()
+		g.removeFlow(key)
+		g.unanswered.pop()
+		g.unconfirmed.pop()
 		g.Effects()
 	}
 	for range 100 {
--- a/flow/cold.go
+++ b/flow/cold.go
@@ -21,17 +21,17 @@
 	return ColdRate(min(max(perSecond/coldRateUnit, 1), math.MaxUint16))
 }
 
-// requests returns how many requests a second are allowed: one at least, so that a server
+// perSecond returns how many perSecond a second are allowed: one at least, so that a server
 // of which little is asked gets any.
-func (r ColdRate) requests() int { return max(1, int(float64(r)*coldRateUnit)) }
+func (r ColdRate) perSecond() int { return max(1, int(float64(r)*coldRateUnit)) }
 
 // coldWindow is the span in which requests count, longer than a second by what a packet
 // to the server beside the agent may be late by.
 const coldWindow = time.Second + 50*time.Millisecond
 
-// coldWaitPart is the part of what a cold server bears in a flow's wait that may wait for
+// coldQueueShare is the part of what a cold server bears in a flow's wait that may wait for
 // it: requests on open flows take some of it.
-const coldWaitPart = 0.8
+const coldQueueShare = 0.8
 
 // Cold servers.
 //
@@ -44,51 +44,51 @@
 // second, so nothing has to be agreed on. A bucket of tokens would let two seconds' worth
 // into one.
 
-// cold reports whether the server counts as cold: it says so, or has not said how long
-// it is cold since it may have become so.
-func (g *Gate) cold(now time.Time) bool {
+// isCold reports whether the server counts as isCold: it says so, or has not said how long
+// it is isCold since it may have become so.
+func (g *Gate) isCold(now time.Time) bool {
 	return g.server.coldUnknown || now.Before(g.server.coldUntil)
 }
 
 // coldLimited reports whether the limit for cold servers holds now.
 func (g *Gate) coldLimited(now time.Time) bool {
-	return g.orders.coldRate != 0 && g.orders.service == g.server.service && g.cold(now)
+	return g.orders.coldRate != 0 && g.orders.service == g.server.service && g.isCold(now)
 }
 
-// coldRoom reports whether a cold server bears another request besides so many that are
+// hasColdCapacity reports whether a cold server bears another request besides so many that are
 // about to come. A server that is not cold does.
-func (g *Gate) coldRoom(now time.Time, coming int) bool {
+func (g *Gate) hasColdCapacity(now time.Time, coming int) bool {
 	if !g.coldLimited(now) {
 		return true
 	}
-	if !g.server.complete && now.Sub(g.started) < coldWindow {
+	if !g.server.flowsComplete && now.Sub(g.started) < coldWindow {
 		return false // what an earlier process passed on in the last second is not known
 	}
-	return g.begunLately(now)+coming < g.orders.coldRate.requests()
+	return g.recentRequests(now)+coming < g.orders.coldRate.perSecond()
 }
 
-// begunLately returns the number of requests of the last second.
-func (g *Gate) begunLately(now time.Time) int {
-	for g.begun.len() > 0 && now.Sub(*g.begun.first()) >= coldWindow {
-		g.begun.pop()
+// recentRequests returns the number of requests of the last second.
+func (g *Gate) recentRequests(now time.Time) int {
+	for g.requestTimes.len() > 0 && now.Sub(*g.requestTimes.first()) >= coldWindow {
+		g.requestTimes.pop()
 	}
-	return g.begun.len()
+	return g.requestTimes.len()
 }
 
-// noteBegun counts a request, or another packet that the server may take for one.
-func (g *Gate) noteBegun(now time.Time) {
-	g.begunLately(now)
-	g.begun.push(now)
+// countRequest counts a request, or another packet that the server may take for one.
+func (g *Gate) countRequest(now time.Time) {
+	g.recentRequests(now)
+	g.requestTimes.push(now)
 }
 
-// coldRoomAt returns when the server bears another request, zero if it does now.
-func (g *Gate) coldRoomAt(now time.Time) time.Time {
-	if g.coldRoom(now, g.reserved.len()) {
+// coldCapacityAt returns when the server bears another request, zero if it does now.
+func (g *Gate) coldCapacityAt(now time.Time) time.Time {
+	if g.hasColdCapacity(now, g.reservations.len()) {
 		return time.Time{}
 	}
 	at := now.Add(coldWindow)
-	if g.begun.len() > 0 {
-		at = g.begun.first().Add(coldWindow)
+	if g.requestTimes.len() > 0 {
+		at = g.requestTimes.first().Add(coldWindow)
 	}
 	if !g.server.coldUnknown && g.server.coldUntil.Before(at) {
 		at = g.server.coldUntil
@@ -96,36 +96,36 @@
 	return at
 }
 
-// coldBusy returns the requests at work that the load told to balancers stands for: the
+// coldLoad returns the requests at work that the load told to balancers stands for: the
 // part of what a cold server bears that is taken, if that is more than is at work. Room
 // under the limit is used up long before the slots are, and a server that seemed idle
 // would be offered every flow.
-func (g *Gate) coldBusy(now time.Time, busy int) int {
+func (g *Gate) coldLoad(now time.Time, busy int) int {
 	if !g.coldLimited(now) {
 		return busy
 	}
-	taken := float64(g.begunLately(now)+len(g.queue)) / float64(g.orders.coldRate.requests())
-	return max(busy, int(math.Ceil(taken*float64(g.room()))))
+	taken := float64(g.recentRequests(now)+len(g.queue)) / float64(g.orders.coldRate.perSecond())
+	return max(busy, int(math.Ceil(taken*float64(g.requestCapacity()))))
 }
 
 // queueLimit returns how many flows may wait for the server until the given time: of a
 // cold one, as many as it bears until then. The others can't be served, and are refused
 // at once.
 func (g *Gate) queueLimit(now, until time.Time) int {
-	return min(queuePerSlot*g.server.slots, g.bearsUntil(now, until))
+	return min(queuePerSlot*g.server.slots, g.servableUntil(now, until))
 }
 
-// returnLimit is the same for callers that wait to be told, who come after the flows that
+// waitingCallerLimit is the same for callers that wait to be told, who come after the flows that
 // wait.
-func (g *Gate) returnLimit(now, until time.Time) int {
-	return min(returnsPerSlot*g.server.slots, g.bearsUntil(now, until)-len(g.queue))
+func (g *Gate) waitingCallerLimit(now, until time.Time) int {
+	return min(waitingCallersPerSlot*g.server.slots, g.servableUntil(now, until)-len(g.queue))
 }
 
-// bearsUntil returns how many of those who wait a cold server serves until the given time;
+// servableUntil returns how many of those who wait a cold server serves until the given time;
 // one without a limit, or that is warm before, has no bound.
-func (g *Gate) bearsUntil(now, until time.Time) int {
+func (g *Gate) servableUntil(now, until time.Time) int {
 	if !g.coldLimited(now) || !g.server.coldUnknown && g.server.coldUntil.Before(until) {
 		return math.MaxInt
 	}
-	return int(coldWaitPart * until.Sub(now).Seconds() * float64(g.orders.coldRate) * coldRateUnit)
+	return int(coldQueueShare * until.Sub(now).Seconds() * float64(g.orders.coldRate) * coldRateUnit)
 }
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -62,7 +62,7 @@
 	for key, f := range c.flows {
 		if f.state == gateOffered {
 			c.FromServer(c.now, Segment{Key: key, Seq: 50, Ack: f.opener + 1, Syn: true, HasAck: true}, []byte{2})
-			c.end(f)
+			c.endRequest(f)
 		}
 	}
 	c.collect()
@@ -208,7 +208,7 @@
 			refused++
 		}
 	}
-	if waiting := len(c.returns); waiting == 0 || waiting > 2*coldLimit || refused < 17*coldLimit {
+	if waiting := len(c.waitingCallers); waiting == 0 || waiting > 2*coldLimit || refused < 17*coldLimit {
 		t.Errorf("%d callers wait two seconds at a server that bears %d in each, %d of %d refused at once", waiting, coldLimit, refused, 20*coldLimit)
 	}
 }
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -81,7 +81,7 @@
 func TestFlowWaitsWhenAllAreBusy(t *testing.T) {
 	w := newWorld(t, 2)
 	for n := range 2 {
-		for i := range w.gate(n).room() {
+		for i := range w.gate(n).requestCapacity() {
 			w.offerTo(n, listing, uint16(2000+100*n+i))
 		}
 	}
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// subscription is how long an agent goes on reporting to a balancer that it
+	// subscriptionTTL is how long an agent goes on reporting to a balancer that it
 	// has not heard from: four greetings at their longest interval, and above the
 	// time in which a killed balancer is back.
-	subscription = 15 * time.Second
+	subscriptionTTL = 15 * time.Second
 	// maxBalancers bounds the balancers reported to.
 	maxBalancers = 256
 	// ackSlack is how far beyond what the server was seen to send a caller may
@@ -19,43 +19,43 @@
 	ackSlack = 4
 	// urgentPriority is the last priority that counts as urgent.
 	urgentPriority = 1
-	// earlySequence is the highest sequence number of the first heartbeat that
+	// justStartedSequence is the highest sequence number of the first heartbeat that
 	// shows that a server has just started. Between its first and its second
 	// one another agent process may have passed flows on.
-	earlySequence = 1
-	// youngSequence is the highest sequence number of the first heartbeat that an
+	justStartedSequence = 1
+	// recentlyStartedSequence is the highest sequence number of the first heartbeat that an
 	// agent takes from a server that has just started: while its agent starts as
 	// well, the server's first two or three go unanswered. A server whose heartbeats
 	// were answered passes it within three seconds. If all processes of a fleet start
 	// anew in that time, its flows may be taken for gone.
-	youngSequence = 4
-	// youngAge is the age of an agent's process from which a first heartbeat does
+	recentlyStartedSequence = 4
+	// recentlyStartedAge is the age of an agent's process from which a first heartbeat does
 	// not tell that both have just started.
-	youngAge = 2 * time.Second
+	recentlyStartedAge = 2 * time.Second
 	// confirmTimeout is how long a flow that the server has answered counts as a
 	// request to come: several exchanges with the farthest callers. A caller
 	// that has given up meanwhile never confirms; counted for longer, its flows
 	// would take all the room there is.
 	confirmTimeout = 30 * time.Millisecond
-	// normalAfter is the number of answers from which their mean time says what
+	// minAnswerTimeCount is the number of answers from which their mean time says what
 	// is normal.
-	normalAfter = 32
-	// normalShare is the weight of one answer in that mean.
-	normalShare = 1.0 / 64
-	// hastyShare is how much less a hasty answer counts in it.
-	hastyShare = 0.25
-	// hastyPart is the part of the normal time below which an answer counts as
+	minAnswerTimeCount = 32
+	// answerTimeWeight is the weight of one answer in that mean.
+	answerTimeWeight = 1.0 / 64
+	// fastAnswerWeight is how much less a hasty answer counts in it.
+	fastAnswerWeight = 0.25
+	// fastAnswerDivisor is the part of the normal time below which an answer counts as
 	// a failure.
-	hastyPart = 6
-	// leastNormal is the least normal time that hasty answers can be told from.
-	leastNormal = 4 * time.Millisecond
+	fastAnswerDivisor = 6
+	// minMeanAnswerTime is the least normal time that hasty answers can be told from.
+	minMeanAnswerTime = 4 * time.Millisecond
 	// closedLinger is how long a flow is remembered after both ends closed it:
 	// an end whose last packet was lost repeats it.
 	closedLinger = 4 * time.Second
 	// coldSlowdown is how much slower a server counts while it is cold.
 	coldSlowdown = 1.6
-	// maxConnections is assumed of a server whose limit is not known.
-	maxConnections = 2000
+	// defaultMaxConnections is assumed of a server whose limit is not known.
+	defaultMaxConnections = 2000
 )
 
 // Heartbeat is one heartbeat of the backend server.
@@ -97,62 +97,62 @@
 
 // gateFlow is one flow at the agent.
 type gateFlow struct {
-	state     gateState
-	via       netip.AddrPort // balancer that brought the last packet
-	instance  string         // of the server
-	opener    uint32         // sequence number of the caller's first packet
-	hasOpener bool
-	first     uint32 // sequence number of the server's first packet
-	serverEnd uint32 // end of what the server sent
-	hasFirst  bool
-	callerEnd uint32 // end of what the caller sent
-	hasEnd    bool
-	busy      bool // a request is being worked on
-	busyAt    time.Time
-	asked     bool      // a request's data was passed to the server
-	askedAt   time.Time // when
-	opened    time.Time
-	used      time.Time
-	finCaller bool
-	finServer bool
+	state            gateState
+	via              netip.AddrPort // balancer that brought the last packet
+	instance         string         // of the server
+	opener           uint32         // sequence number of the caller's first packet
+	hasOpener        bool
+	serverFirst      uint32 // sequence number of the server's first packet
+	serverEnd        uint32 // end of what the server sent
+	hasServerFirst   bool
+	callerEnd        uint32 // end of what the caller sent
+	hasCallerEnd     bool
+	requestActive    bool // a request is being worked on
+	requestStartedAt time.Time
+	answerPending    bool      // a request's data was passed to the server
+	requestSentAt    time.Time // when
+	createdAt        time.Time
+	lastPacketAt     time.Time
+	callerClosed     bool
+	serverClosed     bool
 }
 
-// waiting is a flow whose next packet is due: the server's answer, or the
+// pendingFlow is a flow whose next packet is due: the server's answer, or the
 // caller's confirmation.
-type waiting struct {
+type pendingFlow struct {
 	key   Key
 	since time.Time
 }
 
 // Gate is the state machine of an agent.
 type Gate struct {
-	cfg          GateConfig
-	started      time.Time
-	newestOrders uint64    // number of the newest orders that anybody spoke of
-	readAt       time.Time // when somebody last read the orders in the store
-	orders       receivedOrders
-	restored     restored
-	server       server
-	flows        map[Key]*gateFlow
-	spare        []*gateFlow // of flows that were forgotten, to be used again
-	requests     int
-	begun        fifo[time.Time] // requests of the last second, in the order of time
-	waiting      fifo[waiting]
-	answered     fifo[waiting] // flows that callers have not confirmed
-	queue        []queued
-	returns      []queued        // callers of ended flows that wait to be told; without packets
-	reserved     fifo[time.Time] // until when room is kept for callers that were told
-	balancers    map[netip.AddrPort]*subscriber
-	reportAt     time.Time
-	tickAt       time.Time
-	sweptAt      time.Time
-	meter        placement.Meter
-	normal       time.Duration // mean time from a request to the server's answer
-	normalOf     int           // requests behind it, up to normalAfter
-	answer       []byte        // to a query, of the running call
-	stats        GateStats
-	out          []Effect
-	trace        GateTracer
+	cfg             GateConfig
+	started         time.Time
+	newestOrders    uint64    // number of the newest orders that anybody spoke of
+	readAt          time.Time // when somebody last read the orders in the store
+	orders          receivedOrders
+	restored        restored
+	server          server
+	flows           map[Key]*gateFlow
+	freeFlows       []*gateFlow // of flows that were forgotten, to be used again
+	requests        int
+	requestTimes    fifo[time.Time] // requests of the last second, in the order of time
+	unanswered      fifo[pendingFlow]
+	unconfirmed     fifo[pendingFlow] // flows that callers have not confirmed
+	queue           []queueEntry
+	waitingCallers  []queueEntry    // callers of ended flows that wait to be told; without packets
+	reservations    fifo[time.Time] // until when room is kept for callers that were told
+	balancers       map[netip.AddrPort]*subscriber
+	reportAt        time.Time
+	lastTickAt      time.Time
+	lastSweepAt     time.Time
+	meter           placement.Meter
+	meanAnswerTime  time.Duration // mean time from a request to the server's answer
+	answerTimeCount int           // requests behind it, up to normalAfter
+	queryAnswer     []byte        // to a query, of the running call
+	stats           GateStats
+	out             []Effect
+	trace           GateTracer
 }
 
 // NewGate returns a Gate that has not heard of its server.
@@ -162,15 +162,15 @@
 		tr = noGateTracer{}
 	}
 	return &Gate{
-		cfg:       cfg,
-		started:   now,
-		server:    server{service: cfg.Service, slots: DefaultSlots},
-		flows:     make(map[Key]*gateFlow),
-		balancers: make(map[netip.AddrPort]*subscriber),
-		tickAt:    now,
-		sweptAt:   now,
-		reportAt:  now,
-		trace:     tr,
+		cfg:         cfg,
+		started:     now,
+		server:      server{service: cfg.Service, slots: DefaultSlots},
+		flows:       make(map[Key]*gateFlow),
+		balancers:   make(map[netip.AddrPort]*subscriber),
+		lastTickAt:  now,
+		lastSweepAt: now,
+		reportAt:    now,
+		trace:       tr,
 	}
 }
 
@@ -199,7 +199,7 @@
 	b := g.subscribe(now, from)
 	g.receiveOrders(now, m)
 	if m.Kind == Hello {
-		b.every = max(m.Wait, ReportEvery)
+		b.reportInterval = max(m.Wait, ReportEvery)
 		g.reply(now, from, Message{Kind: Report}, nil)
 		if m.Reason == ReasonState {
 			g.tellBalancers(now, from)
@@ -227,22 +227,22 @@
 
 // subscriber is a balancer that an agent reports to.
 type subscriber struct {
-	heard    time.Time
-	every    time.Duration // between two reports, as the balancer wishes
-	reportAt time.Time     // when the next one is due
+	lastReceivedAt time.Time
+	reportInterval time.Duration // between two reports, as the balancer wishes
+	reportAt       time.Time     // when the next one is due
 }
 
 // subscribe notes that a balancer was heard.
 func (g *Gate) subscribe(now time.Time, from netip.AddrPort) *subscriber {
 	b := g.balancers[from]
 	if b == nil {
-		b = &subscriber{every: ReportEvery}
+		b = &subscriber{reportInterval: ReportEvery}
 		if len(g.balancers) >= maxBalancers {
 			return b // answered, and not reported to
 		}
 		g.balancers[from] = b
 	}
-	b.heard = now
+	b.lastReceivedAt = now
 	return b
 }
 
@@ -265,19 +265,19 @@
 	m.Occupancy = g.occupancy(now)
 	if m.Kind == Report {
 		switch {
-		case g.empty(now):
+		case g.holdsNoFlows(now):
 			m.Reason = ReasonNotHeld
-		case g.server.young && now.Sub(g.started) < startSpan:
+		case g.server.recentlyStarted && now.Sub(g.started) < startSpan:
 			m.Reason = ReasonStarted
 		}
 		m.Zone = ZoneID(g.cfg.Zone)
-		m.LastReceived = g.silenceOf(now, to)
+		m.LastReceived = g.sinceReceived(now, to)
 	}
 	g.out = append(g.out, Effect{Kind: SendMessage, To: to, Message: m, Packet: packet})
 }
 
-// empty reports whether the server holds no flow and gets none as things stand.
-func (g *Gate) empty(now time.Time) bool {
+// holdsNoFlows reports whether the server holds no flow and gets none as things stand.
+func (g *Gate) holdsNoFlows(now time.Time) bool {
 	if g.State(now) == ServerReady || !g.complete(now) {
 		return false
 	}
@@ -289,20 +289,20 @@
 	return true
 }
 
-// silenceOf returns the time since a balancer was heard.
-func (g *Gate) silenceOf(now time.Time, balancer netip.AddrPort) time.Duration {
+// sinceReceived returns the time since a balancer was heard.
+func (g *Gate) sinceReceived(now time.Time, balancer netip.AddrPort) time.Duration {
 	if b := g.balancers[balancer]; b != nil {
-		return now.Sub(b.heard)
+		return now.Sub(b.lastReceivedAt)
 	}
 	return 0
 }
 
-func (g *Gate) toServer(packet []byte) {
+func (g *Gate) sendToServer(packet []byte) {
 	g.stats.ToServer++
 	g.out = append(g.out, Effect{Kind: SendServer, Packet: packet})
 }
 
-func (g *Gate) toCaller(key Key, packet []byte) {
+func (g *Gate) sendToCaller(key Key, packet []byte) {
 	g.stats.ToCaller++
 	g.out = append(g.out, Effect{Kind: SendCaller, Message: Message{Key: key}, Packet: packet})
 }
@@ -314,14 +314,16 @@
 	if now.Before(g.server.coldUntil) {
 		busy = int(float64(busy)*coldSlowdown) + 1
 	}
-	busy = g.coldBusy(now, busy)
+	busy = g.coldLoad(now, busy)
 	return g.meter.Occupancy(now, placement.Usage{
-		SlotsBusy: busy, Slots: slots, Connections: len(g.flows), MaxConnections: max(maxConnections, g.cfg.MaxFlows),
+		SlotsBusy: busy, Slots: slots, Connections: len(g.flows), MaxConnections: max(defaultMaxConnections, g.cfg.MaxFlows),
 	})
 }
 
-// room is the number of requests at work up to which flows reach the server.
-func (g *Gate) room() int { return max(1, int(g.cfg.CapacityFactor*float64(g.server.slots))) }
+// requestCapacity is the number of requests at work up to which flows reach the server.
+func (g *Gate) requestCapacity() int {
+	return max(1, int(g.cfg.CapacityFactor*float64(g.server.slots)))
+}
 
 // onOpen decides whether a first packet reaches the server.
 func (g *Gate) onOpen(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
@@ -329,12 +331,12 @@
 		return
 	}
 	f := g.flows[s.Key]
-	if f != nil && f.copyOf(s) && f.state != gateLost && f.instance == g.server.instance {
+	if f != nil && f.opensSameFlow(s) && f.state != gateLost && f.instance == g.server.instance {
 		g.onCopy(now, from, f, s, packet)
 		return
 	}
 	g.stats.Offered++
-	reason := g.barred(now, m)
+	reason := g.refusalReason(now, m)
 	if reason == ReasonBusy && m.Wait > 0 && g.enqueue(now, from, m, s, packet) {
 		return
 	}
@@ -355,17 +357,17 @@
 
 // admit passes a flow's first packet to the server.
 func (g *Gate) admit(now time.Time, via netip.AddrPort, key Key, opener uint32, packet []byte) {
-	g.useReserved()
-	f := g.hold(now, key, gateOffered)
+	g.consumeReservation()
+	f := g.addFlow(now, key, gateOffered)
 	f.via, f.opener, f.hasOpener = via, opener, true
 	// A request follows as soon as the caller has the answer.
-	g.begin(now, f)
-	g.waiting.push(waiting{key, now})
-	g.toServer(packet)
+	g.startRequest(now, f)
+	g.unanswered.push(pendingFlow{key, now})
+	g.sendToServer(packet)
 }
 
-// barred returns why no new flow may reach the server, or ReasonNone.
-func (g *Gate) barred(now time.Time, m *Message) Reason {
+// refusalReason returns why no new flow may reach the server, or ReasonNone.
+func (g *Gate) refusalReason(now time.Time, m *Message) Reason {
 	switch g.State(now) {
 	case ServerReady:
 	case ServerUnresponsive:
@@ -378,7 +380,7 @@
 	if m.Service != g.server.service {
 		return ReasonService
 	}
-	if g.requests >= g.room() || len(g.queue) > 0 || !g.coldRoom(now, 0) || g.returnGoesFirst(now, m) {
+	if g.requests >= g.requestCapacity() || len(g.queue) > 0 || !g.hasColdCapacity(now, 0) || g.waitingCallerPrecedes(now, m) {
 		return ReasonBusy
 	}
 	return ReasonNone
@@ -388,21 +390,21 @@
 // flow that the caller has not confirmed is new to the server still.
 func (g *Gate) onCopy(now time.Time, from netip.AddrPort, f *gateFlow, s *Segment, packet []byte) {
 	f.via = from
-	f.used = now
+	f.lastPacketAt = now
 	if f.state != gateOpen && g.State(now) != ServerReady {
 		g.refuse(now, from, s.Key, ReasonState)
 		return
 	}
-	if f.state != gateOpen && !g.coldRoom(now, 0) {
+	if f.state != gateOpen && !g.hasColdCapacity(now, 0) {
 		return // it counts like a first packet; the caller sends another copy
 	}
-	g.noteBegun(now)
+	g.countRequest(now)
 	if f.state == gateOffered {
-		g.waiting.push(waiting{s.Key, now})
+		g.unanswered.push(pendingFlow{s.Key, now})
 	} else {
 		g.reply(now, from, Message{Kind: Taken, Key: s.Key}, nil)
 	}
-	g.toServer(packet)
+	g.sendToServer(packet)
 }
 
 func (g *Gate) refuse(now time.Time, to netip.AddrPort, key Key, reason Reason) {
@@ -411,40 +413,40 @@
 	g.reply(now, to, Message{Kind: Refused, Reason: reason, Key: key}, nil)
 }
 
-// forget removes a flow.
-func (g *Gate) forget(key Key) {
+// removeFlow removes a flow.
+func (g *Gate) removeFlow(key Key) {
 	f := g.flows[key]
 	if f == nil {
 		return
 	}
-	g.end(f)
+	g.endRequest(f)
 	delete(g.flows, key)
-	g.spare = append(g.spare, f)
+	g.freeFlows = append(g.freeFlows, f)
 }
 
-// hold notes a flow in place of what was known of its key.
-func (g *Gate) hold(now time.Time, key Key, state gateState) *gateFlow {
-	g.forget(key)
-	f := take(&g.spare)
-	*f = gateFlow{state: state, instance: g.server.instance, opened: now, used: now}
+// addFlow notes a flow in place of what was known of its key.
+func (g *Gate) addFlow(now time.Time, key Key, state gateState) *gateFlow {
+	g.removeFlow(key)
+	f := take(&g.freeFlows)
+	*f = gateFlow{state: state, instance: g.server.instance, createdAt: now, lastPacketAt: now}
 	g.flows[key] = f
 	return f
 }
 
-// begin counts a request as being worked on.
-func (g *Gate) begin(now time.Time, f *gateFlow) {
-	if f.busy {
+// startRequest counts a request as being worked on.
+func (g *Gate) startRequest(now time.Time, f *gateFlow) {
+	if f.requestActive {
 		return
 	}
-	f.busy = true
-	f.busyAt = now
+	f.requestActive = true
+	f.requestStartedAt = now
 	g.requests++
-	g.noteBegun(now)
+	g.countRequest(now)
 }
 
-func (g *Gate) end(f *gateFlow) {
-	if f.busy {
-		f.busy = false
+func (g *Gate) endRequest(f *gateFlow) {
+	if f.requestActive {
+		f.requestActive = false
 		g.requests--
 	}
 }
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -206,7 +206,7 @@
 // Cause: a flow counted as a request from its first packet on, without end.
 func TestUnconfirmedFlowsStopCounting(t *testing.T) {
 	w := newWorld(t, 1)
-	room := w.gate(0).room()
+	room := w.gate(0).requestCapacity()
 	for i := range room {
 		if m := w.offerTo(0, listing, uint16(2000+i)); m.Kind != Taken {
 			t.Fatalf("flow %d: %v, %v", i, m.Kind, m.Reason)
@@ -227,7 +227,7 @@
 func TestWaitingFlowsInOrder(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
-	room := g.room()
+	room := g.requestCapacity()
 	for i := range room {
 		w.offerTo(0, listing, uint16(2000+i))
 	}
@@ -263,7 +263,7 @@
 func TestWaitingFlowsLeaveDrainingServer(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
-	for i := range g.room() {
+	for i := range g.requestCapacity() {
 		w.offerTo(0, listing, uint16(2000+i))
 	}
 	c := w.caller(3000, listingPort)
--- a/flow/held.go
+++ b/flow/held.go
@@ -10,29 +10,29 @@
 	f := g.flows[s.Key]
 	switch {
 	case f == nil && g.complete(now):
-		g.notHeld(now, from, kind, s, ReasonNotHeld, packet)
-	case f == nil && !g.server.alive:
+		g.replyNotHeld(now, from, kind, s, ReasonNotHeld, packet)
+	case f == nil && !g.server.responded:
 		// Not known yet whether there is a server; a packet to nobody may be
 		// answered with a reset that breaks the flow at its own server.
 		g.stats.Dropped++
 	case f == nil:
 		g.probe(now, from, s, packet)
 	case f.state == gateLost:
-		g.notHeld(now, from, kind, s, ReasonLost, packet)
+		g.replyNotHeld(now, from, kind, s, ReasonLost, packet)
 	case !f.matches(s):
 		// Two servers have the first packet, and the caller took the other's
 		// answer. The flow is remembered as not open here: passed on to this
 		// server, its packets would be answered with a reset.
-		g.notHeld(now, from, kind, s, ReasonNotHeld, packet)
+		g.replyNotHeld(now, from, kind, s, ReasonNotHeld, packet)
 	default:
-		g.passOn(now, from, kind, f, s, packet)
+		g.forward(now, from, kind, f, s, packet)
 	}
 }
 
-// copyOf reports whether a first packet is another copy of the one that opened
+// opensSameFlow reports whether a first packet is another copy of the one that opened
 // the flow. Callers use their ports again: a first packet with another sequence
 // number begins a new flow, which has to pass the gate like any other.
-func (f *gateFlow) copyOf(s *Segment) bool { return f.hasOpener && f.opener == s.Seq }
+func (f *gateFlow) opensSameFlow(s *Segment) bool { return f.hasOpener && f.opener == s.Seq }
 
 // matches reports whether the caller acknowledges bytes that this server sent.
 // Another server may have answered the same first packet, or hold a newer flow
@@ -42,39 +42,39 @@
 	if f.state == gateOffered {
 		return !s.HasAck
 	}
-	return !f.hasFirst || !s.HasAck || s.Ack-f.first <= f.serverEnd-f.first+ackSlack
+	return !f.hasServerFirst || !s.HasAck || s.Ack-f.serverFirst <= f.serverEnd-f.serverFirst+ackSlack
 }
 
-func (g *Gate) passOn(now time.Time, from netip.AddrPort, kind MessageKind, f *gateFlow, s *Segment, packet []byte) {
-	f.used = now
+func (g *Gate) forward(now time.Time, from netip.AddrPort, kind MessageKind, f *gateFlow, s *Segment, packet []byte) {
+	f.lastPacketAt = now
 	if f.state == gateAnswered {
 		f.state = gateOpen
-		g.trace.Opened(now, ID{s.Key, f.opener}, f.via, now.Sub(f.opened))
+		g.trace.Opened(now, ID{s.Key, f.opener}, f.via, now.Sub(f.createdAt))
 	}
 	f.via = from
-	g.noteCaller(now, f, s)
+	g.recordCallerPacket(now, f, s)
 	if kind == Lookup && f.state == gateOpen {
 		g.reply(now, from, Message{Kind: Held, Key: s.Key}, nil)
 	}
-	g.toServer(packet)
+	g.sendToServer(packet)
 }
 
-// noteCaller keeps count of requests: data that the caller had not sent before
+// recordCallerPacket keeps count of requests: data that the caller had not sent before
 // is a request, until the server sends data.
-func (g *Gate) noteCaller(now time.Time, f *gateFlow, s *Segment) {
+func (g *Gate) recordCallerPacket(now time.Time, f *gateFlow, s *Segment) {
 	end := s.Seq + uint32(s.Data)
-	fresh := !f.hasEnd || int32(end-f.callerEnd) > 0
+	fresh := !f.hasCallerEnd || int32(end-f.callerEnd) > 0
 	if s.Data > 0 && fresh {
-		f.callerEnd, f.hasEnd = end, true
-		g.begin(now, f)
-		f.asked, f.askedAt = true, now
+		f.callerEnd, f.hasCallerEnd = end, true
+		g.startRequest(now, f)
+		f.answerPending, f.requestSentAt = true, now
 	}
 	if s.Fin {
-		f.finCaller = true
+		f.callerClosed = true
 	}
 	if s.Rst {
-		f.finCaller, f.finServer = true, true
-		g.end(f)
+		f.callerClosed, f.serverClosed = true, true
+		g.endRequest(f)
 	}
 }
 
@@ -82,7 +82,7 @@
 // there was no server at the start, every flow of this instance came through
 // this process, or any older one has reached its greatest age.
 func (g *Gate) complete(now time.Time) bool {
-	return g.server.absent || g.server.known && g.server.complete || now.Sub(g.started) >= g.cfg.MaxAge
+	return g.server.absent || g.server.stateKnown && g.server.flowsComplete || now.Sub(g.started) >= g.cfg.MaxAge
 }
 
 // probe passes a packet to the server to learn whether it holds the flow. What
@@ -92,14 +92,14 @@
 		g.stats.Dropped++
 		return
 	}
-	g.hold(now, s.Key, gateProbed).via = from
-	g.toServer(packet)
+	g.addFlow(now, s.Key, gateProbed).via = from
+	g.sendToServer(packet)
 }
 
-// notHeld answers that the flow is not here. A packet that was passed here as to
+// replyNotHeld answers that the flow is not here. A packet that was passed here as to
 // the flow's holder goes back with the answer, so that the balancer can look for
 // the flow at once, or reset it.
-func (g *Gate) notHeld(now time.Time, to netip.AddrPort, kind MessageKind, s *Segment, reason Reason, packet []byte) {
+func (g *Gate) replyNotHeld(now time.Time, to netip.AddrPort, kind MessageKind, s *Segment, reason Reason, packet []byte) {
 	if reason == ReasonLost {
 		g.stats.Lost++
 	} else {
@@ -116,42 +116,42 @@
 
 // FromServer takes a packet that the server sent.
 func (g *Gate) FromServer(now time.Time, s Segment, packet []byte) {
-	g.spoke(now)
+	g.recordActivity(now)
 	f := g.flows[s.Key]
 	if s.Bounced {
 		g.onBounced(now, f, &s, packet)
 		return
 	}
 	if f == nil || f.state == gateLost {
-		f = g.learn(now, s.Key)
+		f = g.addExistingFlow(now, s.Key)
 	}
 	if f != nil {
-		g.noteServer(now, f, &s)
+		g.recordServerPacket(now, f, &s)
 	}
-	g.toCaller(s.Key, packet)
+	g.sendToCaller(s.Key, packet)
 	g.dequeue(now)
 }
 
-// learn notes a flow that the server had before this process knew of it.
-func (g *Gate) learn(now time.Time, key Key) *gateFlow {
+// addExistingFlow notes a flow that the server had before this process knew of it.
+func (g *Gate) addExistingFlow(now time.Time, key Key) *gateFlow {
 	if g.flows[key] == nil && len(g.flows) >= g.cfg.MaxFlows {
 		g.stats.Dropped++
 		return nil
 	}
-	return g.hold(now, key, gateOpen)
+	return g.addFlow(now, key, gateOpen)
 }
 
-func (g *Gate) noteServer(now time.Time, f *gateFlow, s *Segment) {
-	f.used = now
+func (g *Gate) recordServerPacket(now time.Time, f *gateFlow, s *Segment) {
+	f.lastPacketAt = now
 	if s.Syn {
-		if f.state != gateOpen && !(f.hasFirst && f.first == s.Seq) {
-			f.first, f.serverEnd, f.hasFirst = s.Seq, s.Seq, true
+		if f.state != gateOpen && !(f.hasServerFirst && f.serverFirst == s.Seq) {
+			f.serverFirst, f.serverEnd, f.hasServerFirst = s.Seq, s.Seq, true
 		}
 		if f.state == gateOffered {
 			f.state = gateAnswered
-			g.answered.push(waiting{s.Key, now})
+			g.unconfirmed.push(pendingFlow{s.Key, now})
 			g.stats.Taken++
-			g.trace.Answered(now, ID{s.Key, f.opener}, now.Sub(f.opened), g.requests)
+			g.trace.Answered(now, ID{s.Key, f.opener}, now.Sub(f.createdAt), g.requests)
 		}
 		if f.via.IsValid() {
 			g.reply(now, f.via, Message{Kind: Taken, Key: s.Key}, nil)
@@ -165,16 +165,16 @@
 		g.reply(now, f.via, Message{Kind: Held, Key: s.Key}, nil)
 	}
 	if s.Data > 0 {
-		g.end(f)
+		g.endRequest(f)
 		g.recordAnswerTime(now, f)
 	}
 	if s.Fin {
-		f.finServer = true
-		g.end(f)
+		f.serverClosed = true
+		g.endRequest(f)
 	}
 	if s.Rst {
-		f.finCaller, f.finServer = true, true
-		g.end(f)
+		f.callerClosed, f.serverClosed = true, true
+		g.endRequest(f)
 	}
 }
 
@@ -184,36 +184,36 @@
 // add to the load that the agent reports, so a service that is as quick as this
 // everywhere loses nothing.
 func (g *Gate) recordAnswerTime(now time.Time, f *gateFlow) {
-	if !f.asked {
+	if !f.answerPending {
 		return
 	}
-	f.asked = false
-	took := now.Sub(f.askedAt)
-	known := g.normalOf >= normalAfter && g.normal >= leastNormal
-	hasty := known && took < g.normal/hastyPart
+	f.answerPending = false
+	took := now.Sub(f.requestSentAt)
+	known := g.answerTimeCount >= minAnswerTimeCount && g.meanAnswerTime >= minMeanAnswerTime
+	hasty := known && took < g.meanAnswerTime/fastAnswerDivisor
 	g.meter.Done(now, hasty)
 	if hasty {
 		g.stats.ImplausiblyFast++
 	}
-	g.learnNormal(took, hasty)
+	g.updateMeanAnswerTime(took, hasty)
 }
 
-// learnNormal takes the time of an answer into the mean. One answer moves it no
+// updateMeanAnswerTime takes the time of an answer into the mean. One answer moves it no
 // more than one of twice or half the mean would: a server that hangs for seconds
 // would else make its usual answers look hasty for good. Hasty answers count
 // too, for the same reason, but little.
-func (g *Gate) learnNormal(took time.Duration, hasty bool) {
-	if g.normalOf < normalAfter {
-		g.normalOf++
-		g.normal += (took - g.normal) / time.Duration(g.normalOf)
+func (g *Gate) updateMeanAnswerTime(took time.Duration, hasty bool) {
+	if g.answerTimeCount < minAnswerTimeCount {
+		g.answerTimeCount++
+		g.meanAnswerTime += (took - g.meanAnswerTime) / time.Duration(g.answerTimeCount)
 		return
 	}
-	share := normalShare
+	share := answerTimeWeight
 	if hasty {
-		share *= hastyShare
+		share *= fastAnswerWeight
 	}
-	took = min(max(took, g.normal/2), 2*g.normal)
-	g.normal += time.Duration(float64(took-g.normal) * share)
+	took = min(max(took, g.meanAnswerTime/2), 2*g.meanAnswerTime)
+	g.meanAnswerTime += time.Duration(float64(took-g.meanAnswerTime) * share)
 }
 
 // onBounced takes a packet that the server sent back: a first packet that it
@@ -225,71 +225,71 @@
 	via := f.via
 	switch {
 	case s.first() && f.state == gateOffered:
-		g.forget(s.Key)
+		g.removeFlow(s.Key)
 		g.refuse(now, via, s.Key, ReasonBounced)
 	case s.first():
 	case f.state == gateProbed:
-		g.forget(s.Key)
-		g.notHeld(now, via, Lookup, s, ReasonNotHeld, packet)
+		g.removeFlow(s.Key)
+		g.replyNotHeld(now, via, Lookup, s, ReasonNotHeld, packet)
 	case f.state == gateOpen && !f.closed():
-		g.end(f)
+		g.endRequest(f)
 		f.state = gateLost
-		g.notHeld(now, via, Pass, s, ReasonLost, packet)
+		g.replyNotHeld(now, via, Pass, s, ReasonLost, packet)
 	}
 }
 
 // closed reports whether both ends have sent their last byte.
-func (f *gateFlow) closed() bool { return f.finCaller && f.finServer }
+func (f *gateFlow) closed() bool { return f.callerClosed && f.serverClosed }
 
 // Tick does what is due.
 func (g *Gate) Tick(now time.Time) {
-	paused := now.Sub(g.tickAt) >= pauseAfter
-	g.tickAt = now
+	paused := now.Sub(g.lastTickAt) >= pauseAfter
+	g.lastTickAt = now
 	if paused {
-		g.excuse(now)
+		g.restartAnswerTimeouts(now)
 	}
-	g.expireWaiting(now)
-	g.expireAnswered(now)
+	g.expireUnanswered(now)
+	g.expireUnconfirmed(now)
 	g.dequeue(now)
 	if !now.Before(g.reportAt) {
 		g.report(now, false)
 	}
-	if now.Sub(g.sweptAt) >= sweepEvery {
+	if now.Sub(g.lastSweepAt) >= sweepEvery {
 		g.sweep(now)
 	}
 }
 
-// excuse gives the server its time anew after this process stood still.
-func (g *Gate) excuse(now time.Time) {
-	g.waiting.all(func(w *waiting) { w.since = now })
+// restartAnswerTimeouts gives the server its time anew after this process stood still.
+func (g *Gate) restartAnswerTimeouts(now time.Time) {
+	g.unanswered.all(func(w *pendingFlow) { w.since = now })
 }
 
-// expireWaiting hands back the flows whose first packet the server has not
+// expireUnanswered hands back the flows whose first packet the server has not
 // answered. A server that has sent nothing else since then is silent: it has
 // crashed or hangs, and no flow is offered to it until it is heard again.
-func (g *Gate) expireWaiting(now time.Time) {
-	for g.waiting.len() > 0 && now.Sub(g.waiting.first().since) >= g.cfg.AnswerTimeout {
-		w := g.waiting.pop()
+func (g *Gate) expireUnanswered(now time.Time) {
+	for g.unanswered.len() > 0 && now.Sub(g.unanswered.first().since) >= g.cfg.AnswerTimeout {
+		w := g.unanswered.pop()
 		f := g.flows[w.key]
 		if f == nil || f.state != gateOffered {
 			continue
 		}
-		if !g.server.spokeAt.After(w.since) && !g.server.silent {
+		if !g.server.lastActivityAt.After(w.since) && !g.server.unresponsive {
 			before := g.State(now)
-			g.server.silent = true
+			g.server.unresponsive = true
 			g.stateChanged(now, before, "no answer to a first packet")
 		}
-		g.end(f)
+		g.endRequest(f)
 		g.refuse(now, f.via, w.key, ReasonUnresponsive)
 	}
 }
 
-// expireAnswered stops counting flows that their callers have not confirmed.
-func (g *Gate) expireAnswered(now time.Time) {
-	for g.answered.len() > 0 && now.Sub(g.answered.first().since) >= confirmTimeout {
-		f := g.flows[g.answered.pop().key]
+// expireUnconfirmed stops counting flows that their callers have not confirmed.
+func (g *Gate) expireUnconfirmed(now time.Time) {
+	for g.unconfirmed.len() > 0 && now.Sub(g.unconfirmed.first().since) >= confirmTimeout {
+		f := g.flows[g.unconfirmed.pop().key]
 		if f != nil && f.state == gateAnswered {
-			g.end(f)
+			g.endRequest(f)
 		}
 	}
 }
@@ -297,24 +297,24 @@
 // NextTick returns when Tick has something to do at the latest.
 func (g *Gate) NextTick(now time.Time) time.Time {
 	next := g.reportAt
-	if g.waiting.len() > 0 {
-		if at := g.waiting.first().since.Add(g.cfg.AnswerTimeout); at.Before(next) {
+	if g.unanswered.len() > 0 {
+		if at := g.unanswered.first().since.Add(g.cfg.AnswerTimeout); at.Before(next) {
 			next = at
 		}
 	}
-	if g.answered.len() > 0 && len(g.queue) > 0 {
-		if at := g.answered.first().since.Add(confirmTimeout); at.Before(next) {
+	if g.unconfirmed.len() > 0 && len(g.queue) > 0 {
+		if at := g.unconfirmed.first().since.Add(confirmTimeout); at.Before(next) {
 			next = at
 		}
 	}
-	if g.reserved.len() > 0 && len(g.returns) > 0 && g.reserved.first().Before(next) {
-		next = *g.reserved.first()
+	if g.reservations.len() > 0 && len(g.waitingCallers) > 0 && g.reservations.first().Before(next) {
+		next = *g.reservations.first()
 	}
-	if at, ok := g.queueEnds(); ok && at.Before(next) {
+	if at, ok := g.earliestExpiry(); ok && at.Before(next) {
 		next = at
 	}
-	if len(g.queue)+len(g.returns) > 0 && g.coldLimited(now) {
-		if at := g.coldRoomAt(now); !at.IsZero() && at.Before(next) {
+	if len(g.queue)+len(g.waitingCallers) > 0 && g.coldLimited(now) {
+		if at := g.coldCapacityAt(now); !at.IsZero() && at.Before(next) {
 			next = at
 		}
 	}
@@ -324,18 +324,18 @@
 // sweep forgets flows that have ended, balancers that are gone, and requests
 // that nobody waits for any more.
 func (g *Gate) sweep(now time.Time) {
-	g.sweptAt = now
+	g.lastSweepAt = now
 	for key, f := range g.flows {
-		if f.busy && now.Sub(f.busyAt) >= g.cfg.RequestTimeout {
-			g.end(f)
+		if f.requestActive && now.Sub(f.requestStartedAt) >= g.cfg.RequestTimeout {
+			g.endRequest(f)
 		}
-		idle := now.Sub(f.used)
+		idle := now.Sub(f.lastPacketAt)
 		if idle >= g.cfg.IdleTimeout || f.closed() && idle >= closedLinger {
-			g.forget(key)
+			g.removeFlow(key)
 		}
 	}
 	for addr, b := range g.balancers {
-		if now.Sub(b.heard) >= subscription {
+		if now.Sub(b.lastReceivedAt) >= subscriptionTTL {
 			delete(g.balancers, addr)
 		}
 	}
--- a/flow/lookup_result.go
+++ b/flow/lookup_result.go
@@ -36,15 +36,15 @@
 	if len(b) < numberSize {
 		return
 	}
-	g.answer = append(g.answer[:0], b[:numberSize]...)
+	g.queryAnswer = append(g.queryAnswer[:0], b[:numberSize]...)
 	for b = b[numberSize:]; len(b) >= querySize; b = b[querySize:] {
 		key, _ := DecodeKey(b)
 		s := Segment{Key: key, Ack: binary.LittleEndian.Uint32(b[KeySize:]), HasAck: true}
 		if f := g.lookup(now, &s); f != FlowNotHeld {
-			g.answer = append(key.Append(g.answer), byte(f))
+			g.queryAnswer = append(key.Append(g.queryAnswer), byte(f))
 		}
 	}
-	g.reply(now, from, Message{Kind: QueryAnswer}, g.answer)
+	g.reply(now, from, Message{Kind: QueryAnswer}, g.queryAnswer)
 }
 
 // lookup returns what is known of the flow that a packet belongs to.
@@ -54,7 +54,7 @@
 	case f == nil && g.complete(now):
 		g.stats.NotHeld++
 		return FlowNotHeld
-	case f == nil && !g.server.alive:
+	case f == nil && !g.server.responded:
 		return FlowUnknown
 	case f == nil:
 		return FlowNeedsPacket
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -8,7 +8,7 @@
 // fullGate returns an agent whose server is at work on as much as may reach it.
 func fullGate(now time.Time) *Gate {
 	g := readyGate(now, 3)
-	for i := range g.room() {
+	for i := range g.requestCapacity() {
 		s := Segment{Key: Key{CallerPort: uint16(9000 + i)}, Seq: 7, Syn: true}
 		g.FromBalancer(now, balancerA, &Message{Kind: Open, Service: listing}, &s, []byte{1})
 		g.FromServer(now, Segment{Key: s.Key, Seq: 50, Ack: 8, Syn: true, HasAck: true}, []byte{2})
@@ -21,7 +21,7 @@
 // finishOne has the server answer one of its requests.
 func finishOne(g *Gate, now time.Time) {
 	for key, f := range g.flows {
-		if f.busy && f.state == gateOpen {
+		if f.requestActive && f.state == gateOpen {
 			g.FromServer(now, Segment{Key: key, Seq: 51, Ack: 17, HasAck: true, Data: 9}, []byte{4})
 			return
 		}
@@ -57,8 +57,8 @@
 	for _, e := range g.Effects() {
 		told = told || e.Message.Kind == CapacityReserved
 	}
-	if !told || g.waitingFor(late) == nil {
-		t.Errorf("caller told: %v, late flow still waits: %v", told, g.waitingFor(late) != nil)
+	if !told || g.findQueued(late) == nil {
+		t.Errorf("caller told: %v, late flow still waits: %v", told, g.findQueued(late) != nil)
 	}
 }
 
@@ -70,12 +70,12 @@
 	now := time.Unix(1000, 0)
 	g := fullGate(now)
 	returnWaiting(g, now, 2, 100*time.Millisecond, ReasonNone)
-	g.returns[0].until = now.Add(time.Minute)
+	g.waitingCallers[0].expiresAt = now.Add(time.Minute)
 	g.requests-- // a slot that dequeue has not given away yet
-	if reason := g.barred(now, &Message{Kind: Open, Service: listing}); reason != ReasonBusy {
+	if reason := g.refusalReason(now, &Message{Kind: Open, Service: listing}); reason != ReasonBusy {
 		t.Errorf("late flow: %v, want busy", reason)
 	}
-	if reason := g.barred(now, &Message{Kind: Open, Service: listing, OnTime: 200 * time.Millisecond, Priority: 1}); reason != ReasonNone {
+	if reason := g.refusalReason(now, &Message{Kind: Open, Service: listing, OnTime: 200 * time.Millisecond, Priority: 1}); reason != ReasonNone {
 		t.Errorf("urgent flow that can be in time: %v", reason)
 	}
 }
@@ -87,14 +87,14 @@
 // behind the old ones.
 func TestYoungestOfThoseThatMayBeOlderGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	wait := func(onTime time.Duration, older bool) queued {
-		return queued{onTime: now.Add(onTime), until: now.Add(onTime + time.Second), older: older}
+	wait := func(onTime time.Duration, older bool) queueEntry {
+		return queueEntry{onTimeUntil: now.Add(onTime), expiresAt: now.Add(onTime + time.Second), mayBeOlder: older}
 	}
 	late, first, last, sure := wait(0, true), wait(100*time.Millisecond, true), wait(150*time.Millisecond, true), wait(50*time.Millisecond, false)
-	list := []queued{late, first, last, sure}
-	for i, want := range []queued{sure, last, first, late} {
-		if got := takeFirst(&list, now); got.onTime != want.onTime {
-			t.Errorf("number %d can be in time for %v, want %v", i, got.onTime.Sub(now), want.onTime.Sub(now))
+	list := []queueEntry{late, first, last, sure}
+	for i, want := range []queueEntry{sure, last, first, late} {
+		if got := removeNext(&list, now); got.onTimeUntil != want.onTimeUntil {
+			t.Errorf("number %d can be in time for %v, want %v", i, got.onTimeUntil.Sub(now), want.onTimeUntil.Sub(now))
 		}
 	}
 }
--- a/flow/orders_test.go
+++ b/flow/orders_test.go
@@ -150,7 +150,7 @@
 	w := newWorld(t, 1)
 	w.server(0).hold = func(Segment) {}
 	g := w.gate(0)
-	for i := range g.room() {
+	for i := range g.requestCapacity() {
 		w.offerTo(0, listing, uint16(2000+i))
 	}
 	c := w.caller(3000, listingPort)
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -13,56 +13,56 @@
 // 0.864 in place of 0.909 (flow/lab, ten seeds).
 const queuePerSlot = 100
 
-// queued is a flow that waits for room at the server.
-type queued struct {
-	key    Key
-	via    netip.AddrPort
-	onTime time.Time // until when its request can be answered in time
-	until  time.Time // when it is given up
-	urgent bool
-	older  bool   // may have been asked longer ago than onTime takes for granted
-	opener uint32 // sequence number of the packet
-	packet []byte
+// queueEntry is a flow that waits for room at the server.
+type queueEntry struct {
+	key         Key
+	via         netip.AddrPort
+	onTimeUntil time.Time // until when its request can be answered in time
+	expiresAt   time.Time // when it is given up
+	urgent      bool
+	mayBeOlder  bool   // may have been asked longer ago than onTime takes for granted
+	opener      uint32 // sequence number of the packet
+	packet      []byte
 }
 
-// waitOf returns the wait that a balancer's message asks for.
-func waitOf(now time.Time, m *Message) queued {
-	return queued{
-		onTime: now.Add(m.OnTime), until: now.Add(m.Wait), urgent: m.Priority <= urgentPriority, older: m.Reason == ReasonStarted,
+// newQueueEntry returns the wait that a balancer's message asks for.
+func newQueueEntry(now time.Time, m *Message) queueEntry {
+	return queueEntry{
+		onTimeUntil: now.Add(m.OnTime), expiresAt: now.Add(m.Wait), urgent: m.Priority <= urgentPriority, mayBeOlder: m.Reason == ReasonStarted,
 	}
 }
 
-// chance says how likely it is that a request is answered in time.
-type chance uint8
+// timeliness says how likely it is that a request is answered in time.
+type timeliness uint8
 
 const (
-	inTime      chance = iota
-	maybeInTime        // if it is as young as it looks
+	inTime      timeliness = iota
+	maybeInTime            // if it is as young as it looks
 	late
 )
 
-func (q *queued) chance(now time.Time) chance {
+func (q *queueEntry) timeliness(now time.Time) timeliness {
 	switch {
-	case !q.onTime.After(now):
+	case !q.onTimeUntil.After(now):
 		return late
-	case q.older:
+	case q.mayBeOlder:
 		return maybeInTime
 	}
 	return inTime
 }
 
-// before reports whether q goes to the server before o: what can still be in time,
+// precedes reports whether q goes to the server precedes o: what can still be in time,
 // then what is urgent. Otherwise the one that came first does; but of those that may be
 // older than they look the last one, which most likely is not.
-func (q *queued) before(o *queued, now time.Time) bool {
-	c, oc := q.chance(now), o.chance(now)
+func (q *queueEntry) precedes(o *queueEntry, now time.Time) bool {
+	c, oc := q.timeliness(now), o.timeliness(now)
 	if c != oc {
 		return c < oc
 	}
 	if q.urgent != o.urgent {
 		return q.urgent
 	}
-	return c == maybeInTime && q.onTime.After(o.onTime)
+	return c == maybeInTime && q.onTimeUntil.After(o.onTimeUntil)
 }
 
 // enqueue lets a flow wait for room. It returns false if too many wait.
@@ -71,11 +71,11 @@
 // after three times not at all. While it waits it costs nothing, and what is
 // late already leaves the room to what is not.
 func (g *Gate) enqueue(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) bool {
-	q := g.waitingFor(s.Key)
+	q := g.findQueued(s.Key)
 	if q == nil {
-		waits := waitOf(now, m)
+		waits := newQueueEntry(now, m)
 		waits.key, waits.opener = s.Key, s.Seq
-		if !g.makePlace(now, &waits) {
+		if !g.makeQueueSpace(now, &waits) {
 			return false
 		}
 		waits.packet = append([]byte(nil), packet...)
@@ -87,19 +87,19 @@
 	return true
 }
 
-// makePlace reports whether a flow may wait. If too many do, the one that would be served
+// makeQueueSpace reports whether a flow may wait. If too many do, the one that would be served
 // last is handed back for one that goes before it.
-func (g *Gate) makePlace(now time.Time, q *queued) bool {
-	if len(g.queue) < g.queueLimit(now, q.until) {
+func (g *Gate) makeQueueSpace(now time.Time, q *queueEntry) bool {
+	if len(g.queue) < g.queueLimit(now, q.expiresAt) {
 		return true
 	}
 	last := -1
 	for i := range g.queue {
-		if last < 0 || !g.queue[i].before(&g.queue[last], now) {
+		if last < 0 || !g.queue[i].precedes(&g.queue[last], now) {
 			last = i
 		}
 	}
-	if last < 0 || !q.before(&g.queue[last], now) {
+	if last < 0 || !q.precedes(&g.queue[last], now) {
 		return false
 	}
 	g.refuse(now, g.queue[last].via, g.queue[last].key, ReasonBusy)
@@ -107,7 +107,7 @@
 	return true
 }
 
-func (g *Gate) waitingFor(key Key) *queued {
+func (g *Gate) findQueued(key Key) *queueEntry {
 	for i := range g.queue {
 		if g.queue[i].key == key {
 			return &g.queue[i]
@@ -120,9 +120,9 @@
 // there is room for them, and hands back those whose time is over or that the server may
 // not get any more.
 func (g *Gate) dequeue(now time.Time) {
-	g.expireReserved(now)
+	g.expireReservations(now)
 	g.expireQueue(now)
-	g.refuseReturns(now)
+	g.expireWaitingCallers(now)
 	if g.State(now) != ServerReady {
 		return
 	}
@@ -138,18 +138,18 @@
 // If every flow that waits went before every caller, new requests of those callers waited
 // behind late ones until all of them were told at once.
 func (g *Gate) dequeueOne(now time.Time) bool {
-	flow, caller := firstOf(g.queue, now), firstOf(g.returns, now)
-	if caller >= 0 && (flow < 0 || g.returns[caller].before(&g.queue[flow], now)) {
-		if !g.returnRoomLeft(now) {
+	flow, caller := nextIndex(g.queue, now), nextIndex(g.waitingCallers, now)
+	if caller >= 0 && (flow < 0 || g.waitingCallers[caller].precedes(&g.queue[flow], now)) {
+		if !g.hasCallerCapacity(now) {
 			return false
 		}
-		g.grantReturn(now, takeFirst(&g.returns, now))
+		g.reserveCapacity(now, removeNext(&g.waitingCallers, now))
 		return true
 	}
-	if flow < 0 || g.requests+g.reserved.len() >= g.room() || !g.coldRoom(now, g.reserved.len()) {
+	if flow < 0 || g.requests+g.reservations.len() >= g.requestCapacity() || !g.hasColdCapacity(now, g.reservations.len()) {
 		return false
 	}
-	q := takeFirst(&g.queue, now)
+	q := removeNext(&g.queue, now)
 	g.admit(now, q.via, q.key, q.opener, q.packet)
 	return true
 }
@@ -160,33 +160,33 @@
 		return
 	}
 	if g.State(now) != ServerReady {
-		g.refuseQueued(now, ReasonState, func(*queued) bool { return true })
+		g.refuseQueued(now, ReasonState, func(*queueEntry) bool { return true })
 		return
 	}
-	g.refuseQueued(now, ReasonBusy, func(q *queued) bool { return !q.until.After(now) })
+	g.refuseQueued(now, ReasonBusy, func(q *queueEntry) bool { return !q.expiresAt.After(now) })
 }
 
-// firstOf returns the index of what goes first, negative if the list is empty.
-func firstOf(list []queued, now time.Time) int {
+// nextIndex returns the index of what goes first, negative if the list is empty.
+func nextIndex(list []queueEntry, now time.Time) int {
 	best := -1
 	for i := range list {
-		if best < 0 || list[i].before(&list[best], now) {
+		if best < 0 || list[i].precedes(&list[best], now) {
 			best = i
 		}
 	}
 	return best
 }
 
-// takeFirst takes out what goes first; the list must not be empty.
-func takeFirst(list *[]queued, now time.Time) queued {
-	i := firstOf(*list, now)
+// removeNext takes out what goes first; the list must not be empty.
+func removeNext(list *[]queueEntry, now time.Time) queueEntry {
+	i := nextIndex(*list, now)
 	q := (*list)[i]
 	*list = append((*list)[:i], (*list)[i+1:]...)
 	return q
 }
 
 // refuseQueued hands back the flows that over selects.
-func (g *Gate) refuseQueued(now time.Time, reason Reason, over func(*queued) bool) {
+func (g *Gate) refuseQueued(now time.Time, reason Reason, over func(*queueEntry) bool) {
 	kept := g.queue[:0]
 	for i := range g.queue {
 		q := g.queue[i]
@@ -199,12 +199,12 @@
 	g.queue = kept
 }
 
-// queueEnds returns when the first flow, or caller, has waited for too long.
-func (g *Gate) queueEnds() (at time.Time, ok bool) {
-	for _, list := range [...][]queued{g.queue, g.returns} {
+// earliestExpiry returns when the first flow, or caller, has waited for too long.
+func (g *Gate) earliestExpiry() (at time.Time, ok bool) {
+	for _, list := range [...][]queueEntry{g.queue, g.waitingCallers} {
 		for i := range list {
-			if !ok || list[i].until.Before(at) {
-				at, ok = list[i].until, true
+			if !ok || list[i].expiresAt.Before(at) {
+				at, ok = list[i].expiresAt, true
 			}
 		}
 	}
--- a/flow/room_test.go
+++ b/flow/room_test.go
@@ -45,17 +45,17 @@
 			}
 		}
 	}
-	if want := g.returnRoom(); told != want {
+	if want := g.callerCapacity(); told != want {
 		t.Errorf("%d callers told at once, want %d", told, want)
 	}
-	now = now.Add(reserveTime)
+	now = now.Add(reservationTTL)
 	g.Tick(now)
 	for _, e := range g.Effects() {
 		if e.Message.Kind == CapacityReserved {
 			told++
 		}
 	}
-	if want := 2 * g.returnRoom(); told != want {
+	if want := 2 * g.callerCapacity(); told != want {
 		t.Errorf("%d callers told after the first did not come, want %d", told, want)
 	}
 }
@@ -66,7 +66,7 @@
 func TestCallersWithoutRoomAreTold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 1)
-	full := returnsPerSlot + g.returnRoom()
+	full := waitingCallersPerSlot + g.callerCapacity()
 	for port := range uint16(full) {
 		askReturn(g, now, port, 100*time.Millisecond)
 	}
@@ -91,14 +91,14 @@
 // Cause: what came first went first, also if it was late already.
 func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	old := queued{onTime: now, until: now.Add(100 * time.Millisecond)}
-	young := queued{onTime: now, until: now.Add(time.Second)}
-	urgent := queued{onTime: now, until: now.Add(50 * time.Millisecond), urgent: true}
-	early := queued{onTime: now.Add(time.Millisecond), until: now.Add(10 * time.Millisecond)}
-	list := []queued{old, young, urgent, early}
-	for _, want := range []queued{early, urgent, old, young} {
-		if got := takeFirst(&list, now); got.until != want.until {
-			t.Errorf("first until %v, want %v", got.until.Sub(now), want.until.Sub(now))
+	old := queueEntry{onTimeUntil: now, expiresAt: now.Add(100 * time.Millisecond)}
+	young := queueEntry{onTimeUntil: now, expiresAt: now.Add(time.Second)}
+	urgent := queueEntry{onTimeUntil: now, expiresAt: now.Add(50 * time.Millisecond), urgent: true}
+	early := queueEntry{onTimeUntil: now.Add(time.Millisecond), expiresAt: now.Add(10 * time.Millisecond)}
+	list := []queueEntry{old, young, urgent, early}
+	for _, want := range []queueEntry{early, urgent, old, young} {
+		if got := removeNext(&list, now); got.expiresAt != want.expiresAt {
+			t.Errorf("first until %v, want %v", got.expiresAt.Sub(now), want.expiresAt.Sub(now))
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	open := Segment{Key: Key{CallerPort: 1}, Seq: 1, Syn: true}
 	g.FromBalancer(now, balancerA, &Message{Kind: Open, Service: listing}, &open, []byte{1})
 	g.FromServer(now, Segment{Key: open.Key, Seq: 9, Ack: 2, Syn: true, HasAck: true}, []byte{1})
-	g.hold(now, Key{CallerPort: 2}, gateLost)
+	g.addFlow(now, Key{CallerPort: 2}, gateLost)
 	g.Effects()
 	question := make([]byte, numberSize)
 	for port := range uint16(4) {
--- a/flow/world_test.go
+++ b/flow/world_test.go
@@ -149,7 +149,7 @@
 		w.now = w.now.Add(step)
 		for n := range len(w.agents) {
 			a := w.agents[agentAddr(n)]
-			if a == nil || a.server.mute || !a.gate.server.known || w.now.Sub(a.gate.server.heartbeatAt) < time.Second {
+			if a == nil || a.server.mute || !a.gate.server.stateKnown || w.now.Sub(a.gate.server.lastHeartbeatAt) < time.Second {
 				continue
 			}
 			w.beat(n, a.server.sequence+1, a.gate.server.draining)
