--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -30,7 +30,7 @@
 // beat sends a heartbeat that says how much longer the server is cold.
 func (c *coldGate) beat(cold time.Duration) {
 	c.beats++
-	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, Cold: cold})
+	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, ColdFor: cold})
 	c.collect()
 }
 
@@ -62,7 +62,7 @@
 	for key, f := range c.flows {
 		if f.state == gateOffered {
 			c.FromServer(c.now, Segment{Key: key, Seq: 50, Ack: f.opener + 1, Syn: true, HasAck: true}, []byte{2})
-			c.end(f)
+			c.endRequest(f)
 		}
 	}
 	c.collect()
@@ -123,7 +123,7 @@
 	passed := c.passed
 	again := newColdGate(c.now.Add(100 * time.Millisecond))
 	again.passed, again.beats = passed, 5
-	again.Checked(again.now, Check{Answered: true, Instance: "i"})
+	again.StatusCheck(again.now, StatusCheckResult{Answered: true, Instance: "i"})
 	for range 300 {
 		again.now = again.now.Add(10 * time.Millisecond)
 		again.offer(0, 2)
@@ -208,7 +208,7 @@
 			refused++
 		}
 	}
-	if waiting := len(c.returns); waiting == 0 || waiting > 2*coldLimit || refused < 17*coldLimit {
+	if waiting := len(c.waitingCallers); waiting == 0 || waiting > 2*coldLimit || refused < 17*coldLimit {
 		t.Errorf("%d callers wait two seconds at a server that bears %d in each, %d of %d refused at once", waiting, coldLimit, refused, 20*coldLimit)
 	}
 }
@@ -253,7 +253,7 @@
 			case "beat":
 				c.beat(30 * time.Second)
 			case "late beat":
-				c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5, Cold: 30 * time.Second})
+				c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5, ColdFor: 30 * time.Second})
 			case "tick":
 				c.Tick(c.now)
 				c.collect()
@@ -263,7 +263,7 @@
 				next := newColdGate(c.now)
 				next.passed, next.beats, next.port = c.passed, c.beats+2, c.port
 				c = next
-				c.Checked(c.now, Check{Answered: true, Instance: "i"})
+				c.StatusCheck(c.now, StatusCheckResult{Answered: true, Instance: "i"})
 			case "order":
 				o := rapid.SampledFrom([]ZoneOrder{ZoneUnknown, ZoneInService}).Draw(t, "order")
 				c.FromBalancer(c.now, balancerB, &Message{Kind: Hello, Service: records, Revision: 1, ZoneOrder: o}, nil, nil)
