--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -58,10 +58,10 @@
 
 // nodeBelief is one process's answer and what it means.
 type nodeBelief struct {
-	Address string       `json:"address"`
-	Beliefs node.Beliefs `json:"beliefs"`
-	State   string       `json:"state"`
-	Error   string       `json:"error,omitempty"`
+	Address string        `json:"address"`
+	Beliefs node.Snapshot `json:"beliefs"`
+	State   string        `json:"state"`
+	Error   string        `json:"error,omitempty"`
 }
 
 var errDiffers = errors.New("not everything is in force and reachable; see the table")
@@ -155,7 +155,7 @@
 		wg.Go(func() {
 			tokens <- struct{}{}
 			nodes[i].Address = a
-			if err := getJSON(ctx, client, "http://"+a+node.BeliefsPath, beliefsLimit, &nodes[i].Beliefs); err != nil {
+			if err := getJSON(ctx, client, "http://"+a+node.SnapshotPath, beliefsLimit, &nodes[i].Beliefs); err != nil {
 				nodes[i].Error = err.Error()
 			}
 			<-tokens
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -73,7 +73,7 @@
 	gate *flow.Gate
 	era  store.Era // of the store, as far as balancers have told
 
-	introducer *node.Introducer
+	introducer *node.Registrar
 	heartbeat  prometheus.Histogram
 	wrongBeats prometheus.Counter
 
@@ -119,14 +119,14 @@
 		return nil, err
 	}
 	a.beats = a.output()
-	a.introducer = &node.Introducer{
-		Self:  node.Peer{Role: node.RoleAgent, Addr: s.Packets, Zone: s.Zone, Service: s.Service},
-		Store: cfg.Store,
-		Found: a.introduce,
-		Wrong: node.NewWrongKeys(reg),
-		Log:   log,
-
-		Restored: a.storeRestored,
+	a.introducer = &node.Registrar{
+		Self:        node.Peer{Role: node.RoleAgent, Addr: s.Packets, Zone: s.Zone, Service: s.Service},
+		Store:       cfg.Store,
+		PeersListed: a.introduce,
+		InvalidKeys: node.NewInvalidKeys(reg),
+		Log:         log,
+
+		StoreRestored: a.storeRestored,
 	}
 	registerMetrics(reg, a)
 	return a, nil
@@ -134,7 +134,7 @@
 
 // fresh returns how long the server counts as ready after a heartbeat, 0 for the
 // default.
-func fresh(s *node.Settings) time.Duration { return max(s.AddressRest-restMargin, 0) }
+func fresh(s *node.Settings) time.Duration { return max(s.AddressReuseDelay-restMargin, 0) }
 
 // introduceSeeds reports to the balancers that the settings name, with a.mu held.
 // They have the agent in their rosters then, whatever the store does.
@@ -153,11 +153,11 @@
 }
 
 // Beliefs implements process.Part.
-func (a *Agent) Beliefs() node.Beliefs {
+func (a *Agent) Beliefs() node.Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.gate.Snapshot(node.Now())
-	return node.Beliefs{VM: a.cfg.Settings.Name, Role: node.RoleAgent, Zone: a.cfg.Settings.Zone, Agent: &now}
+	return node.Snapshot{VM: a.cfg.Settings.Name, Role: node.RoleAgent, Zone: a.cfg.Settings.Zone, Agent: &now}
 }
 
 // Ready reports whether the server takes new flows.
@@ -188,7 +188,7 @@
 // balancer that started within 45 s, since the agent never answered.
 func (a *Agent) Drain(ctx context.Context) {
 	a.event(func(now time.Time) { a.gate.Close(now) })
-	a.introducer.Leave(ctx)
+	a.introducer.Deregister(ctx)
 }
 
 func (a *Agent) output() *node.Output {
@@ -227,9 +227,9 @@
 	return taken
 }
 
-// WrongHeartbeat implements node.ServerEvents. Whoever sends such heartbeats may
+// InvalidHeartbeat implements node.ServerEvents. Whoever sends such heartbeats may
 // send many: one line a second says so, the counter tells how many there are.
-func (a *Agent) WrongHeartbeat(err error) {
+func (a *Agent) InvalidHeartbeat(err error) {
 	a.wrongBeats.Inc()
 	a.beatMu.Lock()
 	defer a.beatMu.Unlock()
@@ -297,7 +297,7 @@
 	}
 	a.era = era
 	g.StoreRestored(now, store.VersionAt(era, 0))
-	a.introducer.NoteVersion(number)
+	a.introducer.ObserveVersion(number)
 }
 
 // storeRestored notes what an answer of the store told this agent itself. Balancers hear of
--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -66,7 +66,7 @@
 	pages      net.Listener
 	shared     net.Listener // where other balancers ask for the configuration
 	follower   *node.Follower
-	introducer *node.Introducer
+	introducer *node.Registrar
 	inForce    node.Orders // used by the follower alone, one call at a time
 	readiness  *node.Readiness
 	tracer     *tracer // used under mu
@@ -93,7 +93,7 @@
 	cfg.Director.Zone = cfg.Settings.Zone
 	cfg.Director.Regions = cfg.Settings.Zones
 	cfg.Director.MaxAge = cfg.Settings.MaxFlowAge
-	cfg.Director.Link = cfg.Settings.Link
+	cfg.Director.Link = cfg.Settings.LinkRate
 	b := &Balancer{cfg: cfg, log: log, due: make(chan struct{}, 1), kick: make(chan struct{}, 1)}
 	spans, err := node.NewSpans(cfg.Traces)
 	if err != nil {
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	b.follower = b.newFollower()
-	b.wrongKeys = node.NewWrongKeys(reg)
+	b.wrongKeys = node.NewInvalidKeys(reg)
 	b.introducer = b.newIntroducer()
 	registerMetrics(reg, b)
 	return b, nil
@@ -165,11 +165,11 @@
 }
 
 // Beliefs implements process.Part.
-func (b *Balancer) Beliefs() node.Beliefs {
+func (b *Balancer) Beliefs() node.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.director.Snapshot(node.Now())
-	return node.Beliefs{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
+	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
 }
 
 // introduceSeeds makes the balancers known that the settings name, with b.mu
@@ -323,15 +323,15 @@
 	}
 }
 
-func (b *Balancer) newIntroducer() *node.Introducer {
-	return &node.Introducer{
-		Self:  node.Peer{Role: node.RoleBalancer, Addr: b.addr(), Zone: b.cfg.Settings.Zone},
-		Store: b.cfg.Store,
-		Found: b.introduce,
-		Wrong: b.wrongKeys,
-		Log:   b.log,
+func (b *Balancer) newIntroducer() *node.Registrar {
+	return &node.Registrar{
+		Self:        node.Peer{Role: node.RoleBalancer, Addr: b.addr(), Zone: b.cfg.Settings.Zone},
+		Store:       b.cfg.Store,
+		PeersListed: b.introduce,
+		InvalidKeys: b.wrongKeys,
+		Log:         b.log,
 
-		Restored: b.storeRestored,
+		StoreRestored: b.storeRestored,
 	}
 }
 
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -110,7 +110,7 @@
 	}
 	to := []netip.AddrPort{source}
 	if !source.IsValid() {
-		to = p.b.director.SampleBalancers(now, node.AskAtOnce)
+		to = p.b.director.SampleBalancers(now, node.MaxParallelRequests)
 	}
 	if len(to) == 0 {
 		return nil, false // nobody is known yet
@@ -145,14 +145,14 @@
 
 // addShared serves the operator's orders to other balancers.
 func (b *Balancer) addShared(g *run.Group) {
-	s := &http.Server{Handler: node.ValuePage(b.follower), ReadHeaderTimeout: readHeaderTimeout}
+	s := &http.Server{Handler: node.ValueHandler(b.follower), ReadHeaderTimeout: readHeaderTimeout}
 	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.shared)) }, func(error) { s.Close() })
 }
 
 // takeOrders puts the operator's orders in force and reports whether they could be read.
 func (b *Balancer) takeOrders(v store.Value) bool {
 	start := node.Now()
-	b.introducer.NoteVersion(v.Version)
+	b.introducer.ObserveVersion(v.Version)
 	o, err := node.DecodeOrders(v.Data)
 	if err != nil {
 		b.log.Error("orders refused", zap.Error(err))
--- a/internal/node/valueclient.go
+++ b/internal/node/client.go
@@ -25,66 +25,66 @@
 	// askStep is the time in which more of an answer has to arrive: above what TCP waits
 	// before it repeats a lost segment for the second time.
 	askStep = 800 * time.Millisecond
-	// AskAtOnce is the number of processes asked at a time: of three, one lives
+	// MaxParallelRequests is the number of processes asked at a time: of three, one lives
 	// and can be reached even if most of a fleet has just been restarted.
-	AskAtOnce = 3
+	MaxParallelRequests = 3
 	// valueLimit bounds a value in bytes: twice what the store keeps.
 	valueLimit = 2 * store.MaxValue
 )
 
-// NoValueError reports that no other process could tell a newer value.
-type NoValueError struct {
+// NoNewerValueError reports that no other process could tell a newer value.
+type NoNewerValueError struct {
 	Asked int   // processes that were asked
 	Last  error // what the last of them said; nil if there was none to ask
 }
 
-func (e *NoValueError) Error() string {
+func (e *NoNewerValueError) Error() string {
 	return fmt.Sprintf("none of %d other processes told a newer value; others or the store are asked: %v", e.Asked, e.Last)
 }
 
-func (e *NoValueError) Unwrap() error { return e.Last }
+func (e *NoNewerValueError) Unwrap() error { return e.Last }
 
-// NothingNewerError reports a process that has no newer value than the asker.
-type NothingNewerError struct {
+// NotNewerError reports a process that has no newer value than the asker.
+type NotNewerError struct {
 	Process netip.AddrPort
 	Version uint64 // that it has
 }
 
-func (e *NothingNewerError) Error() string {
+func (e *NotNewerError) Error() string {
 	return fmt.Sprintf("%v has version %s, which is not newer; no action is needed", e.Process, store.FormatVersion(e.Version))
 }
 
-// RefusedValueError reports a process that answered with neither a value nor that it has
+// ResponseStatusError reports a process that answered with neither a value nor that it has
 // none that is newer.
-type RefusedValueError struct {
+type ResponseStatusError struct {
 	Process netip.AddrPort
 	Status  string
 }
 
-func (e *RefusedValueError) Error() string {
+func (e *ResponseStatusError) Error() string {
 	return fmt.Sprintf("%v answered %s; another process or the store is asked", e.Process, e.Status)
 }
 
-// LostValueError reports a process whose answer did not arrive, or not whole.
-type LostValueError struct {
+// ValueTransferError reports a process whose answer did not arrive, or not whole.
+type ValueTransferError struct {
 	Process netip.AddrPort
 	Err     error
 }
 
-func (e *LostValueError) Error() string {
+func (e *ValueTransferError) Error() string {
 	return fmt.Sprintf("%v: %v; another process or the store is asked", e.Process, e.Err)
 }
 
-func (e *LostValueError) Unwrap() error { return e.Err }
+func (e *ValueTransferError) Unwrap() error { return e.Err }
 
 // ValueClient asks other processes for the value that they follow. It is not safe for
 // concurrent use.
 type ValueClient struct {
 	http *http.Client
-	// Began, if not nil, is called when a process begins to send a newer value.
-	Began func()
-	// Content returns the number of a value's content; nil if contents have none.
-	Content func(data []byte) uint64
+	// BodyStarted, if not nil, is called when a process begins to send a newer value.
+	BodyStarted func()
+	// ContentNumber returns the number of a value's content; nil if contents have none.
+	ContentNumber func(data []byte) uint64
 
 	unanswered int  // questions in a row to which no answer began
 	whole      bool // the next value is not to be encoded against the one that is known
@@ -113,11 +113,11 @@
 	err      error
 }
 
-// Ask returns a value newer than known from whichever of some of the processes answers
+// Fetch returns a value newer than known from whichever of some of the processes answers
 // first. The answers of the others are not taken: together they would fill the link.
-func (c *ValueClient) Ask(ctx context.Context, processes []netip.AddrPort, known store.Value) (ReceivedValue, error) {
+func (c *ValueClient) Fetch(ctx context.Context, processes []netip.AddrPort, known store.Value) (ReceivedValue, error) {
 	rand.Shuffle(len(processes), func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
-	processes = processes[:min(len(processes), AskAtOnce)]
+	processes = processes[:min(len(processes), MaxParallelRequests)]
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
 	limits := transfer.Limits{Answer: askTimeout << min(c.unanswered, askDoublings), Step: askStep}
@@ -140,7 +140,7 @@
 
 // first takes the first answer that has a newer value.
 func (c *ValueClient) first(processes []netip.AddrPort, cancels []context.CancelFunc, answers <-chan valueAnswer, known store.Value) (ReceivedValue, error) {
-	failed := &NoValueError{Asked: len(processes)}
+	failed := &NoNewerValueError{Asked: len(processes)}
 	answered := false
 	for range processes {
 		a := <-answers
@@ -184,7 +184,7 @@
 	}
 	a.resp, err = c.http.Do(req)
 	if err != nil {
-		a.err = &LostValueError{Process: process, Err: transfer.Err(a.ctx, err)}
+		a.err = &ValueTransferError{Process: process, Err: transfer.Err(a.ctx, err)}
 		return a
 	}
 	a.err = a.judge(known)
@@ -193,10 +193,10 @@
 
 // contentOf returns the number of the content that the asker has, 0 if it has none.
 func (c *ValueClient) contentOf(known store.Value) uint64 {
-	if c.Content == nil || known.Version == 0 {
+	if c.ContentNumber == nil || known.Version == 0 {
 		return 0
 	}
-	return c.Content(known.Data)
+	return c.ContentNumber(known.Data)
 }
 
 // judge reports why an answer brings no newer value, nil if it brings one.
@@ -204,18 +204,18 @@
 	switch a.resp.StatusCode {
 	case http.StatusOK, http.StatusNotModified, http.StatusNoContent:
 	default:
-		return &RefusedValueError{Process: a.process, Status: a.resp.Status}
+		return &ResponseStatusError{Process: a.process, Status: a.resp.Status}
 	}
 	version, err := a.version()
 	if err != nil {
-		return &LostValueError{Process: a.process, Err: err}
+		return &ValueTransferError{Process: a.process, Err: err}
 	}
 	content, err := headerNumber(a.resp.Header, contentHeader)
 	switch {
 	case err != nil:
-		return &LostValueError{Process: a.process, Err: err}
+		return &ValueTransferError{Process: a.process, Err: err}
 	case version <= known.Version && content <= a.known, a.resp.StatusCode == http.StatusNoContent:
-		return &NothingNewerError{Process: a.process, Version: version}
+		return &NotNewerError{Process: a.process, Version: version}
 	}
 	return nil
 }
@@ -236,24 +236,24 @@
 	defer a.close()
 	version, err := a.version()
 	if err != nil {
-		return ReceivedValue{}, &LostValueError{Process: a.process, Err: err}
+		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: err}
 	}
 	v := ReceivedValue{Value: store.Value{Data: known.Data, Version: version}, Process: a.process}
 	if a.resp.StatusCode == http.StatusNotModified {
 		return v, nil
 	}
-	if c.Began != nil {
-		c.Began()
+	if c.BodyStarted != nil {
+		c.BodyStarted()
 	}
 	data, err := io.ReadAll(io.LimitReader(a.exchange.Body(a.resp.Body, a.resp.ContentLength), valueLimit))
 	if err != nil {
-		return ReceivedValue{}, &LostValueError{Process: a.process, Err: transfer.Err(a.ctx, err)}
+		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: transfer.Err(a.ctx, err)}
 	}
 	v.Bytes = int64(len(data))
 	v.Data, err = decodeBody(a.resp.Header, data, known.Data)
 	c.whole = err != nil
 	if err != nil {
-		return ReceivedValue{}, &LostValueError{Process: a.process, Err: err}
+		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: err}
 	}
 	return v, nil
 }
@@ -272,7 +272,7 @@
 		err = errOtherTag
 	}
 	if err != nil {
-		return nil, &EncodedValueError{Reason: err}
+		return nil, &ValueDecodeError{Reason: err}
 	}
 	return data, nil
 }
--- a/internal/node/encoding.go
+++ b/internal/node/encoding.go
@@ -64,14 +64,14 @@
 	return r.DecodeAll(encoded, nil)
 }
 
-// EncodedValueError reports a value of another process that can't be decoded.
-type EncodedValueError struct{ Reason error }
+// ValueDecodeError reports a value of another process that can't be decoded.
+type ValueDecodeError struct{ Reason error }
 
-func (e *EncodedValueError) Error() string {
+func (e *ValueDecodeError) Error() string {
 	return fmt.Sprintf("the value can't be decoded: %v; it is asked for as a whole", e.Reason)
 }
 
-func (e *EncodedValueError) Unwrap() error { return e.Reason }
+func (e *ValueDecodeError) Unwrap() error { return e.Reason }
 
 var errOtherTag = errors.New("its tag is another than it was sent with")
 
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -41,9 +41,9 @@
 	// Merge returns what holds of a known value and another one, which the store or
 	// another process has. It has the higher version of the two.
 	Merge(known, other store.Value) store.Value
-	// Content returns the number that the writer gave to a value's content, 0 if none.
+	// ContentNumber returns the number that the writer gave to a value's content, 0 if none.
 	// A higher one is newer, whatever the version.
-	Content(data []byte) uint64
+	ContentNumber(data []byte) uint64
 }
 
 // Follower learns of each change of one value, from the store or from other processes,
@@ -73,7 +73,7 @@
 	var duties sync.WaitGroup
 	defer duties.Wait()
 	others := NewValueClient()
-	others.Began, others.Content = f.Plan.Receiving, f.Source.Content
+	others.BodyStarted, others.ContentNumber = f.Plan.Receiving, f.Source.ContentNumber
 	calls, fetches := make(chan struct{}, 1), make(chan struct{}, 1)
 	duties.Go(func() { f.calls(ctx, calls) })
 	duties.Go(func() { f.fetches(ctx, others, fetches) })
@@ -149,7 +149,7 @@
 
 func (f *Follower) fetch(ctx context.Context, others *ValueClient, from []netip.AddrPort) {
 	known, begun := f.known(), Now()
-	v, err := others.Ask(ctx, from, known)
+	v, err := others.Fetch(ctx, from, known)
 	took := Now().Sub(begun)
 	if err != nil {
 		f.Log.Info("no value from other processes", zap.String("key", f.Source.Name()), zap.Duration("took", took), zap.Error(err))
@@ -243,7 +243,7 @@
 	if v.Version <= known.Version && bytes.Equal(v.Data, known.Data) {
 		return
 	}
-	content := f.Source.Content(v.Data)
+	content := f.Source.ContentNumber(v.Data)
 	if v.Version <= known.Version && content <= f.knownContent() {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,8 +14,8 @@
 	// Heartbeat returns false for one that is not acted on, and so must not be
 	// acknowledged.
 	Heartbeat(flow.Heartbeat) bool
-	// WrongHeartbeat is told of one that no server sends.
-	WrongHeartbeat(error)
+	// InvalidHeartbeat is told of one that no server sends.
+	InvalidHeartbeat(error)
 	// Leave is told that an instance ends. born is when it was started, as in
 	// flow.Heartbeat.
 	Leave(instance string, born int64)
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -236,8 +236,8 @@
 	return store.Value{Data: o.Encode(), Version: newer.Version}
 }
 
-// Content implements ValueSource: the number of the configuration.
-func (s *OrdersSource) Content(value []byte) uint64 {
+// ContentNumber implements ValueSource: the number of the configuration.
+func (s *OrdersSource) ContentNumber(value []byte) uint64 {
 	o, err := DecodeOrders(value)
 	if err != nil || len(o.Configuration) == 0 {
 		return 0
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -333,7 +333,7 @@
 		take := func(i int, v store.Value) {
 			before := held[i]
 			held[i] = sources[i].Merge(before, v)
-			if before.Version > held[i].Version || sources[i].Content(before.Data) > sources[i].Content(held[i].Data) {
+			if before.Version > held[i].Version || sources[i].ContentNumber(before.Data) > sources[i].ContentNumber(held[i].Data) {
 				t.Fatalf("process %d goes back from %s with %q to %s with %q", i, store.FormatVersion(before.Version), before.Data, store.FormatVersion(held[i].Version), held[i].Data)
 			}
 		}
@@ -365,7 +365,7 @@
 		}
 		newest := uint64(0)
 		for i := range processes {
-			newest = max(newest, sources[i].Content(held[i].Data))
+			newest = max(newest, sources[i].ContentNumber(held[i].Data))
 		}
 		for range 2 {
 			for i := range processes {
@@ -375,7 +375,7 @@
 			}
 		}
 		for i := range processes {
-			if got := sources[i].Content(held[i].Data); held[i].Version != 0 && got != newest {
+			if got := sources[i].ContentNumber(held[i].Data); held[i].Version != 0 && got != newest {
 				t.Errorf("process %d has configuration %d once all have met, want %d", i, got, newest)
 			}
 		}
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -111,24 +111,24 @@
 	retryMax  = 1800 * time.Millisecond
 )
 
-// NewWrongKeys returns the counter of keys that no process has written.
-func NewWrongKeys(reg prometheus.Registerer) prometheus.Counter {
+// NewInvalidKeys returns the counter of keys that no process has written.
+func NewInvalidKeys(reg prometheus.Registerer) prometheus.Counter {
 	c := prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_store_keys_wrong_total", Help: "keys read in the store that no process of this system has written"})
 	reg.MustRegister(c)
 	return c
 }
 
-// Introducer keeps the key of this process in the store and learns of others.
-type Introducer struct {
-	Self  Peer
-	Store Store
-	Found func(peers []Peer) // called with every list, by the introducer's goroutine
-	// Restored, if not nil, is called by the introducer's goroutine when an answer of the
+// Registrar keeps the key of this process in the store and learns of others.
+type Registrar struct {
+	Self        Peer
+	Store       Store
+	PeersListed func(peers []Peer) // called with every list, by the introducer's goroutine
+	// StoreRestored, if not nil, is called by the introducer's goroutine when an answer of the
 	// store is the first to tell that it has come back from an older copy. version is the
 	// lowest of the era since then.
-	Restored func(version uint64)
-	Wrong    prometheus.Counter // keys that no process has written, each time they are read
-	Log      *zap.Logger
+	StoreRestored func(version uint64)
+	InvalidKeys   prometheus.Counter // keys that no process has written, each time they are read
+	Log           *zap.Logger
 
 	mu        sync.Mutex // guards lease
 	lease     store.LeaseID
@@ -145,7 +145,7 @@
 }
 
 // Run introduces the process until ctx ends.
-func (i *Introducer) Run(ctx context.Context) error {
+func (i *Registrar) Run(ctx context.Context) error {
 	backoff := store.Backoff{Base: retryBase, Max: retryMax}
 	for {
 		err := i.step(ctx)
@@ -166,7 +166,7 @@
 // pause waits for d, or until the store may have lost the own key. Then the lease is
 // renewed soon, which shows whether it has; processes hear of it at the same moment, and
 // spread their calls.
-func (i *Introducer) pause(ctx context.Context, d time.Duration) {
+func (i *Registrar) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -177,16 +177,16 @@
 }
 
 // doubted returns the channel of doubts: others may be heard before Run begins.
-func (i *Introducer) doubted() chan struct{} {
+func (i *Registrar) doubted() chan struct{} {
 	i.makeDoubts.Do(func() { i.doubts = make(chan struct{}, 1) })
 	return i.doubts
 }
 
-// NoteVersion takes the version of a value that some process has read in the store. If it is
+// ObserveVersion takes the version of a value that some process has read in the store. If it is
 // of a later era than the own lease, the store has come back from an older copy, and the
 // own key may be gone. The next renewal would show it up to 14 s later; until then nobody
 // who starts learns of this process.
-func (i *Introducer) NoteVersion(version uint64) {
+func (i *Registrar) ObserveVersion(version uint64) {
 	era := store.EraOf(version)
 	if uint64(era) <= i.latestEra.Load() {
 		return
@@ -199,7 +199,7 @@
 
 // noteItems takes the era that an answer of the store to this process tells, by the
 // versions of its items.
-func (i *Introducer) noteItems(items []store.Item) {
+func (i *Registrar) noteItems(items []store.Item) {
 	latest := uint64(0)
 	for n := range items {
 		latest = max(latest, items[n].Version)
@@ -210,25 +210,25 @@
 // noteOwnEra takes the era that an answer of the store to this process tells. The others are
 // told of it: in an idle fleet nobody else may call the store for a second or two, in which
 // their keys have to be back.
-func (i *Introducer) noteOwnEra(era store.Era) {
+func (i *Registrar) noteOwnEra(era store.Era) {
 	if uint64(era) <= i.latestEra.Load() {
 		return
 	}
 	first := store.VersionAt(era, 0)
-	i.NoteVersion(first)
-	if i.Restored != nil {
-		i.Restored(first)
+	i.ObserveVersion(first)
+	if i.StoreRestored != nil {
+		i.StoreRestored(first)
 	}
 }
 
 // outlived reports whether a lease is of an earlier era than the latest one heard of.
-func (i *Introducer) outlived(lease store.LeaseID) bool {
+func (i *Registrar) outlived(lease store.LeaseID) bool {
 	era, _, ok := lease.Split()
 	return ok && uint64(era) < i.latestEra.Load()
 }
 
 // next returns when the next call is due.
-func (i *Introducer) next() time.Time {
+func (i *Registrar) next() time.Time {
 	if i.renewAt.Before(i.listAt) {
 		return i.renewAt
 	}
@@ -238,10 +238,10 @@
 // leaveTimeout bounds the call that takes the own key away.
 const leaveTimeout = 300 * time.Millisecond
 
-// Leave takes the own key away: what the store names is asked by every balancer
+// Deregister takes the own key away: what the store names is asked by every balancer
 // that starts, and the flows that it must be sure about wait for the answer. A
 // key that stays ends with its lease.
-func (i *Introducer) Leave(ctx context.Context) {
+func (i *Registrar) Deregister(ctx context.Context) {
 	i.left.Store(true)
 	lease := i.leaseID()
 	if lease == "" {
@@ -255,7 +255,7 @@
 
 // revoke ends the lease of the own key. One of an earlier era may be another process's
 // by now: the own key tells which one it is.
-func (i *Introducer) revoke(ctx context.Context, lease store.LeaseID) error {
+func (i *Registrar) revoke(ctx context.Context, lease store.LeaseID) error {
 	if i.outlived(lease) {
 		own, err := i.own(ctx, false)
 		if err != nil || own == nil {
@@ -266,20 +266,20 @@
 	return i.Store.Revoke(ctx, lease)
 }
 
-func (i *Introducer) leaseID() store.LeaseID {
+func (i *Registrar) leaseID() store.LeaseID {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.lease
 }
 
-func (i *Introducer) setLease(lease store.LeaseID) {
+func (i *Registrar) setLease(lease store.LeaseID) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lease = lease
 }
 
 // noteStore logs the store's loss and its return.
-func (i *Introducer) noteStore(err error) {
+func (i *Registrar) noteStore(err error) {
 	if failed := err != nil; failed != i.failing {
 		i.failing = failed
 		if failed {
@@ -292,7 +292,7 @@
 
 // step makes the calls that are due. The own key is in the store before others are
 // read: of two processes that start at once, the later one then sees the other.
-func (i *Introducer) step(ctx context.Context) error {
+func (i *Registrar) step(ctx context.Context) error {
 	if i.left.Load() {
 		i.renewAt, i.listAt = time.Now().Add(listEvery), time.Now().Add(listEvery)
 		return nil
@@ -307,7 +307,7 @@
 }
 
 // keepLease sees to the lease of the own key.
-func (i *Introducer) keepLease(ctx context.Context) error {
+func (i *Registrar) keepLease(ctx context.Context) error {
 	if i.leaseID() != "" {
 		return i.renew(ctx)
 	}
@@ -319,7 +319,7 @@
 }
 
 // enter writes the own key under a new lease.
-func (i *Introducer) enter(ctx context.Context) error {
+func (i *Registrar) enter(ctx context.Context) error {
 	lease, err := i.Store.Grant(ctx, entryLease)
 	if err != nil {
 		return err
@@ -341,7 +341,7 @@
 	return nil
 }
 
-func (i *Introducer) renew(ctx context.Context) error {
+func (i *Registrar) renew(ctx context.Context) error {
 	if time.Now().Before(i.renewAt) {
 		return nil
 	}
@@ -367,7 +367,7 @@
 // may lack it. If it is there its lease is taken over: that is one read and a renewal in
 // place of two writes, for every process of the fleet at once. The read must not be
 // stale, it would show the key as it was before.
-func (i *Introducer) reclaim(ctx context.Context, lease store.LeaseID) error {
+func (i *Registrar) reclaim(ctx context.Context, lease store.LeaseID) error {
 	own, err := i.own(ctx, false)
 	if err != nil {
 		return err
@@ -378,7 +378,7 @@
 }
 
 // list reads the keys of others, and looks whether the own one is there.
-func (i *Introducer) list(ctx context.Context) error {
+func (i *Registrar) list(ctx context.Context) error {
 	// A balancer's first list is not stale: the agents that it names are taken for all
 	// that there are when everything has just started.
 	stale := i.lists > 0 || i.Self.Role == RoleAgent
@@ -387,7 +387,7 @@
 		return err
 	}
 	i.noteItems(items)
-	i.Found(i.read(items))
+	i.PeersListed(i.read(items))
 	if err := i.keepOwn(ctx); err != nil {
 		return err
 	}
@@ -398,7 +398,7 @@
 
 // prefix begins the keys of the processes that this one deals with: balancers need to
 // know all, agents only balancers.
-func (i *Introducer) prefix() string {
+func (i *Registrar) prefix() string {
 	if i.Self.Role == RoleAgent {
 		return prefixOf(RoleBalancer)
 	}
@@ -406,7 +406,7 @@
 }
 
 // untilNextList returns the time to the next look for others.
-func (i *Introducer) untilNextList() time.Duration {
+func (i *Registrar) untilNextList() time.Duration {
 	switch i.lists {
 	case 1:
 		return listSoon
@@ -417,13 +417,13 @@
 }
 
 // read returns the other processes that items name.
-func (i *Introducer) read(items []store.Item) []Peer {
+func (i *Registrar) read(items []store.Item) []Peer {
 	peers := make([]Peer, 0, len(items))
 	var wrong error
 	for _, item := range items {
 		p, err := parsePeer(item.Key, item.Data)
 		if err != nil {
-			i.Wrong.Inc()
+			i.InvalidKeys.Inc()
 			wrong = err
 			continue
 		}
@@ -439,7 +439,7 @@
 
 // own returns the own key, nil if it is not there. A stale read costs a tenth of a call,
 // and shows the key as it may have been seconds ago.
-func (i *Introducer) own(ctx context.Context, stale bool) (*store.Item, error) {
+func (i *Registrar) own(ctx context.Context, stale bool) (*store.Item, error) {
 	items, err := i.Store.List(ctx, i.Self.key(), stale)
 	if err != nil {
 		return nil, err
@@ -457,7 +457,7 @@
 // it there, and writes the key anew if not. A renewal costs a twentieth of the two
 // calls for a new lease and key; after a loss of power everywhere every process of the
 // fleet makes them.
-func (i *Introducer) begin(ctx context.Context, own *store.Item) error {
+func (i *Registrar) begin(ctx context.Context, own *store.Item) error {
 	if own == nil || own.Lease == "" {
 		return i.enter(ctx)
 	}
@@ -468,7 +468,7 @@
 
 // keepOwn writes the own key anew if it is gone: the store may take keys away without
 // ending their leases. A key that was written lately need not be in a stale read.
-func (i *Introducer) keepOwn(ctx context.Context) error {
+func (i *Registrar) keepOwn(ctx context.Context) error {
 	if time.Since(i.enteredAt) < ownKeyAfter {
 		return nil
 	}
@@ -481,7 +481,7 @@
 
 // enterIfMissing writes the own key again if it is not in the store. The read that
 // lacks it may be from before it was written, so one that is not stale decides.
-func (i *Introducer) enterIfMissing(ctx context.Context) error {
+func (i *Registrar) enterIfMissing(ctx context.Context) error {
 	_, err := i.Store.Get(ctx, i.Self.key())
 	var missing *store.NotFoundError
 	if !errors.As(err, &missing) {
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -121,11 +121,11 @@
 }
 
 // introducer returns an introducer of a process that starts, and what it finds.
-func introducer(s *keyStore, self Peer) (*Introducer, *[]Peer) {
+func introducer(s *keyStore, self Peer) (*Registrar, *[]Peer) {
 	found := new([]Peer)
-	return &Introducer{
-		Self: self, Store: s, Found: func(p []Peer) { *found = p },
-		Wrong: prometheus.NewCounter(prometheus.CounterOpts{Name: "wrong"}), Log: zap.NewNop(),
+	return &Registrar{
+		Self: self, Store: s, PeersListed: func(p []Peer) { *found = p },
+		InvalidKeys: prometheus.NewCounter(prometheus.CounterOpts{Name: "wrong"}), Log: zap.NewNop(),
 	}, found
 }
 
@@ -193,7 +193,7 @@
 	s := newKeyStore()
 	i, _ := introducer(s, agentPeer)
 	var told []uint64
-	i.Restored = func(version uint64) { told = append(told, version) }
+	i.StoreRestored = func(version uint64) { told = append(told, version) }
 	if err := i.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/valueserver.go
+++ b/internal/node/server.go
@@ -22,14 +22,14 @@
 	encodingName = "zstd"
 )
 
-// ValuePage serves the value that f follows to other processes, so that most of them need
+// ValueHandler serves the value that f follows to other processes, so that most of them need
 // not ask the store, and one which starts while the store is away need not wait for it.
 //
 // A question tells the version, the content's number and the tag of the value that the
 // asker has. The answer is
 // 204 if there is nothing newer here, 304 with the version if it is the same value under a
 // newer one, and else the value, encoded against the asker's if that is kept here.
-func ValuePage(f *Follower) http.Handler {
+func ValueHandler(f *Follower) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+valuePath, f.serveValue)
 	return mux
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -23,27 +23,27 @@
 	Server     netip.AddrPort // agents: where the backend server takes packets
 	Service    string         // agents: service of the backend server
 
-	Zones       map[string]string // region of each availability zone; empty if not told
-	Seeds       []netip.Addr      // VMs of some balancers; may be stale
-	MaxFlowAge  time.Duration     // age from which a flow may be discarded
-	Grace       time.Duration     // from SIGTERM to SIGKILL
-	AddressRest time.Duration     // least time before another service gets a server's address
-	Link        float64           // bytes a second that the VM's network link carries; 0 if unknown
+	Zones             map[string]string // region of each availability zone; empty if not told
+	Seeds             []netip.Addr      // VMs of some balancers; may be stale
+	MaxFlowAge        time.Duration     // age from which a flow may be discarded
+	Grace             time.Duration     // from SIGTERM to SIGKILL
+	AddressReuseDelay time.Duration     // least time before another service gets a server's address
+	LinkRate          float64           // bytes a second that the VM's network link carries; 0 if unknown
 }
 
 // Fields describes the settings for a log line.
 func (s *Settings) Fields() []zap.Field {
 	return []zap.Field{
 		zap.String("vm", s.Name), zap.String("zone", s.Zone), zap.String("service", s.Service), zap.Int("seeds", len(s.Seeds)),
-		zap.Duration("max_flow_age", s.MaxFlowAge), zap.Duration("grace", s.Grace), zap.Duration("address_rest", s.AddressRest), zap.Float64("link_bytes_per_second", s.Link),
+		zap.Duration("max_flow_age", s.MaxFlowAge), zap.Duration("grace", s.Grace), zap.Duration("address_rest", s.AddressReuseDelay), zap.Float64("link_bytes_per_second", s.LinkRate),
 	}
 }
 
-// FixedDifferences names the settings in which other differs and that count only
+// ChangesNeedingRestart names the settings in which other differs and that count only
 // from a process's next start: addresses that sockets are bound to, and what the
 // process has told others about itself. Seeds and bounds of time are not among
 // them.
-func (s *Settings) FixedDifferences(other *Settings) []string {
+func (s *Settings) ChangesNeedingRestart(other *Settings) []string {
 	var list []string
 	for _, f := range []struct {
 		name string
@@ -60,7 +60,7 @@
 		{"server", s.Server == other.Server},
 		{"service", s.Service == other.Service},
 		{"grace", s.Grace == other.Grace},
-		{"link", s.Link == other.Link},
+		{"link", s.LinkRate == other.LinkRate},
 	} {
 		if !f.same {
 			list = append(list, f.name)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -12,12 +12,12 @@
 	after := before
 	after.MaxFlowAge = time.Second
 	after.Seeds = []netip.Addr{netip.MustParseAddr("10.0.0.2")}
-	if got := before.FixedDifferences(&after); len(got) != 0 {
+	if got := before.ChangesNeedingRestart(&after); len(got) != 0 {
 		t.Errorf("settings that change while a process runs: %v", got)
 	}
 	after.Zone = "b"
 	after.Packets = netip.MustParseAddrPort("10.0.0.1:8173")
-	if got := before.FixedDifferences(&after); !slices.Equal(got, []string{"zone", "packet address"}) {
+	if got := before.ChangesNeedingRestart(&after); !slices.Equal(got, []string{"zone", "packet address"}) {
 		t.Errorf("settings that count from the next start: %v", got)
 	}
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -7,11 +7,11 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// BeliefsPath is the admin page on which a process tells what it believes.
-const BeliefsPath = "/beliefs"
+// SnapshotPath is the admin page on which a process tells what it believes.
+const SnapshotPath = "/beliefs"
 
-// Beliefs is the answer of the page. One of the two parts is set.
-type Beliefs struct {
+// Snapshot is the answer of the page. One of the two parts is set.
+type Snapshot struct {
 	VM       string                 `json:"vm"`
 	Role     Role                   `json:"role"`
 	Zone     string                 `json:"zone"`
@@ -19,8 +19,8 @@
 	Agent    *flow.GateSnapshot     `json:"agent,omitempty"`
 }
 
-// BeliefsPage serves what tell returns.
-func BeliefsPage(tell func() Beliefs) http.HandlerFunc {
+// ServeSnapshot serves what tell returns.
+func ServeSnapshot(tell func() Snapshot) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		data, err := json.Marshal(tell())
 		if err != nil {
--- a/internal/node/storecalls.go
+++ b/internal/node/storecalls.go
@@ -26,8 +26,8 @@
 	return c
 }
 
-// Note takes one call with its time and outcome.
-func (c *StoreCalls) Note(op string, took time.Duration, err error) {
+// Record takes one call with its time and outcome.
+func (c *StoreCalls) Record(op string, took time.Duration, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = "failed"
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -24,7 +24,7 @@
 func serving(t testing.TB, link *platform.Link) (*Follower, netip.AddrPort) {
 	t.Helper()
 	f := &Follower{Source: &OrdersSource{Keys: testKeys}, Changed: func(store.Value) bool { return true }, Log: zap.NewNop()}
-	return f, listening(t, link, ValuePage(f))
+	return f, listening(t, link, ValueHandler(f))
 }
 
 func listening(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
@@ -47,7 +47,7 @@
 
 func ask(t testing.TB, c *ValueClient, known store.Value, processes ...netip.AddrPort) ReceivedValue {
 	t.Helper()
-	v, err := c.Ask(context.Background(), processes, known)
+	v, err := c.Fetch(context.Background(), processes, known)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 func TestOneOfSeveralAnswersIsTaken(t *testing.T) {
 	link := platform.NewLink(1_000_000)
 	var processes []netip.AddrPort
-	for range AskAtOnce {
+	for range MaxParallelRequests {
 		f, addr := serving(t, link)
 		f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 		processes = append(processes, addr)
@@ -101,8 +101,8 @@
 	f, addr := serving(t, nil)
 	f.take(store.Value{Data: incompressible(1 << 16), Version: 61})
 	for _, known := range []store.Value{{Data: []byte("newer"), Version: 65}, {Data: []byte("other"), Version: 61}} {
-		_, err := NewValueClient().Ask(context.Background(), []netip.AddrPort{addr}, known)
-		var nothing *NothingNewerError
+		_, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
+		var nothing *NotNewerError
 		if !errors.As(err, &nothing) || nothing.Version != 61 {
 			t.Fatalf("asked with version %d: %v", known.Version, err)
 		}
@@ -137,7 +137,7 @@
 		}
 		newest := seen[len(seen)-1]
 		known := seen[rapid.IntRange(0, len(seen)-2).Draw(rt, "known")]
-		v, err := NewValueClient().Ask(context.Background(), []netip.AddrPort{addr}, known)
+		v, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || v.Version != newest.Version || string(v.Data) != string(newest.Data) {
 			rt.Fatalf("asked with %d: version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
 		}
@@ -163,8 +163,8 @@
 	}))
 	c := NewValueClient()
 	known := store.Value{Data: []byte("before"), Version: 1}
-	var damaged *EncodedValueError
-	if _, err := c.Ask(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
+	var damaged *ValueDecodeError
+	if _, err := c.Fetch(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
 		t.Fatalf("%v", err)
 	}
 	if v := ask(t, c, known, damaging); string(v.Data) != "after" {
@@ -207,7 +207,7 @@
 	}))
 	c := NewValueClient()
 	for range askDoublings + 1 {
-		if _, err := c.Ask(context.Background(), []netip.AddrPort{slow}, store.Value{}); err == nil {
+		if _, err := c.Fetch(context.Background(), []netip.AddrPort{slow}, store.Value{}); err == nil {
 			return
 		}
 	}
@@ -243,9 +243,9 @@
 	f.take(kept)
 	for _, revision := range []uint64{106, 107, 112} {
 		c := NewValueClient()
-		c.Content = f.Source.Content
+		c.ContentNumber = f.Source.ContentNumber
 		known := store.Value{Data: orders("3"), Version: store.VersionAt(1, revision)}
-		v, err := c.Ask(context.Background(), []netip.AddrPort{addr}, known)
+		v, err := c.Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || string(v.Data) != string(kept.Data) {
 			t.Errorf("asked with revision %d: %q, %v", revision, v.Data, err)
 		}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -29,7 +29,7 @@
 	// Apply takes settings that have changed.
 	Apply(node.Settings)
 	// Beliefs tells what the part believes now.
-	Beliefs() node.Beliefs
+	Beliefs() node.Snapshot
 }
 
 // Open reads the settings file and opens the log and the metrics page.
@@ -48,7 +48,7 @@
 	return &Process{
 		Daemon:   d,
 		Settings: settings,
-		Store:    platform.NewStore(platform.StoreConfig{Address: settings.Store, Called: calls.Note}),
+		Store:    platform.NewStore(platform.StoreConfig{Address: settings.Store, Called: calls.Record}),
 		file:     file,
 	}, nil
 }
@@ -58,7 +58,7 @@
 func (p *Process) Run(part Part, drain time.Duration) error {
 	p.Daemon.ReadyWhen(part.Ready)
 	p.Daemon.ReloadWhen(func() error { return p.reload(part) }, p.file.Changed)
-	p.Daemon.Mux.HandleFunc("GET "+node.BeliefsPath, node.BeliefsPage(part.Beliefs))
+	p.Daemon.Mux.HandleFunc("GET "+node.SnapshotPath, node.ServeSnapshot(part.Beliefs))
 	s := &p.Settings
 	p.Daemon.Log.Info("started", append(s.Fields(), zap.Stringer("packets", s.Packets), zap.Stringer("store", s.Store))...)
 	return p.Daemon.Run(part, drain)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	if later := p.Settings.FixedDifferences(&settings); len(later) > 0 {
+	if later := p.Settings.ChangesNeedingRestart(&settings); len(later) > 0 {
 		p.Daemon.Log.Warn("settings that count from the next start have changed", zap.Strings("settings", later))
 	}
 	part.Apply(settings)
