--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// askTimeout is the time in which the answer to a question has to begin. A VM without
+	// responseTimeout is the time in which the answer to a question has to begin. A VM without
 	// power does not refuse a connection, so the others must not wait for it.
-	askTimeout = 300 * time.Millisecond
-	// askDoublings bounds how often that time is doubled after questions without an
+	responseTimeout = 300 * time.Millisecond
+	// maxTimeoutDoublings bounds how often that time is doubled after questions without an
 	// answer: where every link is full, no answer begins in the usual time.
-	askDoublings = 2
-	// askStep is the time in which more of an answer has to arrive: above what TCP waits
+	maxTimeoutDoublings = 2
+	// progressTimeout is the time in which more of an answer has to arrive: above what TCP waits
 	// before it repeats a lost segment for the second time.
-	askStep = 800 * time.Millisecond
+	progressTimeout = 800 * time.Millisecond
 	// MaxParallelRequests is the number of processes asked at a time: of three, one lives
 	// and can be reached even if most of a fleet has just been restarted.
 	MaxParallelRequests = 3
-	// valueLimit bounds a value in bytes: twice what the store keeps.
-	valueLimit = 2 * store.MaxValue
+	// maxValueBytes bounds a value in bytes: twice what the store keeps.
+	maxValueBytes = 2 * store.MaxValue
 )
 
 // NoNewerValueError reports that no other process could tell a newer value.
 type NoNewerValueError struct {
-	Asked int   // processes that were asked
+	Requested int   // processes that were asked
 	Last  error // what the last of them said; nil if there was none to ask
 }
 
 func (e *NoNewerValueError) Error() string {
-	return fmt.Sprintf("none of %d other processes told a newer value; others or the store are asked: %v", e.Asked, e.Last)
+	return fmt.Sprintf("none of %d other processes told a newer value; others or the store are asked: %v", e.Requested, e.Last)
 }
 
 func (e *NoNewerValueError) Unwrap() error { return e.Last }
@@ -86,8 +86,8 @@
 	// ContentNumber returns the number of a value's content; nil if contents have none.
 	ContentNumber func(data []byte) uint64
 
-	unanswered int  // questions in a row to which no answer began
-	whole      bool // the next value is not to be encoded against the one that is known
+	timeouts int  // questions in a row to which no answer began
+	fetchFull      bool // the next value is not to be encoded against the one that is known
 }
 
 // NewValueClient returns a client without open connections.
@@ -103,8 +103,8 @@
 	Bytes   int64 // that the answer's body took
 }
 
-// valueAnswer is the answer of one process, of which the body is not read yet.
-type valueAnswer struct {
+// valueResponse is the answer of one process, of which the body is not read yet.
+type valueResponse struct {
 	process  netip.AddrPort
 	ctx      context.Context
 	exchange *transfer.Exchange
@@ -120,14 +120,14 @@
 	processes = processes[:min(len(processes), MaxParallelRequests)]
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	limits := transfer.Limits{Answer: askTimeout << min(c.unanswered, askDoublings), Step: askStep}
-	answers := make(chan valueAnswer)
+	limits := transfer.Limits{Answer: responseTimeout << min(c.timeouts, maxTimeoutDoublings), Step: progressTimeout}
+	answers := make(chan valueResponse)
 	cancels := make([]context.CancelFunc, len(processes))
 	for i, p := range processes {
 		var one context.Context
 		one, cancels[i] = context.WithCancel(asking)
 		go func() {
-			a := c.ask(one, p, known, limits)
+			a := c.request(one, p, known, limits)
 			select {
 			case answers <- a:
 			case <-one.Done():
@@ -135,18 +135,18 @@
 			}
 		}()
 	}
-	return c.first(processes, cancels, answers, known)
+	return c.firstNewer(processes, cancels, answers, known)
 }
 
-// first takes the first answer that has a newer value.
-func (c *ValueClient) first(processes []netip.AddrPort, cancels []context.CancelFunc, answers <-chan valueAnswer, known store.Value) (ReceivedValue, error) {
-	failed := &NoNewerValueError{Asked: len(processes)}
+// firstNewer takes the firstNewer answer that has a newer value.
+func (c *ValueClient) firstNewer(processes []netip.AddrPort, cancels []context.CancelFunc, answers <-chan valueResponse, known store.Value) (ReceivedValue, error) {
+	failed := &NoNewerValueError{Requested: len(processes)}
 	answered := false
 	for range processes {
 		a := <-answers
 		answered = answered || a.resp != nil
 		if a.err == nil {
-			c.unanswered = 0
+			c.timeouts = 0
 			for i, p := range processes {
 				if p != a.process {
 					cancels[i]()
@@ -158,16 +158,16 @@
 		a.close()
 	}
 	if answered || len(processes) == 0 {
-		c.unanswered = 0
+		c.timeouts = 0
 	} else {
-		c.unanswered++
+		c.timeouts++
 	}
 	return ReceivedValue{}, failed
 }
 
-// ask sends the question to one process and waits until its answer begins.
-func (c *ValueClient) ask(ctx context.Context, process netip.AddrPort, known store.Value, limits transfer.Limits) valueAnswer {
-	a := valueAnswer{process: process, known: c.contentOf(known)}
+// request sends the question to one process and waits until its answer begins.
+func (c *ValueClient) request(ctx context.Context, process netip.AddrPort, known store.Value, limits transfer.Limits) valueResponse {
+	a := valueResponse{process: process, known: c.contentNumber(known)}
 	a.ctx, a.exchange = transfer.Begin(ctx, limits)
 	req, err := http.NewRequestWithContext(a.ctx, http.MethodGet, "http://"+process.String()+valuePath, nil)
 	if err != nil {
@@ -179,7 +179,7 @@
 		req.Header.Set(versionHeader, strconv.FormatUint(known.Version, 10))
 		req.Header.Set(contentHeader, strconv.FormatUint(a.known, 10))
 	}
-	if known.Version != 0 && !c.whole {
+	if known.Version != 0 && !c.fetchFull {
 		req.Header.Set("If-None-Match", tagOf(known.Data))
 	}
 	a.resp, err = c.http.Do(req)
@@ -187,20 +187,20 @@
 		a.err = &ValueTransferError{Process: process, Err: transfer.Err(a.ctx, err)}
 		return a
 	}
-	a.err = a.judge(known)
+	a.err = a.checkNewer(known)
 	return a
 }
 
-// contentOf returns the number of the content that the asker has, 0 if it has none.
-func (c *ValueClient) contentOf(known store.Value) uint64 {
+// contentNumber returns the number of the content that the asker has, 0 if it has none.
+func (c *ValueClient) contentNumber(known store.Value) uint64 {
 	if c.ContentNumber == nil || known.Version == 0 {
 		return 0
 	}
 	return c.ContentNumber(known.Data)
 }
 
-// judge reports why an answer brings no newer value, nil if it brings one.
-func (a *valueAnswer) judge(known store.Value) error {
+// checkNewer reports why an answer brings no newer value, nil if it brings one.
+func (a *valueResponse) checkNewer(known store.Value) error {
 	switch a.resp.StatusCode {
 	case http.StatusOK, http.StatusNotModified, http.StatusNoContent:
 	default:
@@ -220,11 +220,11 @@
 	return nil
 }
 
-func (a *valueAnswer) version() (uint64, error) {
+func (a *valueResponse) version() (uint64, error) {
 	return strconv.ParseUint(a.resp.Header.Get(versionHeader), 10, 64)
 }
 
-func (a *valueAnswer) close() {
+func (a *valueResponse) close() {
 	if a.resp != nil {
 		a.resp.Body.Close()
 	}
@@ -232,7 +232,7 @@
 }
 
 // receive reads the value of an answer that has one.
-func (c *ValueClient) receive(a valueAnswer, known store.Value) (ReceivedValue, error) {
+func (c *ValueClient) receive(a valueResponse, known store.Value) (ReceivedValue, error) {
 	defer a.close()
 	version, err := a.version()
 	if err != nil {
@@ -245,13 +245,13 @@
 	if c.BodyStarted != nil {
 		c.BodyStarted()
 	}
-	data, err := io.ReadAll(io.LimitReader(a.exchange.Body(a.resp.Body, a.resp.ContentLength), valueLimit))
+	data, err := io.ReadAll(io.LimitReader(a.exchange.Body(a.resp.Body, a.resp.ContentLength), maxValueBytes))
 	if err != nil {
 		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: transfer.Err(a.ctx, err)}
 	}
 	v.Bytes = int64(len(data))
 	v.Data, err = decodeBody(a.resp.Header, data, known.Data)
-	c.whole = err != nil
+	c.fetchFull = err != nil
 	if err != nil {
 		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: err}
 	}
@@ -269,7 +269,7 @@
 	}
 	data, err := decode(body, dictionary)
 	if err == nil && tagOf(data) != h.Get("ETag") {
-		err = errOtherTag
+		err = errTagMismatch
 	}
 	if err != nil {
 		return nil, &ValueDecodeError{Reason: err}
--- a/internal/node/encoding.go
+++ b/internal/node/encoding.go
@@ -16,9 +16,9 @@
 const (
 	// dictionaryID names an earlier value as the dictionary of an encoded one.
 	dictionaryID = 1
-	// maxEarlier bounds the earlier values that are kept as dictionaries, each of
+	// maxDictionaries bounds the earlier values that are kept as dictionaries, each of
 	// store.MaxValue at most.
-	maxEarlier = 3
+	maxDictionaries = 3
 )
 
 // tagOf returns the entity tag of a value: equal data has equal tags in all processes.
@@ -29,7 +29,7 @@
 func encode(data, dictionary []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(windowOver(len(dictionary) + len(data))), zstd.WithLowerEncoderMem(true),
+		zstd.WithWindowSize(windowSize(len(dictionary) + len(data))), zstd.WithLowerEncoderMem(true),
 	}
 	if len(dictionary) > 0 {
 		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, dictionary))
@@ -42,16 +42,16 @@
 	return w.EncodeAll(data, nil), nil
 }
 
-// windowOver returns the encoder's window, a power of two, for values of size bytes together:
+// windowSize returns the encoder's window, a power of two, for values of size bytes together:
 // the memory that an encoder takes grows with it.
-func windowOver(size int) int {
+func windowSize(size int) int {
 	return max(zstd.MinWindowSize, 1<<bits.Len(uint(size)))
 }
 
 // decode reads what encode wrote. A value over valueLimit is refused.
 func decode(encoded, dictionary []byte) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(valueLimit),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValueBytes),
 	}
 	if len(dictionary) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, dictionary))
@@ -73,7 +73,7 @@
 
 func (e *ValueDecodeError) Unwrap() error { return e.Reason }
 
-var errOtherTag = errors.New("its tag is another than it was sent with")
+var errTagMismatch = errors.New("its tag is another than it was sent with")
 
 // encodings is the value that a process serves, in the forms in which it was asked for.
 // It is safe for concurrent use.
@@ -82,8 +82,8 @@
 	latest  store.Value
 	content uint64 // number of the latest value's content
 	tag     string
-	earlier []taggedValue     // the newest first
-	forms   map[string][]byte // by the tag of the dictionary, "" for none
+	dictionaries []taggedValue     // the newest first
+	encoded   map[string][]byte // by the tag of the dictionary, "" for none
 }
 
 type taggedValue struct {
@@ -97,24 +97,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if tag != e.tag {
-		e.keep(taggedValue{e.tag, e.latest.Data})
-		e.forms = nil
+		e.addDictionary(taggedValue{e.tag, e.latest.Data})
+		e.encoded = nil
 	}
 	e.latest, e.content, e.tag = v, content, tag
 }
 
-// keep adds an earlier value, with e.mu held.
-func (e *encodings) keep(v taggedValue) {
+// addDictionary adds an earlier value, with e.mu held.
+func (e *encodings) addDictionary(v taggedValue) {
 	if v.tag == "" {
 		return
 	}
 	kept := []taggedValue{v}
-	for _, other := range e.earlier {
-		if other.tag != v.tag && len(kept) < maxEarlier {
+	for _, other := range e.dictionaries {
+		if other.tag != v.tag && len(kept) < maxDictionaries {
 			kept = append(kept, other)
 		}
 	}
-	e.earlier = kept
+	e.dictionaries = kept
 }
 
 // value returns the value, the number of its content and its tag, with version 0 if there
@@ -125,30 +125,30 @@
 	return e.latest, e.content, e.tag
 }
 
-// form returns the value of a tag encoded for a process that has the one with the tag
+// encodedValue returns the value of a tag encoded for a process that has the one with the tag
 // known, and the tag of the dictionary: empty if that value is not kept here. It returns
 // nil if the value has been replaced meanwhile.
-func (e *encodings) form(tag, known string) (encoded []byte, dictionary string, err error) {
+func (e *encodings) encodedValue(tag, known string) (encoded []byte, dictionary string, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if tag != e.tag {
 		return nil, "", nil
 	}
 	var data []byte
-	for _, v := range e.earlier {
+	for _, v := range e.dictionaries {
 		if v.tag == known {
 			dictionary, data = v.tag, v.data
 		}
 	}
-	if encoded, ok := e.forms[dictionary]; ok {
+	if encoded, ok := e.encoded[dictionary]; ok {
 		return encoded, dictionary, nil
 	}
 	if encoded, err = encode(e.latest.Data, data); err != nil {
 		return nil, "", err
 	}
-	if e.forms == nil {
-		e.forms = make(map[string][]byte)
+	if e.encoded == nil {
+		e.encoded = make(map[string][]byte)
 	}
-	e.forms[dictionary] = encoded
+	e.encoded[dictionary] = encoded
 	return encoded, dictionary, nil
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -59,12 +59,12 @@
 
 	served encodings // latest value that could be used
 
-	taking    sync.Mutex  // held while a value is taken: one call of Changed at a time
+	takeMu    sync.Mutex  // held while a value is taken: one call of Changed at a time
 	mu        sync.Mutex  // guards the fields below
 	latest    store.Value // whether it could be used or not
 	content   uint64      // its number
-	failing   bool
-	makeTaken sync.Once
+	storeFailing   bool
+	initHasValue sync.Once
 	taken     chan struct{} // closed once there is a value
 }
 
@@ -75,8 +75,8 @@
 	others := NewValueClient()
 	others.BodyStarted, others.ContentNumber = f.Plan.Receiving, f.Source.ContentNumber
 	calls, fetches := make(chan struct{}, 1), make(chan struct{}, 1)
-	duties.Go(func() { f.calls(ctx, calls) })
-	duties.Go(func() { f.fetches(ctx, others, fetches) })
+	duties.Go(func() { f.storeLoop(ctx, calls) })
+	duties.Go(func() { f.fetchLoop(ctx, others, fetches) })
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,8 +95,8 @@
 	}
 }
 
-// calls is the duty that calls the store.
-func (f *Follower) calls(ctx context.Context, due <-chan struct{}) {
+// storeLoop is the duty that storeLoop the store.
+func (f *Follower) storeLoop(ctx context.Context, due <-chan struct{}) {
 	for ctx.Err() == nil {
 		c := f.Plan.StoreCall()
 		if c == propagation.None {
@@ -107,8 +107,8 @@
 			continue
 		}
 		begun := Now()
-		err := f.call(ctx, c)
-		f.noteStore(err)
+		err := f.callStore(ctx, c)
+		f.logStoreState(err)
 		f.Plan.StoreCalled(c, begun, outcome(err))
 	}
 }
@@ -124,15 +124,15 @@
 	return propagation.Failed
 }
 
-func (f *Follower) call(ctx context.Context, c propagation.Call) error {
+func (f *Follower) callStore(ctx context.Context, c propagation.Call) error {
 	if c == propagation.Watch {
 		return f.watch(ctx)
 	}
 	return f.read(ctx)
 }
 
-// fetches is the duty that takes the value from other processes.
-func (f *Follower) fetches(ctx context.Context, others *ValueClient, due <-chan struct{}) {
+// fetchLoop is the duty that takes the value from other processes.
+func (f *Follower) fetchLoop(ctx context.Context, others *ValueClient, due <-chan struct{}) {
 	for ctx.Err() == nil {
 		from, ok := f.Plan.Fetch()
 		if !ok {
@@ -174,16 +174,16 @@
 	return f.latest
 }
 
-// noteStore logs the store's loss and its return.
-func (f *Follower) noteStore(err error) {
+// logStoreState logs the store's loss and its return.
+func (f *Follower) logStoreState(err error) {
 	var missing *store.NotFoundError
 	failed := err != nil && !errors.As(err, &missing)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if failed == f.failing {
+	if failed == f.storeFailing {
 		return
 	}
-	f.failing = failed
+	f.storeFailing = failed
 	if failed {
 		f.Log.Warn("store lost", zap.String("duty", "follow"), zap.String("key", f.Source.Name()), zap.Error(err))
 	} else {
@@ -198,16 +198,16 @@
 		return err
 	}
 	if known.Version == 0 && store.EraOf(v.Version) != 0 {
-		f.awaitOthers(ctx, v)
+		f.awaitPeerValue(ctx, v)
 	}
 	f.take(v)
 	return nil
 }
 
-// awaitOthers waits until another process has told its value, for propagation.AskFirst at
+// awaitPeerValue waits until another process has told its value, for propagation.AskFirst at
 // most. The store has come back from an older copy: what it has may be older than what
 // other processes have, and must not be undone by a process that starts.
-func (f *Follower) awaitOthers(ctx context.Context, found store.Value) {
+func (f *Follower) awaitPeerValue(ctx context.Context, found store.Value) {
 	begun := Now()
 	select {
 	case <-ctx.Done():
@@ -220,7 +220,7 @@
 
 // hasValue returns the channel that is closed once there is a value.
 func (f *Follower) hasValue() chan struct{} {
-	f.makeTaken.Do(func() { f.taken = make(chan struct{}) })
+	f.initHasValue.Do(func() { f.taken = make(chan struct{}) })
 	return f.taken
 }
 
@@ -236,8 +236,8 @@
 
 // take puts what holds of the known value and v in force, if that is newer.
 func (f *Follower) take(v store.Value) {
-	f.taking.Lock()
-	defer f.taking.Unlock()
+	f.takeMu.Lock()
+	defer f.takeMu.Unlock()
 	known := f.known()
 	v = f.Source.Merge(known, v)
 	if v.Version <= known.Version && bytes.Equal(v.Data, known.Data) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -7,16 +7,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// started is the start of the process, as far as the program can tell.
-var started = time.Now()
+// processStart is the start of the process, as far as the program can tell.
+var processStart = time.Now()
 
-// quickBuckets reach from what an answer from memory takes to the time after
+// latencySecondsBuckets reach from what an answer from memory takes to the time after
 // which a caller repeats itself, in seconds.
-var quickBuckets = []float64{0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1}
+var latencySecondsBuckets = []float64{0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1}
 
 // NewLatency registers a histogram of short times.
 func NewLatency(reg prometheus.Registerer, name, help string) prometheus.Histogram {
-	h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: quickBuckets})
+	h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: latencySecondsBuckets})
 	reg.MustRegister(h)
 	return h
 }
@@ -40,7 +40,7 @@
 // returns the time since the start and true.
 func (r *Readiness) Reached() (after time.Duration, first bool) {
 	r.once.Do(func() {
-		after, first = time.Since(started), true
+		after, first = time.Since(processStart), true
 		r.gauge.Set(after.Seconds())
 	})
 	return after, first
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -87,12 +87,12 @@
 	Keys  OrderKeys
 
 	mu   sync.Mutex
-	seen position
+	unchangedUpTo historyPosition
 }
 
-// position is how far the store's history is known: a version of the orders, and the
+// historyPosition is how far the store's history is known: a version of the orders, and the
 // version of the store up to which they stayed as they were.
-type position struct{ version, upTo uint64 }
+type historyPosition struct{ version, upTo uint64 }
 
 // Name implements ValueSource.
 func (s *OrdersSource) Name() string { return s.Keys.Prefix }
@@ -106,12 +106,12 @@
 	before, _ := decodeKnown(known)
 	o := Orders{Configuration: before.Configuration}
 	for _, i := range snapshot.Items {
-		s.put(&o, i.Key, i.Data, snapshot.Revision)
+		s.applyPut(&o, i.Key, i.Data, snapshot.Revision)
 	}
 	if len(o.Configuration) == 0 {
 		return store.Value{}, &store.NotFoundError{Key: s.Keys.Configuration}
 	}
-	return s.value(&o, known, snapshot.Revision), nil
+	return s.encodeValue(&o, known, snapshot.Revision), nil
 }
 
 // Watch implements ValueSource.
@@ -120,7 +120,7 @@
 	if err != nil {
 		return s.Read(ctx, known)
 	}
-	changes, upTo, err := s.Store.Changes(ctx, s.Keys.Prefix, s.from(known.Version))
+	changes, upTo, err := s.Store.Changes(ctx, s.Keys.Prefix, s.watchFrom(known.Version))
 	var long *store.TooLongError
 	if errors.As(err, &long) {
 		// Several changes of a large configuration: only the last of them counts.
@@ -131,12 +131,12 @@
 	}
 	for _, c := range changes {
 		if c.Removed {
-			s.remove(&o, c.Key)
+			s.applyRemoval(&o, c.Key)
 		} else {
-			s.put(&o, c.Key, c.Data, upTo)
+			s.applyPut(&o, c.Key, c.Data, upTo)
 		}
 	}
-	return s.value(&o, known, upTo), nil
+	return s.encodeValue(&o, known, upTo), nil
 }
 
 // decodeKnown reads a value that this process has taken; the zero value is no orders.
@@ -149,11 +149,11 @@
 	return o, err
 }
 
-// put takes a key that holds data, as found at a version of the store. Keys that are none
+// applyPut takes a key that holds data, as found at a version of the store. Keys that are none
 // of the orders change nothing.
-func (s *OrdersSource) put(o *Orders, key string, data []byte, version uint64) {
+func (s *OrdersSource) applyPut(o *Orders, key string, data []byte, version uint64) {
 	if key == s.Keys.Configuration {
-		o.Configuration = s.newest(data, version, o.Configuration)
+		o.Configuration = s.newerConfiguration(data, version, o.Configuration)
 		return
 	}
 	zone, ok := s.Keys.Zone(key)
@@ -165,9 +165,9 @@
 	}
 }
 
-// remove takes a key away. A configuration that is removed stays in force: an operator
+// applyRemoval takes a key away. A configuration that is removed stays in force: an operator
 // changes it, and callers must not lose every route to a slip.
-func (s *OrdersSource) remove(o *Orders, key string) {
+func (s *OrdersSource) applyRemoval(o *Orders, key string) {
 	zone, ok := s.Keys.Zone(key)
 	if !ok {
 		return
@@ -177,27 +177,27 @@
 	}
 }
 
-// value returns the orders that held at a version of the store: the known value if they
+// encodeValue returns the orders that held at a version of the store: the known encodeValue if they
 // are the same. In a new era even those get a new version, by which every process learns
 // of the era.
-func (s *OrdersSource) value(o *Orders, known store.Value, version uint64) store.Value {
+func (s *OrdersSource) encodeValue(o *Orders, known store.Value, version uint64) store.Value {
 	v := store.Value{Data: o.Encode(), Version: version}
 	if known.Version != 0 && bytes.Equal(v.Data, known.Data) && store.EraOf(known.Version) == store.EraOf(version) {
 		v = known
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = position{v.Version, version}
+	s.unchangedUpTo = historyPosition{v.Version, version}
 	return v
 }
 
-// newest returns the configuration that was found at a version of the store, or the one
+// newerConfiguration returns the configuration that was found at a version of the store, or the one
 // known here if that is newer.
 //
 // A store that has come back from an older copy lacks a configuration until the operator
 // has written it again; a process that took the one before from it would send callers by
-// routes that they were told are gone. A store that never did has the newest one.
-func (s *OrdersSource) newest(found []byte, version uint64, known []byte) []byte {
+// routes that they were told are gone. A store that never did has the newerConfiguration one.
+func (s *OrdersSource) newerConfiguration(found []byte, version uint64, known []byte) []byte {
 	if store.EraOf(version) == 0 || !s.older(found, known) {
 		return found
 	}
@@ -245,12 +245,12 @@
 	return s.Keys.Number(o.Configuration)
 }
 
-// from returns the version to wait for changes from.
-func (s *OrdersSource) from(version uint64) uint64 {
+// watchFrom returns the version to wait for changes watchFrom.
+func (s *OrdersSource) watchFrom(version uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen.version == version {
-		return max(s.seen.upTo, version)
+	if s.unchangedUpTo.version == version {
+		return max(s.unchangedUpTo.upTo, version)
 	}
 	return version
 }
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -44,10 +44,10 @@
 // PeersPrefix begins the keys of all processes.
 const PeersPrefix = "hemlock/nodes/"
 
-// prefixOf begins the keys of all processes of a role.
-func prefixOf(r Role) string { return PeersPrefix + string(r) + "/" }
+// rolePrefix begins the keys of all processes of a role.
+func rolePrefix(r Role) string { return PeersPrefix + string(r) + "/" }
 
-func (p *Peer) key() string { return prefixOf(p.Role) + p.Addr.String() }
+func (p *Peer) key() string { return rolePrefix(p.Role) + p.Addr.String() }
 
 // PeerError reports a key that no process has written.
 type PeerError struct {
@@ -82,27 +82,27 @@
 }
 
 const (
-	// entryLease is how long the key of a process outlives it: longer than most
+	// leaseTTL is how long the key of a process outlives it: longer than most
 	// outages of the store and than any restart.
-	entryLease = 45 * time.Second
-	// renewEvery leaves a lease two more tries before it ends.
-	renewEvery = 14 * time.Second
-	// listEvery is the time between two looks for processes that did not introduce
+	leaseTTL = 45 * time.Second
+	// renewInterval leaves a lease two more tries before it ends.
+	renewInterval = 14 * time.Second
+	// listInterval is the time between two looks for processes that did not introduce
 	// themselves by a message: below the time after which two that were cut off from
 	// each other have forgotten each other. Such a read may be stale and costs a tenth
 	// of a call. A process that starts is known to the others by its own messages.
-	listEvery = 15 * time.Second
-	// listSoon and listAgain are when a process that has just started looks again: the
+	listInterval = 15 * time.Second
+	// secondListDelay and listAgain are when a process that has just started looks again: the
 	// first list lacks those that started together with it.
-	listSoon  = time.Second
-	listAgain = 4 * time.Second
-	// ownKeyAfter is how long the own key may be missing from lists after it was
+	secondListDelay  = time.Second
+	thirdListDelay = 4 * time.Second
+	// ownKeyGrace is how long the own key may be missing from lists after it was
 	// written: they may be seconds old.
-	ownKeyAfter = 5 * time.Second
-	// reclaimSpan bounds the time after which a process looks for its key once it has
+	ownKeyGrace = 5 * time.Second
+	// reclaimJitter bounds the time after which a process looks for its key once it has
 	// heard that the store came back from an older copy. Keys have to be back within
 	// two seconds.
-	reclaimSpan = 500 * time.Millisecond
+	reclaimJitter = 500 * time.Millisecond
 	// retryBase and retryMax space the repeats of failed calls. Keys have to be back
 	// within two seconds of the store's return. Refused calls are priced like others:
 	// at 1 s, and 150 ms at a start, an outage for some of 82 processes took a third
@@ -133,15 +133,15 @@
 	mu        sync.Mutex // guards lease
 	lease     store.LeaseID
 	renewAt   time.Time
-	enteredAt time.Time // when the own key was written
-	lists     int       // that were read
+	registeredAt time.Time // when the own key was written
+	listCount     int       // that were read
 	listAt    time.Time // when the next one is due
-	failing   bool
-	left      atomic.Bool   // the key was taken away for good
+	storeFailing   bool
+	deregistered      atomic.Bool   // the key was taken away for good
 	latestEra atomic.Uint64 // latest era of the store that was heard of
 
-	makeDoubts sync.Once
-	doubts     chan struct{} // signalled when the store may have lost the own key; see doubted
+	initLeaseCheck sync.Once
+	leaseCheck     chan struct{} // signalled when the store may have lost the own key; see doubted
 }
 
 // Run introduces the process until ctx ends.
@@ -149,8 +149,8 @@
 	backoff := store.Backoff{Base: retryBase, Max: retryMax}
 	for {
 		err := i.step(ctx)
-		i.noteStore(err)
-		wait := time.Until(i.next())
+		i.logStoreState(err)
+		wait := time.Until(i.nextCallAt())
 		if err == nil {
 			backoff.Reset()
 		} else {
@@ -170,16 +170,16 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
-	case <-i.doubted():
-		sleep(ctx, rand.N(reclaimSpan))
+	case <-i.leaseCheckDue():
+		sleep(ctx, rand.N(reclaimJitter))
 		i.renewAt = time.Time{}
 	}
 }
 
-// doubted returns the channel of doubts: others may be heard before Run begins.
-func (i *Registrar) doubted() chan struct{} {
-	i.makeDoubts.Do(func() { i.doubts = make(chan struct{}, 1) })
-	return i.doubts
+// leaseCheckDue returns the channel of doubts: others may be heard before Run begins.
+func (i *Registrar) leaseCheckDue() chan struct{} {
+	i.initLeaseCheck.Do(func() { i.leaseCheck = make(chan struct{}, 1) })
+	return i.leaseCheck
 }
 
 // ObserveVersion takes the version of a value that some process has read in the store. If it is
@@ -192,25 +192,25 @@
 		return
 	}
 	i.latestEra.Store(uint64(era))
-	if i.outlived(i.leaseID()) {
-		signal(i.doubted())
+	if i.fromEarlierEra(i.leaseID()) {
+		signal(i.leaseCheckDue())
 	}
 }
 
-// noteItems takes the era that an answer of the store to this process tells, by the
+// observeItems takes the era that an answer of the store to this process tells, by the
 // versions of its items.
-func (i *Registrar) noteItems(items []store.Item) {
+func (i *Registrar) observeItems(items []store.Item) {
 	latest := uint64(0)
 	for n := range items {
 		latest = max(latest, items[n].Version)
 	}
-	i.noteOwnEra(store.EraOf(latest))
+	i.observeOwnEra(store.EraOf(latest))
 }
 
-// noteOwnEra takes the era that an answer of the store to this process tells. The others are
+// observeOwnEra takes the era that an answer of the store to this process tells. The others are
 // told of it: in an idle fleet nobody else may call the store for a second or two, in which
 // their keys have to be back.
-func (i *Registrar) noteOwnEra(era store.Era) {
+func (i *Registrar) observeOwnEra(era store.Era) {
 	if uint64(era) <= i.latestEra.Load() {
 		return
 	}
@@ -221,33 +221,33 @@
 	}
 }
 
-// outlived reports whether a lease is of an earlier era than the latest one heard of.
-func (i *Registrar) outlived(lease store.LeaseID) bool {
+// fromEarlierEra reports whether a lease is of an earlier era than the latest one heard of.
+func (i *Registrar) fromEarlierEra(lease store.LeaseID) bool {
 	era, _, ok := lease.Split()
 	return ok && uint64(era) < i.latestEra.Load()
 }
 
-// next returns when the next call is due.
-func (i *Registrar) next() time.Time {
+// nextCallAt returns when the nextCallAt call is due.
+func (i *Registrar) nextCallAt() time.Time {
 	if i.renewAt.Before(i.listAt) {
 		return i.renewAt
 	}
 	return i.listAt
 }
 
-// leaveTimeout bounds the call that takes the own key away.
-const leaveTimeout = 300 * time.Millisecond
+// revokeTimeout bounds the call that takes the own key away.
+const revokeTimeout = 300 * time.Millisecond
 
 // Deregister takes the own key away: what the store names is asked by every balancer
 // that starts, and the flows that it must be sure about wait for the answer. A
 // key that stays ends with its lease.
 func (i *Registrar) Deregister(ctx context.Context) {
-	i.left.Store(true)
+	i.deregistered.Store(true)
 	lease := i.leaseID()
 	if lease == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	err := i.revoke(ctx, lease)
 	i.Log.Info("key taken away", zap.String("key", i.Self.key()), zap.Error(err))
@@ -256,8 +256,8 @@
 // revoke ends the lease of the own key. One of an earlier era may be another process's
 // by now: the own key tells which one it is.
 func (i *Registrar) revoke(ctx context.Context, lease store.LeaseID) error {
-	if i.outlived(lease) {
-		own, err := i.own(ctx, false)
+	if i.fromEarlierEra(lease) {
+		own, err := i.ownKey(ctx, false)
 		if err != nil || own == nil {
 			return err
 		}
@@ -278,10 +278,10 @@
 	i.lease = lease
 }
 
-// noteStore logs the store's loss and its return.
-func (i *Registrar) noteStore(err error) {
-	if failed := err != nil; failed != i.failing {
-		i.failing = failed
+// logStoreState logs the store's loss and its return.
+func (i *Registrar) logStoreState(err error) {
+	if failed := err != nil; failed != i.storeFailing {
+		i.storeFailing = failed
 		if failed {
 			i.Log.Warn("store lost", zap.String("duty", "introduce"), zap.Error(err))
 		} else {
@@ -293,11 +293,11 @@
 // step makes the calls that are due. The own key is in the store before others are
 // read: of two processes that start at once, the later one then sees the other.
 func (i *Registrar) step(ctx context.Context) error {
-	if i.left.Load() {
-		i.renewAt, i.listAt = time.Now().Add(listEvery), time.Now().Add(listEvery)
+	if i.deregistered.Load() {
+		i.renewAt, i.listAt = time.Now().Add(listInterval), time.Now().Add(listInterval)
 		return nil
 	}
-	if err := i.keepLease(ctx); err != nil {
+	if err := i.ensureLease(ctx); err != nil {
 		return err
 	}
 	if time.Now().Before(i.listAt) {
@@ -306,21 +306,21 @@
 	return i.list(ctx)
 }
 
-// keepLease sees to the lease of the own key.
-func (i *Registrar) keepLease(ctx context.Context) error {
+// ensureLease sees to the lease of the own key.
+func (i *Registrar) ensureLease(ctx context.Context) error {
 	if i.leaseID() != "" {
 		return i.renew(ctx)
 	}
-	own, err := i.own(ctx, true)
+	own, err := i.ownKey(ctx, true)
 	if err != nil {
 		return err
 	}
-	return i.begin(ctx, own)
+	return i.takeOverOrRegister(ctx, own)
 }
 
-// enter writes the own key under a new lease.
-func (i *Registrar) enter(ctx context.Context) error {
-	lease, err := i.Store.Grant(ctx, entryLease)
+// register writes the own key under a new lease.
+func (i *Registrar) register(ctx context.Context) error {
+	lease, err := i.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
@@ -333,10 +333,10 @@
 	}
 	i.setLease(lease)
 	if era, _, ok := lease.Split(); ok {
-		i.noteOwnEra(era)
+		i.observeOwnEra(era)
 	}
-	i.enteredAt = time.Now()
-	i.renewAt = i.enteredAt.Add(renewEvery)
+	i.registeredAt = time.Now()
+	i.renewAt = i.registeredAt.Add(renewInterval)
 	i.Log.Info("introduced", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
 	return nil
 }
@@ -353,13 +353,13 @@
 	case errors.As(err, &expired):
 		i.Log.Warn("lease expired", zap.String("lease", string(lease)))
 		i.setLease("")
-		return i.enter(ctx)
+		return i.register(ctx)
 	case errors.As(err, &restored):
 		return i.reclaim(ctx, lease)
 	case err != nil:
 		return err
 	}
-	i.renewAt = time.Now().Add(renewEvery)
+	i.renewAt = time.Now().Add(renewInterval)
 	return nil
 }
 
@@ -368,56 +368,56 @@
 // place of two writes, for every process of the fleet at once. The read must not be
 // stale, it would show the key as it was before.
 func (i *Registrar) reclaim(ctx context.Context, lease store.LeaseID) error {
-	own, err := i.own(ctx, false)
+	own, err := i.ownKey(ctx, false)
 	if err != nil {
 		return err
 	}
 	i.Log.Warn("store came back from an older copy", zap.String("key", i.Self.key()), zap.String("lease", string(lease)), zap.Bool("key_kept", own != nil))
 	i.setLease("")
-	return i.begin(ctx, own)
+	return i.takeOverOrRegister(ctx, own)
 }
 
 // list reads the keys of others, and looks whether the own one is there.
 func (i *Registrar) list(ctx context.Context) error {
 	// A balancer's first list is not stale: the agents that it names are taken for all
 	// that there are when everything has just started.
-	stale := i.lists > 0 || i.Self.Role == RoleAgent
-	items, err := i.Store.List(ctx, i.prefix(), stale)
+	stale := i.listCount > 0 || i.Self.Role == RoleAgent
+	items, err := i.Store.List(ctx, i.listPrefix(), stale)
 	if err != nil {
 		return err
 	}
-	i.noteItems(items)
-	i.PeersListed(i.read(items))
-	if err := i.keepOwn(ctx); err != nil {
+	i.observeItems(items)
+	i.PeersListed(i.parsePeers(items))
+	if err := i.checkOwnKey(ctx); err != nil {
 		return err
 	}
-	i.lists++
+	i.listCount++
 	i.listAt = time.Now().Add(i.untilNextList())
 	return nil
 }
 
-// prefix begins the keys of the processes that this one deals with: balancers need to
+// listPrefix begins the keys of the processes that this one deals with: balancers need to
 // know all, agents only balancers.
-func (i *Registrar) prefix() string {
+func (i *Registrar) listPrefix() string {
 	if i.Self.Role == RoleAgent {
-		return prefixOf(RoleBalancer)
+		return rolePrefix(RoleBalancer)
 	}
 	return PeersPrefix
 }
 
 // untilNextList returns the time to the next look for others.
 func (i *Registrar) untilNextList() time.Duration {
-	switch i.lists {
+	switch i.listCount {
 	case 1:
-		return listSoon
+		return secondListDelay
 	case 2:
-		return listAgain
+		return thirdListDelay
 	}
-	return listEvery
+	return listInterval
 }
 
-// read returns the other processes that items name.
-func (i *Registrar) read(items []store.Item) []Peer {
+// parsePeers returns the other processes that items name.
+func (i *Registrar) parsePeers(items []store.Item) []Peer {
 	peers := make([]Peer, 0, len(items))
 	var wrong error
 	for _, item := range items {
@@ -437,14 +437,14 @@
 	return peers
 }
 
-// own returns the own key, nil if it is not there. A stale read costs a tenth of a call,
+// ownKey returns the ownKey key, nil if it is not there. A stale read costs a tenth of a call,
 // and shows the key as it may have been seconds ago.
-func (i *Registrar) own(ctx context.Context, stale bool) (*store.Item, error) {
+func (i *Registrar) ownKey(ctx context.Context, stale bool) (*store.Item, error) {
 	items, err := i.Store.List(ctx, i.Self.key(), stale)
 	if err != nil {
 		return nil, err
 	}
-	i.noteItems(items)
+	i.observeItems(items)
 	for n := range items {
 		if p, err := parsePeer(items[n].Key, items[n].Data); err == nil && p == i.Self {
 			return &items[n], nil
@@ -453,40 +453,40 @@
 	return nil, nil
 }
 
-// begin takes over the lease of the own key if an earlier process at this address left
+// takeOverOrRegister takes over the lease of the own key if an earlier process at this address left
 // it there, and writes the key anew if not. A renewal costs a twentieth of the two
 // calls for a new lease and key; after a loss of power everywhere every process of the
 // fleet makes them.
-func (i *Registrar) begin(ctx context.Context, own *store.Item) error {
+func (i *Registrar) takeOverOrRegister(ctx context.Context, own *store.Item) error {
 	if own == nil || own.Lease == "" {
-		return i.enter(ctx)
+		return i.register(ctx)
 	}
 	i.setLease(own.Lease)
 	i.renewAt = time.Time{}
 	return i.renew(ctx)
 }
 
-// keepOwn writes the own key anew if it is gone: the store may take keys away without
+// checkOwnKey writes the own key anew if it is gone: the store may take keys away without
 // ending their leases. A key that was written lately need not be in a stale read.
-func (i *Registrar) keepOwn(ctx context.Context) error {
-	if time.Since(i.enteredAt) < ownKeyAfter {
+func (i *Registrar) checkOwnKey(ctx context.Context) error {
+	if time.Since(i.registeredAt) < ownKeyGrace {
 		return nil
 	}
-	own, err := i.own(ctx, true)
+	own, err := i.ownKey(ctx, true)
 	if err != nil || own != nil {
 		return err
 	}
-	return i.enterIfMissing(ctx)
+	return i.registerIfMissing(ctx)
 }
 
-// enterIfMissing writes the own key again if it is not in the store. The read that
+// registerIfMissing writes the own key again if it is not in the store. The read that
 // lacks it may be from before it was written, so one that is not stale decides.
-func (i *Registrar) enterIfMissing(ctx context.Context) error {
+func (i *Registrar) registerIfMissing(ctx context.Context) error {
 	_, err := i.Store.Get(ctx, i.Self.key())
 	var missing *store.NotFoundError
 	if !errors.As(err, &missing) {
 		return err
 	}
 	i.Log.Warn("own key is missing from the store", zap.String("key", i.Self.key()))
-	return i.enter(ctx)
+	return i.register(ctx)
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -210,7 +210,7 @@
 		t.Errorf("told %v, want the era's first version once", told)
 	}
 	select {
-	case <-i.doubted():
+	case <-i.leaseCheckDue():
 	default:
 		t.Error("the own key is not looked for")
 	}
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -77,7 +77,7 @@
 // encodedFor returns the body for an asker that has the value with the tag known, and
 // tells its encoding in h. It is data itself if that can't be encoded.
 func (f *Follower) encodedFor(h http.Header, tag, known string, data []byte) []byte {
-	encoded, dictionary, err := f.served.form(tag, known)
+	encoded, dictionary, err := f.served.encodedValue(tag, known)
 	if err != nil {
 		f.Log.Error("value can't be encoded", zap.String("key", f.Source.Name()), zap.Error(err))
 	}
--- a/internal/node/storecalls.go
+++ b/internal/node/storecalls.go
@@ -13,14 +13,14 @@
 	seconds *prometheus.HistogramVec
 }
 
-// callBuckets reach from a quick answer of the store to the end of a watch, in
+// callSecondsBuckets reach from a quick answer of the store to the end of a watch, in
 // seconds.
-var callBuckets = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 12}
+var callSecondsBuckets = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 12}
 
 // NewStoreCalls registers the metrics of store calls.
 func NewStoreCalls(log *zap.Logger, reg prometheus.Registerer) *StoreCalls {
 	c := &StoreCalls{log: log, seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-		Name: "hemlock_store_call_seconds", Help: "time of calls of the platform's store", Buckets: callBuckets,
+		Name: "hemlock_store_call_seconds", Help: "time of calls of the platform's store", Buckets: callSecondsBuckets,
 	}, []string{"op", "outcome"})}
 	reg.MustRegister(c.seconds)
 	return c
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -196,7 +196,7 @@
 
 // Guards against a fleet on full links in which no question is ever answered in time.
 func TestPatienceGrowsWithUnansweredQuestions(t *testing.T) {
-	const delay = 2 * askTimeout
+	const delay = 2 * responseTimeout
 	slow := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(delay):
@@ -206,7 +206,7 @@
 		w.Write([]byte("late"))
 	}))
 	c := NewValueClient()
-	for range askDoublings + 1 {
+	for range maxTimeoutDoublings + 1 {
 		if _, err := c.Fetch(context.Background(), []netip.AddrPort{slow}, store.Value{}); err == nil {
 			return
 		}
@@ -225,7 +225,7 @@
 	f.take(store.Value{Data: []byte("x"), Version: 1})
 	begun := time.Now()
 	ask(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
-	if took := time.Since(begun); took > askTimeout {
+	if took := time.Since(begun); took > responseTimeout {
 		t.Errorf("took %v", took)
 	}
 }
