--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -35,7 +35,7 @@
 // NoNewerValueError reports that no other process could tell a newer value.
 type NoNewerValueError struct {
 	Requested int   // processes that were asked
-	Last  error // what the last of them said; nil if there was none to ask
+	Last      error // what the last of them said; nil if there was none to ask
 }
 
 func (e *NoNewerValueError) Error() string {
@@ -86,8 +86,8 @@
 	// ContentNumber returns the number of a value's content; nil if contents have none.
 	ContentNumber func(data []byte) uint64
 
-	timeouts int  // questions in a row to which no answer began
-	fetchFull      bool // the next value is not to be encoded against the one that is known
+	unanswered int  // questions in a row to which no answer began
+	fetchFull  bool // the next value is not to be encoded against the one that is known
 }
 
 // NewValueClient returns a client without open connections.
@@ -120,7 +120,7 @@
 	processes = processes[:min(len(processes), MaxParallelRequests)]
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	limits := transfer.Limits{Answer: responseTimeout << min(c.timeouts, maxTimeoutDoublings), Step: progressTimeout}
+	limits := transfer.Limits{Answer: responseTimeout << min(c.unanswered, maxTimeoutDoublings), Step: progressTimeout}
 	answers := make(chan valueResponse)
 	cancels := make([]context.CancelFunc, len(processes))
 	for i, p := range processes {
@@ -146,7 +146,7 @@
 		a := <-answers
 		answered = answered || a.resp != nil
 		if a.err == nil {
-			c.timeouts = 0
+			c.unanswered = 0
 			for i, p := range processes {
 				if p != a.process {
 					cancels[i]()
@@ -158,9 +158,9 @@
 		a.close()
 	}
 	if answered || len(processes) == 0 {
-		c.timeouts = 0
+		c.unanswered = 0
 	} else {
-		c.timeouts++
+		c.unanswered++
 	}
 	return ReceivedValue{}, failed
 }
--- a/internal/node/encoding.go
+++ b/internal/node/encoding.go
@@ -78,12 +78,12 @@
 // encodings is the value that a process serves, in the forms in which it was asked for.
 // It is safe for concurrent use.
 type encodings struct {
-	mu      sync.Mutex
-	latest  store.Value
-	content uint64 // number of the latest value's content
-	tag     string
+	mu           sync.Mutex
+	latest       store.Value
+	content      uint64 // number of the latest value's content
+	tag          string
 	dictionaries []taggedValue     // the newest first
-	encoded   map[string][]byte // by the tag of the dictionary, "" for none
+	encoded      map[string][]byte // by the tag of the dictionary, "" for none
 }
 
 type taggedValue struct {
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -59,13 +59,13 @@
 
 	served encodings // latest value that could be used
 
-	takeMu    sync.Mutex  // held while a value is taken: one call of Changed at a time
-	mu        sync.Mutex  // guards the fields below
-	latest    store.Value // whether it could be used or not
-	content   uint64      // its number
+	takeMu         sync.Mutex  // held while a value is taken: one call of Changed at a time
+	mu             sync.Mutex  // guards the fields below
+	latest         store.Value // whether it could be used or not
+	content        uint64      // its number
 	storeFailing   bool
-	initHasValue sync.Once
-	taken     chan struct{} // closed once there is a value
+	initFirstValue sync.Once
+	firstValue     chan struct{} // closed once there is a value
 }
 
 // Run follows the key until ctx ends.
@@ -220,8 +220,8 @@
 
 // hasValue returns the channel that is closed once there is a value.
 func (f *Follower) hasValue() chan struct{} {
-	f.initHasValue.Do(func() { f.taken = make(chan struct{}) })
-	return f.taken
+	f.initFirstValue.Do(func() { f.firstValue = make(chan struct{}) })
+	return f.firstValue
 }
 
 // watch waits for the next change.
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -86,7 +86,7 @@
 	Store store.Prefixed
 	Keys  OrderKeys
 
-	mu   sync.Mutex
+	mu            sync.Mutex
 	unchangedUpTo historyPosition
 }
 
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -15,8 +15,8 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// keptOrders is a store that keeps every state of its keys.
-type keptOrders struct {
+// orderStore is a store that keeps every state of its keys.
+type orderStore struct {
 	era      store.Era
 	revision uint64
 	items    map[string][]byte
@@ -24,26 +24,26 @@
 	oldest   uint64 // changes up to here are not in the history any more
 }
 
-func newKeptOrders() *keptOrders {
-	return &keptOrders{revision: 100, oldest: 100, items: map[string][]byte{}}
+func newOrderStore() *orderStore {
+	return &orderStore{revision: 100, oldest: 100, items: map[string][]byte{}}
 }
 
-func (k *keptOrders) put(key, data string) {
+func (k *orderStore) put(key, data string) {
 	k.revision++
 	k.items[key] = []byte(data)
 	k.history = append(k.history, store.Change{Key: key, Value: store.Value{Data: []byte(data), Version: k.version()}})
 }
 
-func (k *keptOrders) remove(key string) {
+func (k *orderStore) remove(key string) {
 	k.revision++
 	delete(k.items, key)
 	k.history = append(k.history, store.Change{Key: key, Value: store.Value{Version: k.version()}, Removed: true})
 }
 
 // compact drops the history, as the store may at any time.
-func (k *keptOrders) compact() { k.oldest, k.history = k.revision, nil }
+func (k *orderStore) compact() { k.oldest, k.history = k.revision, nil }
 
-func (k *keptOrders) Snapshot(_ context.Context, prefix string) (store.Snapshot, error) {
+func (k *orderStore) Snapshot(_ context.Context, prefix string) (store.Snapshot, error) {
 	s := store.Snapshot{Revision: k.version()}
 	for key, data := range k.items {
 		if strings.HasPrefix(key, prefix) {
@@ -53,7 +53,7 @@
 	return s, nil
 }
 
-func (k *keptOrders) Changes(_ context.Context, prefix string, after uint64) (list []store.Change, upTo uint64, err error) {
+func (k *orderStore) Changes(_ context.Context, prefix string, after uint64) (list []store.Change, upTo uint64, err error) {
 	if store.EraOf(after) != k.era || store.RevisionOf(after) < k.oldest {
 		return nil, 0, &store.HistoryLostError{Key: prefix, After: after}
 	}
@@ -65,10 +65,10 @@
 	return list, k.version(), nil
 }
 
-func (k *keptOrders) version() uint64 { return store.VersionAt(k.era, k.revision) }
+func (k *orderStore) version() uint64 { return store.VersionAt(k.era, k.revision) }
 
 // restore has the store come back from c, an older copy of it, in the next era.
-func (k *keptOrders) restore(c *keptOrders) {
+func (k *orderStore) restore(c *orderStore) {
 	era := k.era + 1
 	*k = *c.copy()
 	k.era = era
@@ -77,14 +77,14 @@
 	}
 }
 
-func (k *keptOrders) copy() *keptOrders {
+func (k *orderStore) copy() *orderStore {
 	c := *k
 	c.items, c.history = maps.Clone(k.items), slices.Clone(k.history)
 	return &c
 }
 
 // evacuated are the zones that the store holds as evacuated, sorted.
-func (k *keptOrders) evacuated() (zones []string) {
+func (k *orderStore) evacuated() (zones []string) {
 	for key := range k.items {
 		if zone, ok := testKeys.Zone(key); ok {
 			zones = append(zones, zone)
@@ -146,22 +146,22 @@
 func TestOrdersFollowTheStore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(*keptOrders)
+		change func(*orderStore)
 		zones  []string
 		newer  bool
 	}{
-		{"evacuated", func(k *keptOrders) { k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
-		{"given back", func(k *keptOrders) { k.remove("orders/zone/a") }, nil, true},
-		{"given back, history lost", func(k *keptOrders) { k.remove("orders/zone/a"); k.compact() }, nil, true},
-		{"given back and taken again", func(k *keptOrders) { k.remove("orders/zone/a"); k.put("orders/zone/a", "") }, []string{"a"}, false},
-		{"ordered twice", func(k *keptOrders) { k.put("orders/zone/a", "again") }, []string{"a"}, false},
-		{"two zones at once", func(k *keptOrders) { k.put("orders/zone/c", ""); k.put("orders/zone/b", "") }, []string{"a", "b", "c"}, true},
-		{"configuration at the same time", func(k *keptOrders) { k.put("orders/configuration", "2"); k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
-		{"a key of somebody else", func(k *keptOrders) { k.put("orders/other", "") }, []string{"a"}, false},
-		{"other changes, history lost", func(k *keptOrders) { k.put("elsewhere", ""); k.compact() }, []string{"a"}, false},
+		{"evacuated", func(k *orderStore) { k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
+		{"given back", func(k *orderStore) { k.remove("orders/zone/a") }, nil, true},
+		{"given back, history lost", func(k *orderStore) { k.remove("orders/zone/a"); k.compact() }, nil, true},
+		{"given back and taken again", func(k *orderStore) { k.remove("orders/zone/a"); k.put("orders/zone/a", "") }, []string{"a"}, false},
+		{"ordered twice", func(k *orderStore) { k.put("orders/zone/a", "again") }, []string{"a"}, false},
+		{"two zones at once", func(k *orderStore) { k.put("orders/zone/c", ""); k.put("orders/zone/b", "") }, []string{"a", "b", "c"}, true},
+		{"configuration at the same time", func(k *orderStore) { k.put("orders/configuration", "2"); k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
+		{"a key of somebody else", func(k *orderStore) { k.put("orders/other", "") }, []string{"a"}, false},
+		{"other changes, history lost", func(k *orderStore) { k.put("elsewhere", ""); k.compact() }, []string{"a"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := newKeptOrders()
+			k := newOrderStore()
 			k.put("orders/configuration", "1")
 			k.put("orders/zone/a", "")
 			s := &OrdersSource{Store: k, Keys: testKeys}
@@ -177,7 +177,7 @@
 
 // A configuration whose key is removed stays in force; without one there are no orders.
 func TestConfigurationIsNotRemoved(t *testing.T) {
-	k := newKeptOrders()
+	k := newOrderStore()
 	s := &OrdersSource{Store: k, Keys: testKeys}
 	k.put("orders/zone/a", "")
 	var missing *store.NotFoundError
@@ -203,7 +203,7 @@
 // balancer read the older one before the operator had written the newer one again, and
 // handed it to a balancer that started just then, which served routes that were gone.
 func TestOlderConfigurationOfTheCopyIsNotTaken(t *testing.T) {
-	k := newKeptOrders()
+	k := newOrderStore()
 	k.put("orders/configuration", "1")
 	copied := k.copy()
 	k.put("orders/configuration", "3")
@@ -248,7 +248,7 @@
 // checkOrdersAgree has two processes and the operator make random steps of those named.
 func checkOrdersAgree(t *testing.T, steps []string) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newKeptOrders()
+		k := newOrderStore()
 		k.put("orders/configuration", "0")
 		copied := k.copy()
 		var sources [2]OrdersSource
@@ -323,7 +323,7 @@
 func TestNoProcessGoesBackToAnOlderConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 3
-		k := newKeptOrders()
+		k := newOrderStore()
 		written := 1
 		k.put("orders/configuration", strconv.Itoa(written))
 		copied := k.copy()
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -94,8 +94,8 @@
 	listInterval = 15 * time.Second
 	// secondListDelay and listAgain are when a process that has just started looks again: the
 	// first list lacks those that started together with it.
-	secondListDelay  = time.Second
-	thirdListDelay = 4 * time.Second
+	secondListDelay = time.Second
+	thirdListDelay  = 4 * time.Second
 	// ownKeyGrace is how long the own key may be missing from lists after it was
 	// written: they may be seconds old.
 	ownKeyGrace = 5 * time.Second
@@ -130,15 +130,15 @@
 	InvalidKeys   prometheus.Counter // keys that no process has written, each time they are read
 	Log           *zap.Logger
 
-	mu        sync.Mutex // guards lease
-	lease     store.LeaseID
-	renewAt   time.Time
+	mu           sync.Mutex // guards lease
+	lease        store.LeaseID
+	renewAt      time.Time
 	registeredAt time.Time // when the own key was written
-	listCount     int       // that were read
-	listAt    time.Time // when the next one is due
-	storeFailing   bool
-	deregistered      atomic.Bool   // the key was taken away for good
-	latestEra atomic.Uint64 // latest era of the store that was heard of
+	listCount    int       // that were read
+	listAt       time.Time // when the next one is due
+	storeFailing bool
+	deregistered atomic.Bool   // the key was taken away for good
+	latestEra    atomic.Uint64 // latest era of the store that was heard of
 
 	initLeaseCheck sync.Once
 	leaseCheck     chan struct{} // signalled when the store may have lost the own key; see doubted
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -120,8 +120,8 @@
 	return items, nil
 }
 
-// introducer returns an introducer of a process that starts, and what it finds.
-func introducer(s *keyStore, self Peer) (*Registrar, *[]Peer) {
+// newRegistrar returns an newRegistrar of a process that starts, and what it finds.
+func newRegistrar(s *keyStore, self Peer) (*Registrar, *[]Peer) {
 	found := new([]Peer)
 	return &Registrar{
 		Self: self, Store: s, PeersListed: func(p []Peer) { *found = p },
@@ -141,7 +141,7 @@
 func TestLeaseOfEarlierProcessIsTakenOver(t *testing.T) {
 	s := newKeyStore()
 	for range 2 {
-		i, _ := introducer(s, agentPeer)
+		i, _ := newRegistrar(s, agentPeer)
 		if err := i.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 	}
 	other := agentPeer
 	other.Service = "another"
-	i, _ := introducer(s, other)
+	i, _ := newRegistrar(s, other)
 	if err := i.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -169,8 +169,8 @@
 	for _, order := range [][]Peer{{agentPeer, balancerPeer}, {balancerPeer, agentPeer}} {
 		for at := range 3 {
 			s := newKeyStore()
-			first, foundByFirst := introducer(s, order[0])
-			second, foundBySecond := introducer(s, order[1])
+			first, foundByFirst := newRegistrar(s, order[0])
+			second, foundBySecond := newRegistrar(s, order[1])
 			s.at = at
 			s.during = func() {
 				if err := second.step(context.Background()); err != nil {
@@ -191,7 +191,7 @@
 // others are told, as soon as any answer shows that the store came back from an older copy.
 func TestEraOfOwnAnswerIsActedOn(t *testing.T) {
 	s := newKeyStore()
-	i, _ := introducer(s, agentPeer)
+	i, _ := newRegistrar(s, agentPeer)
 	var told []uint64
 	i.StoreRestored = func(version uint64) { told = append(told, version) }
 	if err := i.step(context.Background()); err != nil {
@@ -224,7 +224,7 @@
 	other := agentPeer
 	other.Addr = netip.MustParseAddrPort("10.1.0.23:8492")
 	for _, p := range []Peer{balancerPeer, other, agentPeer} {
-		i, found := introducer(s, p)
+		i, found := newRegistrar(s, p)
 		if err := i.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFixedDifferences(t *testing.T) {
+func TestChangesNeedingRestart(t *testing.T) {
 	before := Settings{Zone: "a", Packets: netip.MustParseAddrPort("10.0.0.1:8172"), MaxFlowAge: time.Minute}
 	after := before
 	after.MaxFlowAge = time.Second
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -13,22 +13,22 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// kept keeps the spans that a process exports.
-type kept struct{ spans chan sdk.ReadOnlySpan }
+// spanRecorder keeps the spans that a process exports.
+type spanRecorder struct{ spans chan sdk.ReadOnlySpan }
 
-func (k kept) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+func (k spanRecorder) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, s := range spans {
 		k.spans <- s
 	}
 	return nil
 }
 
-func (kept) Shutdown(context.Context) error { return nil }
+func (spanRecorder) Shutdown(context.Context) error { return nil }
 
-// traced returns the spans of a process, and what it exports when end is called.
-func traced(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
+// newTestSpans returns the spans of a process, and what it exports when end is called.
+func newTestSpans(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
 	t.Helper()
-	k := kept{spans: make(chan sdk.ReadOnlySpan, 100)}
+	k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
 	p := tracing.New(tracing.Config{Sample: sample}, k, prometheus.NewRegistry())
 	s, err := NewSpans(p)
 	if err != nil {
@@ -53,8 +53,8 @@
 func TestHopsOfAFlowAreOneTrace(t *testing.T) {
 	id := flow.ID{Key: flow.Key{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 40001}, Opener: 77}
 	via := netip.MustParseAddrPort("10.0.0.1:7720")
-	balancer, endBalancer := traced(t, 1)
-	agent, endAgent := traced(t, 1)
+	balancer, endBalancer := newTestSpans(t, 1)
+	agent, endAgent := newTestSpans(t, 1)
 	balancer.Balancer(id, via, 20*time.Millisecond, "")
 	agent.Agent(id, via, 10*time.Millisecond)
 	id.Opener++
@@ -82,7 +82,7 @@
 	}
 	s.Balancer(flow.ID{}, netip.AddrPort{}, 0, "")
 	s.Agent(flow.ID{}, netip.AddrPort{}, 0)
-	none, end := traced(t, 0)
+	none, end := newTestSpans(t, 0)
 	none.Balancer(flow.ID{}, netip.MustParseAddrPort("10.0.0.1:7720"), 0, "")
 	if got := end(); len(got) != 0 {
 		t.Errorf("%d spans at a share of 0", len(got))
@@ -96,7 +96,7 @@
 		sample float64
 	}{{"share=0.01", 0.01}, {"share=1", 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			k := kept{spans: make(chan sdk.ReadOnlySpan, 100)}
+			k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
 			go func() {
 				for range k.spans {
 				}
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -20,14 +20,14 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// serving starts a process that serves values over link, and returns its follower.
-func serving(t testing.TB, link *platform.Link) (*Follower, netip.AddrPort) {
+// startServer starts a process that serves values over link, and returns its follower.
+func startServer(t testing.TB, link *platform.Link) (*Follower, netip.AddrPort) {
 	t.Helper()
 	f := &Follower{Source: &OrdersSource{Keys: testKeys}, Changed: func(store.Value) bool { return true }, Log: zap.NewNop()}
-	return f, listening(t, link, ValueHandler(f))
+	return f, listen(t, link, ValueHandler(f))
 }
 
-func listening(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
+func listen(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
 	if link != nil {
@@ -45,7 +45,7 @@
 	return data
 }
 
-func ask(t testing.TB, c *ValueClient, known store.Value, processes ...netip.AddrPort) ReceivedValue {
+func fetch(t testing.TB, c *ValueClient, known store.Value, processes ...netip.AddrPort) ReceivedValue {
 	t.Helper()
 	v, err := c.Fetch(context.Background(), processes, known)
 	if err != nil {
@@ -57,10 +57,10 @@
 // Guards against a value that is asked for again and again, since a thin link does not
 // carry it within a fixed time.
 func TestLargeValueArrivesOverThinLink(t *testing.T) {
-	f, addr := serving(t, platform.NewLink(800_000))
+	f, addr := startServer(t, platform.NewLink(800_000))
 	f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 	begun := time.Now()
-	v := ask(t, NewValueClient(), store.Value{}, addr)
+	v := fetch(t, NewValueClient(), store.Value{}, addr)
 	if len(v.Data) != store.MaxValue || v.Version != 7 {
 		t.Fatalf("%d bytes of version %d", len(v.Data), v.Version)
 	}
@@ -68,16 +68,16 @@
 }
 
 // Guards against three whole values on the asker's link where one is wanted.
-func TestOneOfSeveralAnswersIsTaken(t *testing.T) {
+func TestOneOfSeveralResponsesIsRead(t *testing.T) {
 	link := platform.NewLink(1_000_000)
 	var processes []netip.AddrPort
 	for range MaxParallelRequests {
-		f, addr := serving(t, link)
+		f, addr := startServer(t, link)
 		f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 		processes = append(processes, addr)
 	}
 	begun := time.Now()
-	ask(t, NewValueClient(), store.Value{}, processes...)
+	fetch(t, NewValueClient(), store.Value{}, processes...)
 	if took := time.Since(begun); took > 2*time.Second {
 		t.Errorf("took %v where one answer takes a second", took)
 	}
@@ -86,11 +86,11 @@
 // Guards against the whole fleet taking a large value again because a process that has
 // just started read the same value in the store under a newer version.
 func TestSameValueUnderNewerVersionIsNotSent(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	data := incompressible(1 << 16)
 	f.take(store.Value{Data: data, Version: 65})
 	known := store.Value{Data: data, Version: 61}
-	v := ask(t, NewValueClient(), known, addr)
+	v := fetch(t, NewValueClient(), known, addr)
 	if v.Version != 65 || v.Bytes != 0 || string(v.Data) != string(data) {
 		t.Fatalf("version %d, %d bytes sent", v.Version, v.Bytes)
 	}
@@ -98,7 +98,7 @@
 
 // Guards against answers with a value that the asker has, or a newer one than that.
 func TestProcessWithNothingNewerSendsNothing(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: incompressible(1 << 16), Version: 61})
 	for _, known := range []store.Value{{Data: []byte("newer"), Version: 65}, {Data: []byte("other"), Version: 61}} {
 		_, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
@@ -111,20 +111,20 @@
 
 // Guards against a small change of a large value that costs as much as the value.
 func TestChangeIsSentAsDifference(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	before := store.Value{Data: incompressible(1 << 19), Version: 1}
 	after := store.Value{Data: append([]byte("change"), before.Data...), Version: 2}
 	f.take(before)
 	f.take(after)
-	v := ask(t, NewValueClient(), before, addr)
+	v := fetch(t, NewValueClient(), before, addr)
 	if string(v.Data) != string(after.Data) || v.Bytes > 1<<10 {
 		t.Fatalf("%d bytes sent for %d", v.Bytes, len(after.Data))
 	}
 }
 
 // Whatever values a process had, and whatever its asker has, the asker gets the newest one.
-func TestEveryAskerGetsTheNewestValue(t *testing.T) {
-	f, addr := serving(t, nil)
+func TestEveryClientReceivesTheNewestValue(t *testing.T) {
+	f, addr := startServer(t, nil)
 	version := uint64(0)
 	seen := []store.Value{{}}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -146,11 +146,11 @@
 
 // Guards against a process that can never take a value again once the difference to the
 // one that it has can't be decoded.
-func TestValueIsAskedForAsAWholeAfterADamagedOne(t *testing.T) {
-	f, _ := serving(t, nil)
+func TestFullValueIsFetchedAfterDecodeError(t *testing.T) {
+	f, _ := startServer(t, nil)
 	f.take(store.Value{Data: []byte("before"), Version: 1})
 	f.take(store.Value{Data: []byte("after"), Version: 2})
-	damaging := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	damaging := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("If-None-Match") != "" {
 			w.Header().Set("ETag", `"0"`)
 			w.Header().Set(versionHeader, "2")
@@ -167,7 +167,7 @@
 	if _, err := c.Fetch(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
 		t.Fatalf("%v", err)
 	}
-	if v := ask(t, c, known, damaging); string(v.Data) != "after" {
+	if v := fetch(t, c, known, damaging); string(v.Data) != "after" {
 		t.Fatalf("%q", v.Data)
 	}
 }
@@ -175,14 +175,14 @@
 // Processes of an earlier version send the value as it is, to whoever asks, and ask
 // without telling what they have.
 func TestValueOfAnEarlierVersionOfTheProgram(t *testing.T) {
-	plain := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	plain := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(versionHeader, strconv.Itoa(3))
 		w.Write([]byte("plain"))
 	}))
-	if v := ask(t, NewValueClient(), store.Value{Data: []byte("x"), Version: 2}, plain); string(v.Data) != "plain" {
+	if v := fetch(t, NewValueClient(), store.Value{Data: []byte("x"), Version: 2}, plain); string(v.Data) != "plain" {
 		t.Errorf("%q", v.Data)
 	}
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("plain"), Version: 3})
 	resp, err := http.Get("http://" + addr.String() + valuePath)
 	if err != nil {
@@ -195,9 +195,9 @@
 }
 
 // Guards against a fleet on full links in which no question is ever answered in time.
-func TestPatienceGrowsWithUnansweredQuestions(t *testing.T) {
+func TestResponseTimeoutGrowsWithUnansweredRequests(t *testing.T) {
 	const delay = 2 * responseTimeout
-	slow := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	slow := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(delay):
 		case <-r.Context().Done():
@@ -215,16 +215,16 @@
 }
 
 // A process that is gone does not keep the others' answers waiting.
-func TestDeadProcessDoesNotDelayTheOthers(t *testing.T) {
+func TestUnresponsiveProcessDoesNotDelayOthers(t *testing.T) {
 	dead, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer dead.Close()
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("x"), Version: 1})
 	begun := time.Now()
-	ask(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
+	fetch(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
 	if took := time.Since(begun); took > responseTimeout {
 		t.Errorf("took %v", took)
 	}
@@ -238,7 +238,7 @@
 		o := Orders{Configuration: []byte(configuration)}
 		return o.Encode()
 	}
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	kept := store.Value{Data: orders("6"), Version: store.VersionAt(1, 107)}
 	f.take(kept)
 	for _, revision := range []uint64{106, 107, 112} {
