--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,26 +38,26 @@
 const (
 	// idleTimeout ends a connection that was silent for so long.
 	idleTimeout = 30 * time.Second
-	// keepAlive keeps an open flow alive through pauses of its content.
-	keepAlive = 10 * time.Second
+	// keepAlivePeriod keeps an open flow alive through pauses of its content.
+	keepAlivePeriod = 10 * time.Second
 	// packetSize is the size of QUIC packets in bytes. With the forwarding
 	// header and the UDP and IP headers it stays below 1,500.
 	packetSize = 1350
 	// streamsPerConnection bounds the requests that one connection has open.
 	streamsPerConnection = 256
-	// leaveNotice is how long an agent that leaves goes on taking requests,
+	// drainNotice is how long an agent that leaves goes on taking requests,
 	// so that balancers hear of it before it refuses any.
-	leaveNotice = time.Second
-	// flushTime is how long an agent that leaves waits, after its last answer
+	drainNotice = time.Second
+	// flushTimeout is how long an agent that leaves waits, after its last answer
 	// was written, for callers to close their connections. A caller closes
 	// once it has everything; without this time the end of the last answers
 	// would be lost with the connection. Callers whose close was itself lost
 	// would hold the agent until the idle timeout, so the wait is bounded.
-	flushTime = 3 * time.Second
-	// noBufferWarning is the variable that keeps quic-go from writing to
+	flushTimeout = 3 * time.Second
+	// bufferWarningVariable is the variable that keeps quic-go from writing to
 	// standard error that it can't size the buffers of a virtual connection.
 	// The internal socket has its buffers sized already.
-	noBufferWarning = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
+	bufferWarningVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 )
 
 // Config is the settings of an agent.
@@ -72,7 +72,7 @@
 	Seeds       []netip.AddrPort // balancers to announce to at first
 	Store       store.Interface  // the platform's store, to read contact slots; may be nil if Seeds are given
 	Ramp        placement.Ramp   // cold start of the backend server
-	Repeats     idempotency.Config
+	Idempotency idempotency.Config
 	Traces      *tracing.Provider // nil is off
 }
 
@@ -121,7 +121,7 @@
 		socket.Close()
 		return nil, err
 	}
-	a.claims = newClaims(link, cfg.Internal, cfg.Repeats)
+	a.claims = newClaims(link, cfg.Internal, cfg.Idempotency)
 	a.control = newDuty(a, link)
 	if err := a.open(); err != nil {
 		socket.Close()
@@ -158,7 +158,7 @@
 	// Sessions resumed by tickets are encrypted under the service's key only,
 	// and 0-RTT stays off: early data can be replayed, and a replayed request
 	// would run twice.
-	os.Setenv(noBufferWarning, "true")
+	os.Setenv(bufferWarningVariable, "true")
 	tlsConfig := http3.ConfigureTLSConfig(&tls.Config{Certificates: []tls.Certificate{a.cfg.Certificate}})
 	a.ln, err = a.quic.ListenEarly(tlsConfig, QUICConfig())
 	if err != nil {
@@ -239,7 +239,7 @@
 	a.flows.leaving.Store(true)
 	a.control.leave()
 	select {
-	case <-time.After(leaveNotice):
+	case <-time.After(drainNotice):
 	case <-ctx.Done():
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -252,7 +252,7 @@
 	a.gate.drain(ctx)
 	select {
 	case <-done:
-	case <-time.After(flushTime):
+	case <-time.After(flushTimeout):
 	}
 }
 
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -14,7 +14,7 @@
 func QUICConfig() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:          idleTimeout,
-		KeepAlivePeriod:         keepAlive,
+		KeepAlivePeriod:         keepAlivePeriod,
 		InitialPacketSize:       packetSize,
 		DisablePathMTUDiscovery: true,
 		MaxIncomingStreams:      streamsPerConnection,
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -295,7 +295,7 @@
 		Certificate: cert,
 		Keys:        d.keys,
 		Seeds:       d.seeds(),
-		Repeats:     shortRepeats,
+		Idempotency: shortRepeats,
 		Traces:      d.traces(RoleAgent),
 	}, d.cfg.Log, prometheus.NewRegistry())
 	if err != nil {
