--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -16,78 +16,77 @@
 )
 
 const (
-	// responseTimeout is the time in which the answer to a question has to begin. A VM without
-	// power does not refuse a connection, so the others must not wait for it.
+	// responseTimeout bounds the wait for a response header. A VM without power does not
+	// refuse a connection, so this timeout keeps it from delaying the other processes' responses.
 	responseTimeout = 300 * time.Millisecond
-	// maxTimeoutDoublings bounds how often that time is doubled after questions without an
-	// answer: where every link is full, no answer begins in the usual time.
+	// maxTimeoutDoublings bounds how often responseTimeout is doubled after requests that got
+	// no response: where every link is saturated, no response begins within responseTimeout.
 	maxTimeoutDoublings = 2
-	// progressTimeout is the time in which more of an answer has to arrive: above what TCP waits
-	// before it repeats a lost segment for the second time.
+	// progressTimeout is the longest pause while a response body is read. It is above the
+	// time after which TCP retransmits a lost segment for the second time.
 	progressTimeout = 800 * time.Millisecond
-	// MaxParallelRequests is the number of processes asked at a time: of three, one lives
-	// and can be reached even if most of a fleet has just been restarted.
+	// MaxParallelRequests is the number of processes to which a request is sent at a time.
+	// With three, at least one is reachable even if most of the fleet has just restarted.
 	MaxParallelRequests = 3
-	// maxValueBytes bounds a value in bytes: twice what the store keeps.
+	// maxValueBytes bounds a received value. It is twice the largest value in the store.
 	maxValueBytes = 2 * store.MaxValue
 )
 
-// NoNewerValueError reports that no other process could tell a newer value.
+// NoNewerValueError reports that no other process returned a newer value.
 type NoNewerValueError struct {
-	Requested int   // processes that were asked
-	Last      error // what the last of them said; nil if there was none to ask
+	Requested int   // number of processes that the request was sent to
+	Last      error // error of the last process that failed; nil if there was no process to send to
 }
 
 func (e *NoNewerValueError) Error() string {
-	return fmt.Sprintf("none of %d other processes told a newer value; others or the store are asked: %v", e.Requested, e.Last)
+	return fmt.Sprintf("none of %d other processes returned a newer value, other processes or the store are tried next; last error: %v", e.Requested, e.Last)
 }
 
 func (e *NoNewerValueError) Unwrap() error { return e.Last }
 
-// NotNewerError reports a process that has no newer value than the asker.
+// NotNewerError reports that a process has no newer value than the requesting one.
 type NotNewerError struct {
 	Process netip.AddrPort
-	Version uint64 // that it has
+	Version uint64 // version of the process's value
 }
 
 func (e *NotNewerError) Error() string {
-	return fmt.Sprintf("%v has version %s, which is not newer; no action is needed", e.Process, store.FormatVersion(e.Version))
+	return fmt.Sprintf("process %v has version %s of the value, which is not newer; no action is needed", e.Process, store.FormatVersion(e.Version))
 }
 
-// ResponseStatusError reports a process that answered with neither a value nor that it has
-// none that is newer.
+// ResponseStatusError reports a response with a status other than 200, 204 and 304.
 type ResponseStatusError struct {
 	Process netip.AddrPort
 	Status  string
 }
 
 func (e *ResponseStatusError) Error() string {
-	return fmt.Sprintf("%v answered %s; another process or the store is asked", e.Process, e.Status)
+	return fmt.Sprintf("process %v answered a request for its value with status %s; another process or the store is tried next", e.Process, e.Status)
 }
 
-// ValueTransferError reports a process whose answer did not arrive, or not whole.
+// ValueTransferError reports a response that did not arrive, is incomplete or can't be read.
 type ValueTransferError struct {
 	Process netip.AddrPort
 	Err     error
 }
 
 func (e *ValueTransferError) Error() string {
-	return fmt.Sprintf("%v: %v; another process or the store is asked", e.Process, e.Err)
+	return fmt.Sprintf("value not received from process %v: %v; another process or the store is tried next", e.Process, e.Err)
 }
 
 func (e *ValueTransferError) Unwrap() error { return e.Err }
 
-// ValueClient asks other processes for the value that they follow. It is not safe for
+// ValueClient fetches the followed value from other processes. It is not safe for
 // concurrent use.
 type ValueClient struct {
 	http *http.Client
-	// BodyStarted, if not nil, is called when a process begins to send a newer value.
+	// BodyStarted, if not nil, is called before the body of a newer value is read.
 	BodyStarted func()
-	// ContentNumber returns the number of a value's content; nil if contents have none.
+	// ContentNumber returns the number of a value's content; nil if contents have no numbers.
 	ContentNumber func(data []byte) uint64
 
-	unanswered int  // questions in a row to which no answer began
-	fetchFull  bool // the next value is not to be encoded against the one that is known
+	unanswered int  // fetches in a row without any response
+	fetchFull  bool // request the next value without the known one as its dictionary
 }
 
 // NewValueClient returns a client without open connections.
@@ -96,25 +95,27 @@
 	return &ValueClient{http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// ReceivedValue is a value of another process.
+// ReceivedValue is a value fetched from another process.
 type ReceivedValue struct {
 	store.Value
 	Process netip.AddrPort
-	Bytes   int64 // that the answer's body took
+	Bytes   int64 // size of the response body
 }
 
-// valueResponse is the answer of one process, of which the body is not read yet.
+// valueResponse is the response of one process whose body has not been read yet.
 type valueResponse struct {
 	process  netip.AddrPort
 	ctx      context.Context
 	exchange *transfer.Exchange
 	resp     *http.Response
-	known    uint64 // number of the content that the asker has
+	known    uint64 // number of the content that this process has
 	err      error
 }
 
-// Fetch returns a value newer than known from whichever of some of the processes answers
-// first. The answers of the others are not taken: together they would fill the link.
+// Fetch sends a request to up to MaxParallelRequests of the processes, chosen at random, and
+// returns the first value that is newer than known. It cancels the other requests, since
+// several responses at once would saturate the link. Errors: *NoNewerValueError,
+// *ValueTransferError. It reorders processes.
 func (c *ValueClient) Fetch(ctx context.Context, processes []netip.AddrPort, known store.Value) (ReceivedValue, error) {
 	rand.Shuffle(len(processes), func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
 	processes = processes[:min(len(processes), MaxParallelRequests)]
@@ -138,7 +139,7 @@
 	return c.firstNewer(processes, cancels, answers, known)
 }
 
-// firstNewer takes the firstNewer answer that has a newer value.
+// firstNewer reads the first response that has a newer value and cancels the other requests.
 func (c *ValueClient) firstNewer(processes []netip.AddrPort, cancels []context.CancelFunc, answers <-chan valueResponse, known store.Value) (ReceivedValue, error) {
 	failed := &NoNewerValueError{Requested: len(processes)}
 	answered := false
@@ -165,7 +166,7 @@
 	return ReceivedValue{}, failed
 }
 
-// request sends the question to one process and waits until its answer begins.
+// request sends a request to one process and waits for the response header.
 func (c *ValueClient) request(ctx context.Context, process netip.AddrPort, known store.Value, limits transfer.Limits) valueResponse {
 	a := valueResponse{process: process, known: c.contentNumber(known)}
 	a.ctx, a.exchange = transfer.Begin(ctx, limits)
@@ -191,7 +192,7 @@
 	return a
 }
 
-// contentNumber returns the number of the content that the asker has, 0 if it has none.
+// contentNumber returns the number of the known value's content, 0 if there is none.
 func (c *ValueClient) contentNumber(known store.Value) uint64 {
 	if c.ContentNumber == nil || known.Version == 0 {
 		return 0
@@ -199,7 +200,7 @@
 	return c.ContentNumber(known.Data)
 }
 
-// checkNewer reports why an answer brings no newer value, nil if it brings one.
+// checkNewer returns why a response has no newer value, nil if it has one.
 func (a *valueResponse) checkNewer(known store.Value) error {
 	switch a.resp.StatusCode {
 	case http.StatusOK, http.StatusNotModified, http.StatusNoContent:
@@ -231,7 +232,7 @@
 	a.exchange.End()
 }
 
-// receive reads the value of an answer that has one.
+// receive reads the value of a response that has a newer one.
 func (c *ValueClient) receive(a valueResponse, known store.Value) (ReceivedValue, error) {
 	defer a.close()
 	version, err := a.version()
@@ -258,7 +259,7 @@
 	return v, nil
 }
 
-// decodeBody returns the value in an answer's body.
+// decodeBody returns the value in a response body.
 func decodeBody(h http.Header, body, known []byte) ([]byte, error) {
 	if h.Get("Content-Encoding") != encodingName {
 		return body, nil
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -7,9 +7,9 @@
 )
 
 // Now returns the time since the VM's start, as a time after the Unix epoch.
-// It goes on while the VM is suspended, unlike the monotonic clock, and never
-// jumps, unlike the time of day: after a suspension whatever was believed
-// before is as old as it is.
+// Unlike the monotonic clock it advances while the VM is suspended, and unlike the
+// time of day it never jumps. After a suspension the age of recorded state is therefore
+// its real age.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/node/encoding.go
+++ b/internal/node/encoding.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// dictionaryID names an earlier value as the dictionary of an encoded one.
+	// dictionaryID is the zstd dictionary ID of an earlier value that a value is encoded against.
 	dictionaryID = 1
-	// maxDictionaries bounds the earlier values that are kept as dictionaries, each of
-	// store.MaxValue at most.
+	// maxDictionaries bounds the earlier values that are kept as dictionaries, each with at
+	// most store.MaxValue bytes.
 	maxDictionaries = 3
 )
 
-// tagOf returns the entity tag of a value: equal data has equal tags in all processes.
+// tagOf returns the entity tag of a value. Equal data has the same tag in all processes.
 func tagOf(data []byte) string { return strconv.Quote(strconv.FormatUint(xxhash.Sum64(data), 16)) }
 
-// encode compresses data. Against a dictionary, a value that the receiver has, little but
-// the difference is left.
+// encode compresses data. With a dictionary, a value that the receiver has, the result holds
+// little more than the difference.
 func encode(data, dictionary []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1),
@@ -42,13 +42,13 @@
 	return w.EncodeAll(data, nil), nil
 }
 
-// windowSize returns the encoder's window, a power of two, for values of size bytes together:
-// the memory that an encoder takes grows with it.
+// windowSize returns the encoder's window in bytes, a power of two, for dictionary and value
+// of size bytes together. The encoder's memory grows with it, so it is no larger than needed.
 func windowSize(size int) int {
 	return max(zstd.MinWindowSize, 1<<bits.Len(uint(size)))
 }
 
-// decode reads what encode wrote. A value over valueLimit is refused.
+// decode reverses encode. It returns an error for a value over maxValueBytes.
 func decode(encoded, dictionary []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValueBytes),
@@ -64,26 +64,26 @@
 	return r.DecodeAll(encoded, nil)
 }
 
-// ValueDecodeError reports a value of another process that can't be decoded.
+// ValueDecodeError reports a value from another process that can't be decoded.
 type ValueDecodeError struct{ Reason error }
 
 func (e *ValueDecodeError) Error() string {
-	return fmt.Sprintf("the value can't be decoded: %v; it is asked for as a whole", e.Reason)
+	return fmt.Sprintf("value can't be decoded: %v; the next request asks for the full value", e.Reason)
 }
 
 func (e *ValueDecodeError) Unwrap() error { return e.Reason }
 
-var errTagMismatch = errors.New("its tag is another than it was sent with")
+var errTagMismatch = errors.New("entity tag of the decoded value differs from the ETag header")
 
-// encodings is the value that a process serves, in the forms in which it was asked for.
-// It is safe for concurrent use.
+// encodings is the value that a process serves, with the encoded forms that have been
+// requested. It is safe for concurrent use.
 type encodings struct {
 	mu           sync.Mutex
 	latest       store.Value
 	content      uint64 // number of the latest value's content
 	tag          string
-	dictionaries []taggedValue     // the newest first
-	encoded      map[string][]byte // by the tag of the dictionary, "" for none
+	dictionaries []taggedValue     // earlier values, the newest first
+	encoded      map[string][]byte // latest encoded, by the tag of the dictionary; "" for none
 }
 
 type taggedValue struct {
@@ -91,7 +91,7 @@
 	data []byte
 }
 
-// set takes the value in place of the one before, which stays as a dictionary.
+// set replaces the latest value. The previous one is kept as a dictionary.
 func (e *encodings) set(v store.Value, content uint64) {
 	tag := tagOf(v.Data)
 	e.mu.Lock()
@@ -103,7 +103,7 @@
 	e.latest, e.content, e.tag = v, content, tag
 }
 
-// addDictionary adds an earlier value, with e.mu held.
+// addDictionary keeps an earlier value as a dictionary. e.mu is held.
 func (e *encodings) addDictionary(v taggedValue) {
 	if v.tag == "" {
 		return
@@ -117,17 +117,17 @@
 	e.dictionaries = kept
 }
 
-// value returns the value, the number of its content and its tag, with version 0 if there
-// is none.
+// value returns the latest value, its content number and its tag. The version is 0 if there
+// is no value.
 func (e *encodings) value() (v store.Value, content uint64, tag string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.latest, e.content, e.tag
 }
 
-// encodedValue returns the value of a tag encoded for a process that has the one with the tag
-// known, and the tag of the dictionary: empty if that value is not kept here. It returns
-// nil if the value has been replaced meanwhile.
+// encodedValue returns the value with the given tag, encoded for a process that has the
+// value with the tag known, and the tag of the dictionary, which is empty if that value is
+// not kept here. encoded is nil if the value has been replaced in the meantime.
 func (e *encodings) encodedValue(tag, known string) (encoded []byte, dictionary string, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -14,61 +14,61 @@
 	"github.com/hemlockscale/hemlockscale/propagation"
 )
 
-// Plan decides when a Follower calls the store and when it takes the value from other
+// Plan decides when a Follower calls the store and when it fetches the value from other
 // processes. Its methods are safe for concurrent use.
 type Plan interface {
-	// StoreCall returns the call that is due now. One that is not None counts as
-	// begun, and StoreCalled is told its end.
+	// StoreCall returns the call that is due now. A call other than None counts as
+	// started, and StoreCalled has to be called when it has ended.
 	StoreCall() propagation.Call
 	StoreCalled(c propagation.Call, begun time.Time, o propagation.Outcome)
-	// Fetch returns the processes of which one is to be asked for the value. ok is
-	// false if none is; else the question counts as begun, and Fetched ends it.
-	// Receiving is told when a process begins to send the value.
+	// Fetch returns the processes from which the value is to be fetched. ok is false if
+	// no fetch is due; otherwise the fetch counts as started until Fetched is called.
+	// Receiving is called when a process starts to send the value.
 	Fetch() (from []netip.AddrPort, ok bool)
 	Receiving()
 	Fetched()
 }
 
-// ValueSource reads one value in the store. A value that is the same as the known one
-// keeps its version.
+// ValueSource reads one value from the store. It returns the known version for a value
+// that equals the known one.
 type ValueSource interface {
-	// Name tells what is read, for logs.
+	// Name returns the key or key prefix of the value, for logs.
 	Name() string
 	Read(ctx context.Context, known store.Value) (store.Value, error)
-	// Watch waits for a value other than the known one, and returns that if there is
-	// none in the time that the store waits. Errors: *store.HistoryLostError.
+	// Watch waits for a value that differs from the known one. It returns the known one
+	// if there is no change within the store's watch time. Errors: *store.HistoryLostError.
 	Watch(ctx context.Context, known store.Value) (store.Value, error)
-	// Merge returns what holds of a known value and another one, which the store or
-	// another process has. It has the higher version of the two.
+	// Merge combines the known value with another one, read from the store or received
+	// from a process. The result has the higher version of the two.
 	Merge(known, other store.Value) store.Value
-	// ContentNumber returns the number that the writer gave to a value's content, 0 if none.
-	// A higher one is newer, whatever the version.
+	// ContentNumber returns the number that the writer gave to a value's content, 0 if
+	// there is none. A higher number is newer, regardless of the version.
 	ContentNumber(data []byte) uint64
 }
 
-// Follower learns of each change of one value, from the store or from other processes,
-// as its Plan decides.
+// Follower keeps one value up to date from the store or from other processes, as its Plan
+// decides.
 type Follower struct {
 	Source ValueSource
 	Plan   Plan
-	// Changed takes a new value and reports whether it can be used.
+	// Changed applies a new value and reports whether it is valid.
 	Changed func(store.Value) bool
-	// Due tells that the Plan may have something to do.
+	// Due is signalled when a call or a fetch may be due.
 	Due <-chan struct{}
 	Log *zap.Logger
 
-	served encodings // latest value that could be used
+	served encodings // latest valid value, as served to other processes
 
-	takeMu         sync.Mutex  // held while a value is taken: one call of Changed at a time
+	takeMu         sync.Mutex  // held during take, so that calls of Changed do not overlap
 	mu             sync.Mutex  // guards the fields below
-	latest         store.Value // whether it could be used or not
-	content        uint64      // its number
+	latest         store.Value // latest value taken, whether valid or not
+	content        uint64      // content number of latest
 	storeFailing   bool
 	initFirstValue sync.Once
-	firstValue     chan struct{} // closed once there is a value
+	firstValue     chan struct{} // closed when the first value has been taken
 }
 
-// Run follows the key until ctx ends.
+// Run keeps the value up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	var duties sync.WaitGroup
 	defer duties.Wait()
@@ -95,7 +95,7 @@
 	}
 }
 
-// storeLoop is the duty that storeLoop the store.
+// storeLoop makes the calls to the store that are due.
 func (f *Follower) storeLoop(ctx context.Context, due <-chan struct{}) {
 	for ctx.Err() == nil {
 		c := f.Plan.StoreCall()
@@ -131,7 +131,7 @@
 	return f.read(ctx)
 }
 
-// fetchLoop is the duty that takes the value from other processes.
+// fetchLoop makes the fetches from other processes that are due.
 func (f *Follower) fetchLoop(ctx context.Context, others *ValueClient, due <-chan struct{}) {
 	for ctx.Err() == nil {
 		from, ok := f.Plan.Fetch()
@@ -152,10 +152,10 @@
 	v, err := others.Fetch(ctx, from, known)
 	took := Now().Sub(begun)
 	if err != nil {
-		f.Log.Info("no value from other processes", zap.String("key", f.Source.Name()), zap.Duration("took", took), zap.Error(err))
+		f.Log.Info("no newer value from other processes", zap.String("key", f.Source.Name()), zap.Duration("took", took), zap.Error(err))
 		return
 	}
-	f.Log.Info("value from another process", zap.String("key", f.Source.Name()), VersionField("version", v.Version), VersionField("known", known.Version),
+	f.Log.Info("value received from another process", zap.String("key", f.Source.Name()), VersionField("version", v.Version), VersionField("known", known.Version),
 		zap.Stringer("process", v.Process), zap.Int64("bytes", v.Bytes), zap.Duration("took", took))
 	f.take(v.Value)
 }
@@ -167,14 +167,14 @@
 	}
 }
 
-// known returns the value last taken, with version 0 for none.
+// known returns the latest value taken. Its version is 0 if there is none.
 func (f *Follower) known() store.Value {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latest
 }
 
-// logStoreState logs the store's loss and its return.
+// logStoreState logs when calls to the store begin to fail and when they succeed again.
 func (f *Follower) logStoreState(err error) {
 	var missing *store.NotFoundError
 	failed := err != nil && !errors.As(err, &missing)
@@ -185,9 +185,9 @@
 	}
 	f.storeFailing = failed
 	if failed {
-		f.Log.Warn("store lost", zap.String("duty", "follow"), zap.String("key", f.Source.Name()), zap.Error(err))
+		f.Log.Warn("store not available, retrying", zap.String("task", "follow"), zap.String("key", f.Source.Name()), zap.Error(err))
 	} else {
-		f.Log.Info("store regained", zap.String("duty", "follow"), zap.String("key", f.Source.Name()))
+		f.Log.Info("store available again", zap.String("task", "follow"), zap.String("key", f.Source.Name()))
 	}
 }
 
@@ -204,9 +204,9 @@
 	return nil
 }
 
-// awaitPeerValue waits until another process has told its value, for propagation.AskFirst at
-// most. The store has come back from an older copy: what it has may be older than what
-// other processes have, and must not be undone by a process that starts.
+// awaitPeerValue waits until a value has been received from another process, for at most
+// propagation.AskFirst. The store has been restored from an older copy, so its value may be
+// older than that of the other processes, and a process that starts must not revert to it.
 func (f *Follower) awaitPeerValue(ctx context.Context, found store.Value) {
 	begun := Now()
 	select {
@@ -214,17 +214,17 @@
 	case <-f.hasValue():
 	case <-time.After(propagation.AskFirst):
 	}
-	f.Log.Info("others asked before the store's value is taken", zap.String("key", f.Source.Name()), VersionField("version", found.Version),
-		zap.Bool("told", f.known().Version != 0), zap.Duration("took", Now().Sub(begun)))
+	f.Log.Info("waited for other processes' value before using the restored store's value", zap.String("key", f.Source.Name()), VersionField("version", found.Version),
+		zap.Bool("received", f.known().Version != 0), zap.Duration("took", Now().Sub(begun)))
 }
 
-// hasValue returns the channel that is closed once there is a value.
+// hasValue returns the channel that is closed when the first value has been taken.
 func (f *Follower) hasValue() chan struct{} {
 	f.initFirstValue.Do(func() { f.firstValue = make(chan struct{}) })
 	return f.firstValue
 }
 
-// watch waits for the next change.
+// watch waits for the next change in the store.
 func (f *Follower) watch(ctx context.Context) error {
 	v, err := f.Source.Watch(ctx, f.known())
 	if err != nil {
@@ -234,7 +234,7 @@
 	return nil
 }
 
-// take puts what holds of the known value and v in force, if that is newer.
+// take merges v with the known value and puts the result in force if it is newer.
 func (f *Follower) take(v store.Value) {
 	f.takeMu.Lock()
 	defer f.takeMu.Unlock()
@@ -248,7 +248,7 @@
 		return
 	}
 	if known.Version != 0 && store.EraOf(v.Version) != store.EraOf(known.Version) {
-		f.Log.Warn("store came back from an older copy", zap.String("key", f.Source.Name()), VersionField("version", v.Version), VersionField("known", known.Version), zap.Uint64("content", content))
+		f.Log.Warn("store was restored from an older copy", zap.String("key", f.Source.Name()), VersionField("version", v.Version), VersionField("known", known.Version), zap.Uint64("content", content))
 	}
 	f.setLatest(v, content)
 	if f.Changed(v) {
@@ -259,14 +259,14 @@
 	}
 }
 
-// setLatest notes a value and the number of its content.
+// setLatest records a value and its content number.
 func (f *Follower) setLatest(v store.Value, content uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.latest, f.content = v, content
 }
 
-// knownContent returns the number of the content last taken.
+// knownContent returns the content number of the latest value taken.
 func (f *Follower) knownContent() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -7,12 +7,12 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// FlowField names a flow in a log line.
+// FlowField returns the log field that identifies a flow.
 func FlowField(k flow.Key) zap.Field {
 	return zap.String("flow", k.CallerAddr().String()+">"+k.ServiceAddr().String())
 }
 
-// VersionField names a version of the store in a log line.
+// VersionField returns a log field with a version of the store.
 func VersionField(name string, version uint64) zap.Field {
 	return zap.String(name, store.FormatVersion(version))
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -7,37 +7,37 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// processStart is the start of the process, as far as the program can tell.
+// processStart is when this package was initialized, which approximates the process's start.
 var processStart = time.Now()
 
-// latencySecondsBuckets reach from what an answer from memory takes to the time after
-// which a caller repeats itself, in seconds.
+// latencySecondsBuckets range from the time of a response from memory to the time after
+// which a caller retransmits.
 var latencySecondsBuckets = []float64{0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1}
 
-// NewLatency registers a histogram of short times.
+// NewLatency registers a histogram of latencies from 0.2 ms to 1 s, in seconds.
 func NewLatency(reg prometheus.Registerer, name, help string) prometheus.Histogram {
 	h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: latencySecondsBuckets})
 	reg.MustRegister(h)
 	return h
 }
 
-// Readiness tells how long after its start a process was ready first.
+// Readiness measures the time from the start of a process until it is first ready.
 type Readiness struct {
 	once  sync.Once
 	gauge prometheus.Gauge
 }
 
-// NewReadiness registers the metric; it is 0 until the process is ready.
+// NewReadiness registers the metric, which is 0 until Reached is called.
 func NewReadiness(reg prometheus.Registerer) *Readiness {
 	r := &Readiness{gauge: prometheus.NewGauge(prometheus.GaugeOpts{
-		Name: "hemlock_start_to_ready_seconds", Help: "time from the start of the process until it was ready first; 0 before",
+		Name: "hemlock_start_to_ready_seconds", Help: "time from the start of the process until it was first ready; 0 before that",
 	})}
 	reg.MustRegister(r.gauge)
 	return r
 }
 
-// Reached notes that the process is ready. Only the first call counts; it
-// returns the time since the start and true.
+// Reached records that the process is ready. Only the first call has an effect: it
+// returns the time since the process's start and true.
 func (r *Readiness) Reached() (after time.Duration, first bool) {
 	r.once.Do(func() {
 		after, first = time.Since(processStart), true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node is what the processes on the users' platform have in common:
-// their settings, and the duties that tie them to the store and to each other.
+// Package node holds what balancers and agents on the users' platform have in common:
+// their settings, their registration in the store, and the exchange of the operator's
+// orders with the store and with other processes.
 package node
 
 import (
@@ -9,30 +10,31 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// ServerEvents takes what a backend server tells its agent.
+// ServerEvents receives the messages that a backend server sends to its agent.
 type ServerEvents interface {
-	// Heartbeat returns false for one that is not acted on, and so must not be
-	// acknowledged.
+	// Heartbeat handles a heartbeat. It returns false for one that was ignored and
+	// therefore must not be acknowledged.
 	Heartbeat(flow.Heartbeat) bool
-	// InvalidHeartbeat is told of one that no server sends.
+	// InvalidHeartbeat records a heartbeat that can't have come from a backend server,
+	// with the fault found in it.
 	InvalidHeartbeat(error)
-	// Leave is told that an instance ends. born is when it was started, as in
+	// Leave records that an instance of the server ends. born is its start time, as in
 	// flow.Heartbeat.
 	Leave(instance string, born int64)
 }
 
-// PacketCodec translates the platform's packets.
+// PacketCodec reads and writes the platform's packets.
 type PacketCodec interface {
-	// FromCaller and FromServer read the header of a packet.
+	// FromCaller and FromServer decode the header of a packet; ok is false if it is invalid.
 	FromCaller(b []byte) (flow.Segment, bool)
 	FromServer(b []byte) (flow.Segment, bool)
-	// Restore makes a packet that a server sent back the packet that it was.
+	// Restore turns a packet that a server returned back into the original packet, in place.
 	Restore(b []byte)
-	// Reset appends a reset of a flow, for its caller, to b.
+	// Reset appends a packet to b that resets a flow at its caller.
 	Reset(b []byte, key flow.Key, seq uint32) []byte
 }
 
-// IgnoreServerClosed turns the regular end of an HTTP server into nil.
+// IgnoreServerClosed returns nil for http.ErrServerClosed and err otherwise.
 func IgnoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -12,25 +12,25 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// Orders is what the operator has ordered, as it was at one revision of the store.
+// Orders is what the operator has ordered, as of one revision of the store.
 type Orders struct {
 	Configuration []byte   // as the operator wrote it
 	Evacuated     []string // availability zones that get no new flows, sorted
 }
 
-// maxEvacuated bounds the evacuated zones in an encoded value: far above the zones that
-// an operator has. A damaged length must not have a process take all its memory.
+// maxEvacuated bounds the evacuated zones in an encoded value, far above the number of
+// zones that an operator has. It keeps a corrupt count from exhausting the process's memory.
 const maxEvacuated = 1 << 12
 
-// OrdersError reports a value that is no encoded Orders.
+// OrdersError reports a value that can't be decoded as Orders.
 type OrdersError struct{ Reason string }
 
 func (e *OrdersError) Error() string {
-	return fmt.Sprintf("orders: %s; the value comes from a process of another version, or is damaged: it is read in the store instead", e.Reason)
+	return fmt.Sprintf("orders can't be decoded: invalid %s; the value is corrupt or of a process of another version and is read from the store instead", e.Reason)
 }
 
-// Encode returns the orders in one value: the number of zones, their names each with its
-// length, then the configuration. Equal orders have equal values.
+// Encode returns the orders as one value: the number of zones, each zone's name preceded by
+// its length, then the configuration. Equal orders have equal encodings.
 func (o *Orders) Encode() []byte {
 	b := make([]byte, 0, len(o.Configuration)+64)
 	b = binary.AppendUvarint(b, uint64(len(o.Evacuated)))
@@ -41,7 +41,7 @@
 	return append(b, o.Configuration...)
 }
 
-// DecodeOrders reads what Encode wrote.
+// DecodeOrders reverses Encode. Errors: *OrdersError.
 func DecodeOrders(b []byte) (Orders, error) {
 	n, size := binary.Uvarint(b)
 	if size <= 0 || n > maxEvacuated {
@@ -62,26 +62,27 @@
 	return o, nil
 }
 
-// OrderKeys says which keys of the store hold the operator's orders.
+// OrderKeys describes the keys of the store that hold the operator's orders.
 type OrderKeys struct {
-	Prefix        string // of all of them
+	Prefix        string // common prefix of all keys
 	Configuration string // key of the configuration
-	// Zone returns the availability zone that a key names as evacuated for as long as
-	// the key exists.
+	// Zone returns the availability zone that is evacuated for as long as the key exists;
+	// ok is false for other keys.
 	Zone func(key string) (zone string, ok bool)
-	// Number returns the number that the operator gave to a configuration; a newer one has a
-	// higher number. It is 0 if it can't be read.
+	// Number returns the number that the operator gave to a configuration; a newer
+	// configuration has a higher number. It returns 0 if the configuration can't be read.
 	Number func(configuration []byte) uint64
 }
 
-// OrdersSource reads the operator's orders in the store as one value. Its version is that
-// of the store when the orders were found so, and a new one is taken only if they differ,
-// or the store has come back from an older copy: reads are linearizable, so of two values
-// with different versions the one with the higher version is the newer.
+// OrdersSource reads the operator's orders from the store as one value. The value's version
+// is the store's version at the read. A new version is assigned only if the orders differ or
+// the store has been restored from an older copy. Reads are linearizable, so of two values
+// the one with the higher version is newer.
 //
-// One value has one number that a process can compare. An evacuation leaves no key when
-// it ends; with a number for each key a process that missed its end could not tell
-// "given back" from "not read yet", and kept a zone out of service, or put one into it.
+// All orders share one version because the key of an evacuation is removed when the
+// evacuation ends. With a version for each key, a process that missed the removal could not
+// distinguish "evacuation ended" from "not read yet", and would keep a zone out of service
+// or put it into service by mistake.
 type OrdersSource struct {
 	Store store.Prefixed
 	Keys  OrderKeys
@@ -90,8 +91,8 @@
 	unchangedUpTo historyPosition
 }
 
-// historyPosition is how far the store's history is known: a version of the orders, and the
-// version of the store up to which they stayed as they were.
+// historyPosition is a version of the orders and the version of the store up to which the
+// orders are known to be unchanged.
 type historyPosition struct{ version, upTo uint64 }
 
 // Name implements ValueSource.
@@ -123,7 +124,7 @@
 	changes, upTo, err := s.Store.Changes(ctx, s.Keys.Prefix, s.watchFrom(known.Version))
 	var long *store.TooLongError
 	if errors.As(err, &long) {
-		// Several changes of a large configuration: only the last of them counts.
+		// The list holds several changes of a large configuration, of which only the last counts.
 		return s.Read(ctx, known)
 	}
 	if err != nil {
@@ -139,7 +140,7 @@
 	return s.encodeValue(&o, known, upTo), nil
 }
 
-// decodeKnown reads a value that this process has taken; the zero value is no orders.
+// decodeKnown decodes a value that this process has taken. The zero value stands for no orders.
 func decodeKnown(known store.Value) (Orders, error) {
 	if known.Version == 0 {
 		return Orders{}, nil
@@ -149,8 +150,8 @@
 	return o, err
 }
 
-// applyPut takes a key that holds data, as found at a version of the store. Keys that are none
-// of the orders change nothing.
+// applyPut applies a key with its data, as read at a version of the store, to o. It ignores
+// keys that hold no orders.
 func (s *OrdersSource) applyPut(o *Orders, key string, data []byte, version uint64) {
 	if key == s.Keys.Configuration {
 		o.Configuration = s.newerConfiguration(data, version, o.Configuration)
@@ -165,8 +166,8 @@
 	}
 }
 
-// applyRemoval takes a key away. A configuration that is removed stays in force: an operator
-// changes it, and callers must not lose every route to a slip.
+// applyRemoval applies the removal of a key to o. A configuration stays in force when its key
+// is removed, so that an operator who removes it by mistake does not cut off every caller.
 func (s *OrdersSource) applyRemoval(o *Orders, key string) {
 	zone, ok := s.Keys.Zone(key)
 	if !ok {
@@ -177,9 +178,9 @@
 	}
 }
 
-// encodeValue returns the orders that held at a version of the store: the known encodeValue if they
-// are the same. In a new era even those get a new version, by which every process learns
-// of the era.
+// encodeValue returns the orders at a version of the store as a value, which is the known
+// one if they are the same. In a new store era unchanged orders also get a new version, which
+// notifies every process of the era.
 func (s *OrdersSource) encodeValue(o *Orders, known store.Value, version uint64) store.Value {
 	v := store.Value{Data: o.Encode(), Version: version}
 	if known.Version != 0 && bytes.Equal(v.Data, known.Data) && store.EraOf(known.Version) == store.EraOf(version) {
@@ -191,12 +192,12 @@
 	return v
 }
 
-// newerConfiguration returns the configuration that was found at a version of the store, or the one
-// known here if that is newer.
+// newerConfiguration returns the configuration that was found at a version of the store, or
+// the known one if that is newer.
 //
-// A store that has come back from an older copy lacks a configuration until the operator
-// has written it again; a process that took the one before from it would send callers by
-// routes that they were told are gone. A store that never did has the newerConfiguration one.
+// A store that has been restored from an older copy lacks the latest configuration until the
+// operator writes it again. A process that used the store's older one would send callers
+// along routes that have been removed. A store that was never restored has the latest one.
 func (s *OrdersSource) newerConfiguration(found []byte, version uint64, known []byte) []byte {
 	if store.EraOf(version) == 0 || !s.older(found, known) {
 		return found
@@ -204,8 +205,8 @@
 	return known
 }
 
-// older reports whether the operator made configuration a before b. One that can't be read
-// is not older: it is refused where it is read as a whole.
+// older reports whether the operator made configuration a before configuration b. It returns
+// false if a can't be read; such a configuration is rejected where it is applied.
 func (s *OrdersSource) older(a, b []byte) bool {
 	if len(b) == 0 {
 		return false
@@ -214,8 +215,8 @@
 	return number != 0 && number < s.Keys.Number(b)
 }
 
-// Merge implements ValueSource. Of two orders those with the higher version hold, with the
-// newer configuration of the two.
+// Merge implements ValueSource. It returns the orders with the higher version, with the newer
+// of the two configurations.
 func (s *OrdersSource) Merge(known, other store.Value) store.Value {
 	if known.Version == 0 {
 		return other
@@ -236,7 +237,7 @@
 	return store.Value{Data: o.Encode(), Version: newer.Version}
 }
 
-// ContentNumber implements ValueSource: the number of the configuration.
+// ContentNumber implements ValueSource. It returns the number of the configuration.
 func (s *OrdersSource) ContentNumber(value []byte) uint64 {
 	o, err := DecodeOrders(value)
 	if err != nil || len(o.Configuration) == 0 {
@@ -245,7 +246,8 @@
 	return s.Keys.Number(o.Configuration)
 }
 
-// watchFrom returns the version to wait for changes watchFrom.
+// watchFrom returns the version of the store after which changes of the orders with the
+// given version are to be watched.
 func (s *OrdersSource) watchFrom(version uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -15,13 +15,13 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// orderStore is a store that keeps every state of its keys.
+// orderStore is an in-memory store with the history of its keys.
 type orderStore struct {
 	era      store.Era
 	revision uint64
 	items    map[string][]byte
 	history  []store.Change
-	oldest   uint64 // changes up to here are not in the history any more
+	oldest   uint64 // revision up to which changes are no longer in the history
 }
 
 func newOrderStore() *orderStore {
@@ -40,7 +40,7 @@
 	k.history = append(k.history, store.Change{Key: key, Value: store.Value{Version: k.version()}, Removed: true})
 }
 
-// compact drops the history, as the store may at any time.
+// compact discards the history, as the store may at any time.
 func (k *orderStore) compact() { k.oldest, k.history = k.revision, nil }
 
 func (k *orderStore) Snapshot(_ context.Context, prefix string) (store.Snapshot, error) {
@@ -67,7 +67,7 @@
 
 func (k *orderStore) version() uint64 { return store.VersionAt(k.era, k.revision) }
 
-// restore has the store come back from c, an older copy of it, in the next era.
+// restore replaces the store's state by c, an older copy of it, in the next store era.
 func (k *orderStore) restore(c *orderStore) {
 	era := k.era + 1
 	*k = *c.copy()
@@ -83,7 +83,7 @@
 	return &c
 }
 
-// evacuated are the zones that the store holds as evacuated, sorted.
+// evacuated returns the evacuated zones in the store, sorted.
 func (k *orderStore) evacuated() (zones []string) {
 	for key := range k.items {
 		if zone, ok := testKeys.Zone(key); ok {
@@ -106,7 +106,7 @@
 	},
 }
 
-// follow reads or watches, as a process that follows the orders does.
+// follow reads the orders, or watches them if some are known, as a process does.
 func follow(t failer, s *OrdersSource, known store.Value) store.Value {
 	t.Helper()
 	read := s.Read
@@ -138,11 +138,10 @@
 	return o.Evacuated
 }
 
-// Symptom: an availability zone stays out of service after it was given back, or in
-// service after it was evacuated.
-// Sequence: a process reads the orders, and they change; the key of an evacuation is
-// gone by the time that the process reads again, with or without the store's history.
-// Cause: a key that is gone has no version that could be compared.
+// Guards against an availability zone that stays out of service after its evacuation ended, or
+// in service after it was evacuated. A process reads the orders, the key of an evacuation is
+// removed, and the process reads again, with or without the store's history. A removed key has
+// no version that could be compared.
 func TestOrdersFollowTheStore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -175,14 +174,15 @@
 	}
 }
 
-// A configuration whose key is removed stays in force; without one there are no orders.
+// Checks that a configuration stays in force when its key is removed, and that there are no
+// orders without a configuration.
 func TestConfigurationIsNotRemoved(t *testing.T) {
 	k := newOrderStore()
 	s := &OrdersSource{Store: k, Keys: testKeys}
 	k.put("orders/zone/a", "")
 	var missing *store.NotFoundError
 	if _, err := s.Read(context.Background(), store.Value{}); !errors.As(err, &missing) {
-		t.Fatalf("orders without a configuration: %v", err)
+		t.Fatalf("read of orders without a configuration: %v, want *store.NotFoundError", err)
 	}
 	k.put("orders/configuration", "1")
 	v := follow(t, s, store.Value{})
@@ -199,9 +199,9 @@
 	}
 }
 
-// The store came back from an older copy, without the configuration that was in force. A
-// balancer read the older one before the operator had written the newer one again, and
-// handed it to a balancer that started just then, which served routes that were gone.
+// Guards against removed routes that are served again. The store is restored from an older
+// copy without the current configuration, and a balancer reads the older one before the
+// operator has written the current one again, and serves it to a balancer that starts.
 func TestOlderConfigurationOfTheCopyIsNotTaken(t *testing.T) {
 	k := newOrderStore()
 	k.put("orders/configuration", "1")
@@ -231,21 +231,21 @@
 	}
 }
 
-// Two processes that follow the same store in their own time, and take values from each
-// other, never hold different orders under one version, never go back, and agree with
-// the store in the end.
+// Checks that two processes, which read the same store independently and take values from
+// each other, never have different orders under one version, never return to an older version,
+// and finally agree with the store.
 func TestOrdersAgree(t *testing.T) {
 	checkOrdersAgree(t, []string{"evacuate", "give back", "configure", "compact", "follow", "follow", "take"})
 }
 
-// The same while the store comes back from older copies, of which revisions are given out
-// again: compared by revision alone, one version stood for two orders, and what was
-// ordered after the return was in force nowhere.
+// Checks the same while the store is restored from older copies and assigns revisions again.
+// Compared by revision alone, one version would stand for two sets of orders, and no process
+// would apply the orders that were given after the restore.
 func TestOrdersAgreeAfterRestores(t *testing.T) {
 	checkOrdersAgree(t, []string{"evacuate", "give back", "copy", "restore", "follow", "follow", "take"})
 }
 
-// checkOrdersAgree has two processes and the operator make random steps of those named.
+// checkOrdersAgree makes random steps of those named, by two processes and the operator.
 func checkOrdersAgree(t *testing.T, steps []string) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := newOrderStore()
@@ -259,7 +259,7 @@
 		}
 		take := func(i int, v store.Value) {
 			if data, known := seen[v.Version]; known && !bytes.Equal(data, v.Data) {
-				t.Fatalf("version %s stands for two orders", store.FormatVersion(v.Version))
+				t.Fatalf("two different sets of orders have version %s", store.FormatVersion(v.Version))
 			}
 			seen[v.Version] = v.Data
 			if v.Version > held[i].Version {
@@ -293,13 +293,13 @@
 		for i := range sources {
 			take(i, follow(t, &sources[i], held[i]))
 			if got := zonesOf(t, held[i]); !slices.Equal(got, k.evacuated()) {
-				t.Fatalf("process %d has %v in force, the store holds %v", i, got, k.evacuated())
+				t.Fatalf("process %d has evacuated zones %v, the store has %v", i, got, k.evacuated())
 			}
 		}
 	})
 }
 
-// Whatever another process sends, what is read can be written again.
+// Checks that every value that DecodeOrders accepts survives encoding and decoding.
 func FuzzOrders(f *testing.F) {
 	o := Orders{Configuration: []byte("{}"), Evacuated: []string{"a", "b"}}
 	f.Add(o.Encode())
@@ -317,9 +317,9 @@
 	})
 }
 
-// Guards against a configuration that was in force and is undone: processes that start take
-// the store's older one, the others go on with the newer one that they carried over, and
-// whoever has the higher version overrules the other.
+// Guards against a configuration that was in force and is reverted after the store was restored
+// from an older copy. Processes that start read the store's older configuration, while the
+// others keep the newer one, and the higher version must not decide between the two.
 func TestNoProcessGoesBackToAnOlderConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 3
@@ -334,7 +334,7 @@
 			before := held[i]
 			held[i] = sources[i].Merge(before, v)
 			if before.Version > held[i].Version || sources[i].ContentNumber(before.Data) > sources[i].ContentNumber(held[i].Data) {
-				t.Fatalf("process %d goes back from %s with %q to %s with %q", i, store.FormatVersion(before.Version), before.Data, store.FormatVersion(held[i].Version), held[i].Data)
+				t.Fatalf("process %d goes back from version %s with %q to version %s with %q", i, store.FormatVersion(before.Version), before.Data, store.FormatVersion(held[i].Version), held[i].Data)
 			}
 		}
 		for i := range processes {
@@ -376,7 +376,7 @@
 		}
 		for i := range processes {
 			if got := sources[i].ContentNumber(held[i].Data); held[i].Version != 0 && got != newest {
-				t.Errorf("process %d has configuration %d once all have met, want %d", i, got, newest)
+				t.Errorf("process %d has configuration %d after all have exchanged values, want %d", i, got, newest)
 			}
 		}
 	})
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -17,14 +17,14 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// Store is what the processes need of the platform's store.
+// Store is the part of the platform's store that the processes use.
 type Store interface {
 	store.Interface
 	store.Lister
 	store.Prefixed
 }
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
 // The roles.
@@ -33,34 +33,34 @@
 	RoleAgent    Role = "agent"
 )
 
-// Peer is one process as it introduces itself in the store.
+// Peer is a process as registered in the store.
 type Peer struct {
 	Role    Role           `json:"role"`
-	Addr    netip.AddrPort `json:"addr"` // UDP, for the system's own messages
+	Addr    netip.AddrPort `json:"addr"` // UDP, for messages between processes
 	Zone    string         `json:"zone"`
-	Service string         `json:"service,omitempty"` // agents
+	Service string         `json:"service,omitempty"` // agents only
 }
 
-// PeersPrefix begins the keys of all processes.
+// PeersPrefix is the prefix of the keys of all processes.
 const PeersPrefix = "hemlock/nodes/"
 
-// rolePrefix begins the keys of all processes of a role.
+// rolePrefix returns the prefix of the keys of all processes with a role.
 func rolePrefix(r Role) string { return PeersPrefix + string(r) + "/" }
 
 func (p *Peer) key() string { return rolePrefix(p.Role) + p.Addr.String() }
 
-// PeerError reports a key that no process has written.
+// PeerError reports a key under PeersPrefix whose content no process can have written.
 type PeerError struct {
 	Key    string
 	Reason string
 }
 
 func (e *PeerError) Error() string {
-	return fmt.Sprintf("key %s: %s; remove it, only processes of this system write under %s", e.Key, e.Reason, PeersPrefix)
+	return fmt.Sprintf("key %s is not the registration of a process: %s; remove the key, since only processes of this system may write under %s", e.Key, e.Reason, PeersPrefix)
 }
 
-// parsePeer reads the key of a process. Other programs may write under the same
-// prefix: what is not whole, or stands under another address's key, names nobody.
+// parsePeer decodes the registration under a key. Other programs may write under the same
+// prefix, so it rejects data that is incomplete or belongs to another key. Errors: *PeerError.
 func parsePeer(key string, data []byte) (Peer, error) {
 	var p Peer
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -68,83 +68,84 @@
 	}
 	switch {
 	case p.Role != RoleBalancer && p.Role != RoleAgent:
-		return Peer{}, &PeerError{key, fmt.Sprintf("role %q is not known", p.Role)}
+		return Peer{}, &PeerError{key, fmt.Sprintf("unknown role %q", p.Role)}
 	case !p.Addr.Addr().Is4() || p.Addr.Port() == 0:
 		return Peer{}, &PeerError{key, "no IPv4 address with a port"}
 	case p.key() != key:
-		return Peer{}, &PeerError{key, "names " + p.Addr.String()}
+		return Peer{}, &PeerError{key, "the data belongs to " + p.Addr.String()}
 	case p.Zone == "":
 		return Peer{}, &PeerError{key, "no availability zone"}
 	case p.Role == RoleAgent && p.Service == "":
-		return Peer{}, &PeerError{key, "an agent without a service"}
+		return Peer{}, &PeerError{key, "agent without a service"}
 	}
 	return p, nil
 }
 
 const (
-	// leaseTTL is how long the key of a process outlives it: longer than most
-	// outages of the store and than any restart.
+	// leaseTTL is how long the key of a process stays after the process has failed. It is
+	// longer than most outages of the store and than any restart.
 	leaseTTL = 45 * time.Second
-	// renewInterval leaves a lease two more tries before it ends.
+	// renewInterval is the time between renewals. If one fails, there is time for two more
+	// before the lease expires.
 	renewInterval = 14 * time.Second
-	// listInterval is the time between two looks for processes that did not introduce
-	// themselves by a message: below the time after which two that were cut off from
-	// each other have forgotten each other. Such a read may be stale and costs a tenth
-	// of a call. A process that starts is known to the others by its own messages.
+	// listInterval is the time between two lists of the processes' keys, which find processes
+	// whose messages did not arrive. It is shorter than the time after which two processes
+	// that are cut off from each other remove each other. Such a list may be stale and costs
+	// a tenth of a call. A process that starts announces itself by messages.
 	listInterval = 15 * time.Second
-	// secondListDelay and listAgain are when a process that has just started looks again: the
-	// first list lacks those that started together with it.
+	// secondListDelay and thirdListDelay are the times from the first to the second and from
+	// the second to the third list of a process that has recently started. The first list
+	// lacks the processes that started at the same time.
 	secondListDelay = time.Second
 	thirdListDelay  = 4 * time.Second
-	// ownKeyGrace is how long the own key may be missing from lists after it was
-	// written: they may be seconds old.
+	// ownKeyGrace is how long the process's own key may be missing from lists after it was
+	// written, since a stale list may be seconds old.
 	ownKeyGrace = 5 * time.Second
-	// reclaimJitter bounds the time after which a process looks for its key once it has
-	// heard that the store came back from an older copy. Keys have to be back within
-	// two seconds.
+	// reclaimJitter bounds the random delay between the notice that the store was restored
+	// from an older copy and the renewal of the lease. Keys have to be back within two seconds.
 	reclaimJitter = 500 * time.Millisecond
-	// retryBase and retryMax space the repeats of failed calls. Keys have to be back
-	// within two seconds of the store's return. Refused calls are priced like others:
-	// at 1 s, and 150 ms at a start, an outage for some of 82 processes took a third
-	// more calls in a day, 2,070 in place of 1,594.
+	// retryBase and retryMax bound the delay between retries of failed calls. Keys have to be
+	// back within two seconds of the store's return, and refused calls cost as much as others:
+	// with 1 s, and 150 ms at a start, an outage that affects some of 82 processes
+	// causes a third more calls in a day, 2,070 instead of 1,594.
 	retryBase = 200 * time.Millisecond
 	retryMax  = 1800 * time.Millisecond
 )
 
-// NewInvalidKeys returns the counter of keys that no process has written.
+// NewInvalidKeys registers and returns the counter for Registrar.InvalidKeys.
 func NewInvalidKeys(reg prometheus.Registerer) prometheus.Counter {
-	c := prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_store_keys_wrong_total", Help: "keys read in the store that no process of this system has written"})
+	c := prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_store_keys_wrong_total", Help: "keys read from the store that are not the registration of a process"})
 	reg.MustRegister(c)
 	return c
 }
 
-// Registrar keeps the key of this process in the store and learns of others.
+// Registrar keeps the key of this process in the store and lists the keys of other processes.
 type Registrar struct {
 	Self        Peer
 	Store       Store
-	PeersListed func(peers []Peer) // called with every list, by the introducer's goroutine
-	// StoreRestored, if not nil, is called by the introducer's goroutine when an answer of the
-	// store is the first to tell that it has come back from an older copy. version is the
-	// lowest of the era since then.
+	PeersListed func(peers []Peer) // called with the other processes of every list, from Run's goroutine
+	// StoreRestored, if not nil, is called from Run's goroutine when a response of the store
+	// is the first to show that the store was restored from an older copy. version is the
+	// lowest version of the new store era.
 	StoreRestored func(version uint64)
-	InvalidKeys   prometheus.Counter // keys that no process has written, each time they are read
+	InvalidKeys   prometheus.Counter // keys that are no valid registration, counted at every read
 	Log           *zap.Logger
 
 	mu           sync.Mutex // guards lease
 	lease        store.LeaseID
 	renewAt      time.Time
-	registeredAt time.Time // when the own key was written
-	listCount    int       // that were read
-	listAt       time.Time // when the next one is due
+	registeredAt time.Time // when the process's own key was written
+	listCount    int       // number of lists read
+	listAt       time.Time // when the next list is due
 	storeFailing bool
-	deregistered atomic.Bool   // the key was taken away for good
-	latestEra    atomic.Uint64 // latest era of the store that was heard of
+	deregistered atomic.Bool   // Deregister was called: the key is not written again
+	latestEra    atomic.Uint64 // latest store era observed by any process
 
 	initLeaseCheck sync.Once
-	leaseCheck     chan struct{} // signalled when the store may have lost the own key; see doubted
+	leaseCheck     chan struct{} // signalled when the store may have lost the process's own key; see leaseCheckDue
 }
 
-// Run introduces the process until ctx ends.
+// Run keeps the process registered until ctx ends.
 func (i *Registrar) Run(ctx context.Context) error {
 	backoff := store.Backoff{Base: retryBase, Max: retryMax}
 	for {
@@ -163,9 +164,9 @@
 	}
 }
 
-// pause waits for d, or until the store may have lost the own key. Then the lease is
-// renewed soon, which shows whether it has; processes hear of it at the same moment, and
-// spread their calls.
+// pause waits for d, or until the store may have lost the process's own key. In that case the
+// lease is renewed after a random delay, which shows whether the key is lost. The delay
+// spreads the calls of the processes, which are notified at the same moment.
 func (i *Registrar) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -176,16 +177,18 @@
 	}
 }
 
-// leaseCheckDue returns the channel of doubts: others may be heard before Run begins.
+// leaseCheckDue returns the channel that requests an early renewal. It is created on first
+// use, since messages of other processes may arrive before Run is called.
 func (i *Registrar) leaseCheckDue() chan struct{} {
 	i.initLeaseCheck.Do(func() { i.leaseCheck = make(chan struct{}, 1) })
 	return i.leaseCheck
 }
 
-// ObserveVersion takes the version of a value that some process has read in the store. If it is
-// of a later era than the own lease, the store has come back from an older copy, and the
-// own key may be gone. The next renewal would show it up to 14 s later; until then nobody
-// who starts learns of this process.
+// ObserveVersion records the version of a value that any process has read from the store. If
+// it is of a later store era than the lease, the store was restored from an older copy and
+// may lack this process's key, so the lease is renewed soon. The next regular renewal would
+// detect the loss up to 14 s later, and processes that start until then would not find this
+// process.
 func (i *Registrar) ObserveVersion(version uint64) {
 	era := store.EraOf(version)
 	if uint64(era) <= i.latestEra.Load() {
@@ -197,8 +200,8 @@
 	}
 }
 
-// observeItems takes the era that an answer of the store to this process tells, by the
-// versions of its items.
+// observeItems records the store era of a response of the store to this process, which is
+// that of the highest version among its items.
 func (i *Registrar) observeItems(items []store.Item) {
 	latest := uint64(0)
 	for n := range items {
@@ -207,9 +210,9 @@
 	i.observeOwnEra(store.EraOf(latest))
 }
 
-// observeOwnEra takes the era that an answer of the store to this process tells. The others are
-// told of it: in an idle fleet nobody else may call the store for a second or two, in which
-// their keys have to be back.
+// observeOwnEra records the store era of a response of the store to this process. A new era
+// is announced to the other processes: in an idle fleet no other process may call the store
+// for a second or two, and by then their keys have to be back.
 func (i *Registrar) observeOwnEra(era store.Era) {
 	if uint64(era) <= i.latestEra.Load() {
 		return
@@ -221,13 +224,13 @@
 	}
 }
 
-// fromEarlierEra reports whether a lease is of an earlier era than the latest one heard of.
+// fromEarlierEra reports whether a lease is of an earlier store era than the latest observed.
 func (i *Registrar) fromEarlierEra(lease store.LeaseID) bool {
 	era, _, ok := lease.Split()
 	return ok && uint64(era) < i.latestEra.Load()
 }
 
-// nextCallAt returns when the nextCallAt call is due.
+// nextCallAt returns when the next call is due.
 func (i *Registrar) nextCallAt() time.Time {
 	if i.renewAt.Before(i.listAt) {
 		return i.renewAt
@@ -235,12 +238,12 @@
 	return i.listAt
 }
 
-// revokeTimeout bounds the call that takes the own key away.
+// revokeTimeout bounds the time that Deregister takes.
 const revokeTimeout = 300 * time.Millisecond
 
-// Deregister takes the own key away: what the store names is asked by every balancer
-// that starts, and the flows that it must be sure about wait for the answer. A
-// key that stays ends with its lease.
+// Deregister removes this process's key from the store. Every balancer that starts queries
+// all registered agents, and flows whose agent is not known yet wait for all responses. If
+// the removal fails, the key expires with its lease.
 func (i *Registrar) Deregister(ctx context.Context) {
 	i.deregistered.Store(true)
 	lease := i.leaseID()
@@ -250,11 +253,11 @@
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	err := i.revoke(ctx, lease)
-	i.Log.Info("key taken away", zap.String("key", i.Self.key()), zap.Error(err))
+	i.Log.Info("deregistration from the store finished", zap.String("key", i.Self.key()), zap.Error(err))
 }
 
-// revoke ends the lease of the own key. One of an earlier era may be another process's
-// by now: the own key tells which one it is.
+// revoke revokes the lease of the process's own key. A lease ID of an earlier store era may
+// belong to another process by now, so the current one is read from the key.
 func (i *Registrar) revoke(ctx context.Context, lease store.LeaseID) error {
 	if i.fromEarlierEra(lease) {
 		own, err := i.ownKey(ctx, false)
@@ -278,20 +281,21 @@
 	i.lease = lease
 }
 
-// logStoreState logs the store's loss and its return.
+// logStoreState logs when calls to the store begin to fail and when they succeed again.
 func (i *Registrar) logStoreState(err error) {
 	if failed := err != nil; failed != i.storeFailing {
 		i.storeFailing = failed
 		if failed {
-			i.Log.Warn("store lost", zap.String("duty", "introduce"), zap.Error(err))
+			i.Log.Warn("store not available, retrying", zap.String("task", "registration"), zap.Error(err))
 		} else {
-			i.Log.Info("store regained", zap.String("duty", "introduce"))
+			i.Log.Info("store available again", zap.String("task", "registration"))
 		}
 	}
 }
 
-// step makes the calls that are due. The own key is in the store before others are
-// read: of two processes that start at once, the later one then sees the other.
+// step makes the calls that are due. The process writes its own key before it lists the
+// others. Of two processes that start at the same time, at least the later one then finds
+// the other.
 func (i *Registrar) step(ctx context.Context) error {
 	if i.deregistered.Load() {
 		i.renewAt, i.listAt = time.Now().Add(listInterval), time.Now().Add(listInterval)
@@ -306,7 +310,8 @@
 	return i.list(ctx)
 }
 
-// ensureLease sees to the lease of the own key.
+// ensureLease renews the lease of the process's own key, or registers the process if it has
+// no lease.
 func (i *Registrar) ensureLease(ctx context.Context) error {
 	if i.leaseID() != "" {
 		return i.renew(ctx)
@@ -318,7 +323,7 @@
 	return i.takeOverOrRegister(ctx, own)
 }
 
-// register writes the own key under a new lease.
+// register writes the process's own key under a new lease.
 func (i *Registrar) register(ctx context.Context) error {
 	lease, err := i.Store.Grant(ctx, leaseTTL)
 	if err != nil {
@@ -337,7 +342,7 @@
 	}
 	i.registeredAt = time.Now()
 	i.renewAt = i.registeredAt.Add(renewInterval)
-	i.Log.Info("introduced", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
+	i.Log.Info("registered in the store", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
 	return nil
 }
 
@@ -351,7 +356,7 @@
 	var restored *store.RestoredError
 	switch {
 	case errors.As(err, &expired):
-		i.Log.Warn("lease expired", zap.String("lease", string(lease)))
+		i.Log.Warn("lease of own key expired, registering again", zap.String("lease", string(lease)))
 		i.setLease("")
 		return i.register(ctx)
 	case errors.As(err, &restored):
@@ -363,24 +368,24 @@
 	return nil
 }
 
-// reclaim looks for the own key after the store has come back from an older copy, which
-// may lack it. If it is there its lease is taken over: that is one read and a renewal in
-// place of two writes, for every process of the fleet at once. The read must not be
-// stale, it would show the key as it was before.
+// reclaim reads the process's own key after the store was restored from an older copy, which
+// may lack the key. If the key is there, its lease is taken over: one read and one renewal
+// instead of two writes, for every process of the fleet at once. A stale read might show the
+// key as it was before the restore, so the read is not stale.
 func (i *Registrar) reclaim(ctx context.Context, lease store.LeaseID) error {
 	own, err := i.ownKey(ctx, false)
 	if err != nil {
 		return err
 	}
-	i.Log.Warn("store came back from an older copy", zap.String("key", i.Self.key()), zap.String("lease", string(lease)), zap.Bool("key_kept", own != nil))
+	i.Log.Warn("store was restored from an older copy", zap.String("key", i.Self.key()), zap.String("lease", string(lease)), zap.Bool("key_kept", own != nil))
 	i.setLease("")
 	return i.takeOverOrRegister(ctx, own)
 }
 
-// list reads the keys of others, and looks whether the own one is there.
+// list reads the keys of other processes and checks that the own key is in the store.
 func (i *Registrar) list(ctx context.Context) error {
-	// A balancer's first list is not stale: the agents that it names are taken for all
-	// that there are when everything has just started.
+	// A balancer's first list is not stale, because after a start of the whole fleet the
+	// balancer assumes that its agents are all agents that exist.
 	stale := i.listCount > 0 || i.Self.Role == RoleAgent
 	items, err := i.Store.List(ctx, i.listPrefix(), stale)
 	if err != nil {
@@ -396,8 +401,8 @@
 	return nil
 }
 
-// listPrefix begins the keys of the processes that this one deals with: balancers need to
-// know all, agents only balancers.
+// listPrefix returns the prefix of the keys that this process lists: balancers list all
+// processes, agents only balancers.
 func (i *Registrar) listPrefix() string {
 	if i.Self.Role == RoleAgent {
 		return rolePrefix(RoleBalancer)
@@ -405,7 +410,7 @@
 	return PeersPrefix
 }
 
-// untilNextList returns the time to the next look for others.
+// untilNextList returns the delay until the next list.
 func (i *Registrar) untilNextList() time.Duration {
 	switch i.listCount {
 	case 1:
@@ -416,7 +421,8 @@
 	return listInterval
 }
 
-// parsePeers returns the other processes that items name.
+// parsePeers returns the other processes that are registered in items. It counts and logs
+// invalid keys.
 func (i *Registrar) parsePeers(items []store.Item) []Peer {
 	peers := make([]Peer, 0, len(items))
 	var wrong error
@@ -432,13 +438,13 @@
 		}
 	}
 	if wrong != nil {
-		i.Log.Warn("key of no process", zap.Error(wrong), zap.Int("processes", len(peers)))
+		i.Log.Warn("ignored invalid keys among the registered processes", zap.Error(wrong), zap.Int("processes", len(peers)))
 	}
 	return peers
 }
 
-// ownKey returns the ownKey key, nil if it is not there. A stale read costs a tenth of a call,
-// and shows the key as it may have been seconds ago.
+// ownKey returns the process's own key, nil if it is not in the store. A stale read costs a
+// tenth of a call and may return the key as it was seconds ago.
 func (i *Registrar) ownKey(ctx context.Context, stale bool) (*store.Item, error) {
 	items, err := i.Store.List(ctx, i.Self.key(), stale)
 	if err != nil {
@@ -453,10 +459,10 @@
 	return nil, nil
 }
 
-// takeOverOrRegister takes over the lease of the own key if an earlier process at this address left
-// it there, and writes the key anew if not. A renewal costs a twentieth of the two
-// calls for a new lease and key; after a loss of power everywhere every process of the
-// fleet makes them.
+// takeOverOrRegister takes over the lease of the process's own key if an earlier process at
+// this address has left it in the store, and otherwise writes the key under a new lease. A
+// renewal costs a twentieth of the two calls for a new lease and key, which every process of
+// the fleet would make after a power failure of all VMs.
 func (i *Registrar) takeOverOrRegister(ctx context.Context, own *store.Item) error {
 	if own == nil || own.Lease == "" {
 		return i.register(ctx)
@@ -466,8 +472,9 @@
 	return i.renew(ctx)
 }
 
-// checkOwnKey writes the own key anew if it is gone: the store may take keys away without
-// ending their leases. A key that was written lately need not be in a stale read.
+// checkOwnKey registers the process again if its key is missing: the store may remove keys
+// without ending their leases. It skips the check for ownKeyGrace after the key was written,
+// since a stale read may lack the key.
 func (i *Registrar) checkOwnKey(ctx context.Context) error {
 	if time.Since(i.registeredAt) < ownKeyGrace {
 		return nil
@@ -479,14 +486,14 @@
 	return i.registerIfMissing(ctx)
 }
 
-// registerIfMissing writes the own key again if it is not in the store. The read that
-// lacks it may be from before it was written, so one that is not stale decides.
+// registerIfMissing registers the process again if a read that is not stale shows that its
+// key is missing. The stale read before it may predate the key.
 func (i *Registrar) registerIfMissing(ctx context.Context) error {
 	_, err := i.Store.Get(ctx, i.Self.key())
 	var missing *store.NotFoundError
 	if !errors.As(err, &missing) {
 		return err
 	}
-	i.Log.Warn("own key is missing from the store", zap.String("key", i.Self.key()))
+	i.Log.Warn("own key is missing from the store, registering again", zap.String("key", i.Self.key()))
 	return i.register(ctx)
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -23,10 +23,8 @@
 	}
 }
 
-// Symptom: a process stops with a panic, or balancers ask an address that is no
-// agent's for every flow that they look for.
-// Sequence: some other program writes under the prefix of the processes' keys.
-// Cause: whatever could be decoded was taken for a process.
+// Guards against a panic, or lookups sent to an address that is no agent's, when another
+// program writes under the prefix of the processes' keys and its data decodes as a Peer.
 func TestKeysOfOtherWriters(t *testing.T) {
 	for _, c := range []struct{ name, key, data string }{
 		{"no JSON", "agent/10.1.0.22:8492", `?`},
@@ -51,7 +49,7 @@
 	}
 }
 
-// Whatever a key holds, one that is read is a process that can be reached.
+// Checks that every key that parsePeer accepts is the registration of a reachable process.
 func FuzzPeer(f *testing.F) {
 	f.Add("agent/10.1.0.22:8492", []byte(soundPeer))
 	f.Add("", []byte(`{}`))
@@ -66,13 +64,13 @@
 	})
 }
 
-// keyStore is a store in memory that counts its calls.
+// keyStore is an in-memory store that counts its calls.
 type keyStore struct {
-	Store // the calls that are not expected are nil
+	Store // nil: unexpected calls panic
 	items map[string]store.Item
 	lease int
 	calls map[string]int
-	// during, if not nil, runs while the list with the number at is on its way.
+	// during, if not nil, runs once before a list is returned, from list number at on.
 	during func()
 	at     int
 }
@@ -120,7 +118,7 @@
 	return items, nil
 }
 
-// newRegistrar returns an newRegistrar of a process that starts, and what it finds.
+// newRegistrar returns the registrar of a process that starts, and the peers that it finds.
 func newRegistrar(s *keyStore, self Peer) (*Registrar, *[]Peer) {
 	found := new([]Peer)
 	return &Registrar{
@@ -134,10 +132,9 @@
 	balancerPeer = Peer{Role: RoleBalancer, Addr: netip.MustParseAddrPort("10.1.0.7:7720"), Zone: "qro-a"}
 )
 
-// Symptom: after a loss of power everywhere the store turns calls away: each process
-// writes its key anew under a new lease.
-// Sequence: a process ends without a farewell and starts again at its address.
-// Cause: the lease of the key that still lay in the store was not used.
+// Guards against an overload of the store after a power failure of all VMs. Each process
+// restarts at its address without having deregistered, and used to write its key again under
+// a new lease, although its old key was still in the store.
 func TestLeaseOfEarlierProcessIsTakenOver(t *testing.T) {
 	s := newKeyStore()
 	for range 2 {
@@ -147,7 +144,7 @@
 		}
 	}
 	if s.calls["grant"] != 1 || s.calls["put"] != 1 || s.calls["renew"] != 1 {
-		t.Errorf("calls %v, want one grant and put by the first process, one renewal by the second", s.calls)
+		t.Errorf("calls %v, want one grant and one put by the first process, one renewal by the second", s.calls)
 	}
 	other := agentPeer
 	other.Service = "another"
@@ -156,15 +153,14 @@
 		t.Fatal(err)
 	}
 	if p, err := parsePeer(other.key(), s.items[other.key()].Data); err != nil || p != other {
-		t.Errorf("the key holds %+v, %v, want what the process is now", p, err)
+		t.Errorf("key holds %+v, %v, want the process's current registration", p, err)
 	}
 }
 
-// Symptom: nothing is served while the store is away, if it goes away a second after
-// the processes have started: none knows another.
-// Sequence: a balancer and an agent start at the same moment; the store answers their
-// first calls, in any order, and no later one.
-// Cause: both had read the keys of others before they wrote their own.
+// Guards against processes that do not know each other during an outage of the store that
+// begins a second after they have started. A balancer and an agent start at the same moment
+// and the store answers only their first calls, in any order. Both used to list the other
+// keys before they wrote their own.
 func TestOneOfTwoThatStartTogetherSeesTheOther(t *testing.T) {
 	for _, order := range [][]Peer{{agentPeer, balancerPeer}, {balancerPeer, agentPeer}} {
 		for at := range 3 {
@@ -187,8 +183,9 @@
 	}
 }
 
-// Guards against an answer whose era is not looked at: the own key is looked for, and the
-// others are told, as soon as any answer shows that the store came back from an older copy.
+// Guards against a response whose store era is ignored. As soon as any response shows that the
+// store was restored from an older copy, the process checks its own key and notifies the
+// other processes.
 func TestEraOfOwnAnswerIsActedOn(t *testing.T) {
 	s := newKeyStore()
 	i, _ := newRegistrar(s, agentPeer)
@@ -207,18 +204,17 @@
 		}
 	}
 	if len(told) != 1 || told[0] != store.VersionAt(1, 0) {
-		t.Errorf("told %v, want the era's first version once", told)
+		t.Errorf("StoreRestored called with %v, want the era's first version once", told)
 	}
 	select {
 	case <-i.leaseCheckDue():
 	default:
-		t.Error("the own key is not looked for")
+		t.Error("no check of the own key is due after a new store era")
 	}
 }
 
-// Symptom: bytes from the store grow with the square of the fleet.
-// Sequence: any.
-// Cause: every process read the keys of all; an agent deals with balancers alone.
+// Guards against bytes read from the store that grow with the square of the fleet's size.
+// Agents communicate only with balancers and must not list the keys of all processes.
 func TestAgentsReadKeysOfBalancersOnly(t *testing.T) {
 	s := newKeyStore()
 	other := agentPeer
@@ -229,7 +225,7 @@
 			t.Fatal(err)
 		}
 		if p == agentPeer && (len(*found) != 1 || (*found)[0] != balancerPeer) {
-			t.Errorf("an agent read %+v", *found)
+			t.Errorf("agent found %+v, want only the balancer", *found)
 		}
 	}
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// valuePath is where a process serves the value that it follows.
+	// valuePath is the HTTP path of the value that a process follows.
 	valuePath = "/value"
-	// versionHeader carries the value's version in the store: in a question that of the
-	// value which the asker has.
+	// versionHeader holds a value's version in the store: in a request that of the value
+	// that the client has, in a response that of the value served.
 	versionHeader = "Hemlock-Store-Version"
-	// contentHeader carries the number of the value's content in the same way.
+	// contentHeader holds the number of a value's content in the same way.
 	contentHeader = "Hemlock-Content"
-	// dictionaryHeader carries the tag of the value that the body is encoded against.
+	// dictionaryHeader holds the entity tag of the value that the body is encoded against.
 	dictionaryHeader = "Hemlock-Dictionary"
-	// encodingName is the encoding's name in HTTP.
+	// encodingName is the HTTP content coding of encoded values.
 	encodingName = "zstd"
 )
 
-// ValueHandler serves the value that f follows to other processes, so that most of them need
-// not ask the store, and one which starts while the store is away need not wait for it.
+// ValueHandler serves the value that f follows to other processes. Most processes then need
+// not read the store, and a process that starts during an outage of the store need not wait
+// for it.
 //
-// A question tells the version, the content's number and the tag of the value that the
-// asker has. The answer is
-// 204 if there is nothing newer here, 304 with the version if it is the same value under a
-// newer one, and else the value, encoded against the asker's if that is kept here.
+// A request holds the version, the content number and the entity tag of the client's value.
+// The response is 204 if the server has nothing newer, 304 with the version if it has the
+// same value under a newer version, otherwise the value, encoded against the client's value
+// if the server keeps that as a dictionary.
 func ValueHandler(f *Follower) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+valuePath, f.serveValue)
@@ -70,16 +71,16 @@
 	h.Set("Content-Type", "application/octet-stream")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := w.Write(body); err != nil {
-		f.Log.Info("value not sent whole", zap.String("key", f.Source.Name()), zap.Int("bytes", len(body)), zap.Error(err))
+		f.Log.Info("value not completely sent to another process", zap.String("key", f.Source.Name()), zap.Int("bytes", len(body)), zap.Error(err))
 	}
 }
 
-// encodedFor returns the body for an asker that has the value with the tag known, and
-// tells its encoding in h. It is data itself if that can't be encoded.
+// encodedFor returns the body for a client that has the value with the tag known, and sets
+// the encoding headers in h. It returns data itself if the value can't be encoded.
 func (f *Follower) encodedFor(h http.Header, tag, known string, data []byte) []byte {
 	encoded, dictionary, err := f.served.encodedValue(tag, known)
 	if err != nil {
-		f.Log.Error("value can't be encoded", zap.String("key", f.Source.Name()), zap.Error(err))
+		f.Log.Error("value can't be compressed; sending it uncompressed", zap.String("key", f.Source.Name()), zap.Error(err))
 	}
 	if encoded == nil {
 		return data
@@ -91,7 +92,7 @@
 	return encoded
 }
 
-// headerNumber reads the number in a header, 0 if it is not there.
+// headerNumber parses the number in a header. It returns 0 if the header is missing.
 func headerNumber(h http.Header, name string) (uint64, error) {
 	text := h.Get(name)
 	if text == "" {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -7,31 +7,31 @@
 	"go.uber.org/zap"
 )
 
-// Settings is what the platform tells a process about itself.
+// Settings are the settings that the platform gives to a process.
 type Settings struct {
-	Name         string // of the VM
+	Name         string // name of the VM
 	Zone         string
 	IP           netip.Addr
-	InternalPort uint16 // port of balancers for the system's own messages (UDP) and for the configuration (TCP), alike on all VMs
+	InternalPort uint16 // balancers' port for messages between processes (UDP) and for the orders (TCP), the same on all VMs
 
-	Packets   netip.AddrPort // UDP: callers' packets at a balancer, balancers' messages at an agent
-	Readiness netip.AddrPort // TCP: asked by the routers
-	Control   netip.AddrPort // TCP: heartbeats of the backend server
+	Packets   netip.AddrPort // UDP: receives callers' packets (balancers) or balancers' messages (agents)
+	Readiness netip.AddrPort // TCP: readiness checks of the routers
+	Control   netip.AddrPort // TCP: receives the backend server's heartbeats
 	Store     netip.AddrPort // TCP: the key-value store
 
-	FromServer netip.AddrPort // agents, UDP: packets that the backend server sends
-	Server     netip.AddrPort // agents: where the backend server takes packets
-	Service    string         // agents: service of the backend server
+	FromServer netip.AddrPort // agents, UDP: receives the backend server's packets
+	Server     netip.AddrPort // agents, UDP: address on which the backend server receives packets
+	Service    string         // agents: the backend server's service
 
-	Zones             map[string]string // region of each availability zone; empty if not told
-	Seeds             []netip.Addr      // VMs of some balancers; may be stale
+	Zones             map[string]string // region of each availability zone; empty if the platform gives none
+	Seeds             []netip.Addr      // addresses of some balancers' VMs; may be out of date
 	MaxFlowAge        time.Duration     // age from which a flow may be discarded
-	Grace             time.Duration     // from SIGTERM to SIGKILL
-	AddressReuseDelay time.Duration     // least time before another service gets a server's address
-	LinkRate          float64           // bytes a second that the VM's network link carries; 0 if unknown
+	Grace             time.Duration     // time from SIGTERM to SIGKILL
+	AddressReuseDelay time.Duration     // minimum time before a server's address is given to another service
+	LinkRate          float64           // bytes per second of the VM's network link; 0 if unknown
 }
 
-// Fields describes the settings for a log line.
+// Fields returns the settings as log fields.
 func (s *Settings) Fields() []zap.Field {
 	return []zap.Field{
 		zap.String("vm", s.Name), zap.String("zone", s.Zone), zap.String("service", s.Service), zap.Int("seeds", len(s.Seeds)),
@@ -39,10 +39,9 @@
 	}
 }
 
-// ChangesNeedingRestart names the settings in which other differs and that count only
-// from a process's next start: addresses that sockets are bound to, and what the
-// process has told others about itself. Seeds and bounds of time are not among
-// them.
+// ChangesNeedingRestart returns the names of the settings that differ in other and take
+// effect only when the process restarts: addresses that sockets are bound to, and what the
+// process has announced about itself. Seeds, MaxFlowAge and AddressReuseDelay apply at once.
 func (s *Settings) ChangesNeedingRestart(other *Settings) []string {
 	var list []string
 	for _, f := range []struct {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,11 +13,11 @@
 	after.MaxFlowAge = time.Second
 	after.Seeds = []netip.Addr{netip.MustParseAddr("10.0.0.2")}
 	if got := before.ChangesNeedingRestart(&after); len(got) != 0 {
-		t.Errorf("settings that change while a process runs: %v", got)
+		t.Errorf("settings that apply at once are reported: %v", got)
 	}
 	after.Zone = "b"
 	after.Packets = netip.MustParseAddrPort("10.0.0.1:8173")
 	if got := before.ChangesNeedingRestart(&after); !slices.Equal(got, []string{"zone", "packet address"}) {
-		t.Errorf("settings that count from the next start: %v", got)
+		t.Errorf("changes that need a restart: %v, want the zone and the packet address", got)
 	}
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -7,10 +7,11 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// SnapshotPath is the admin page on which a process tells what it believes.
+// SnapshotPath is the path of the admin page that shows a process's state.
 const SnapshotPath = "/beliefs"
 
-// Snapshot is the answer of the page. One of the two parts is set.
+// Snapshot is the state of a process as served under SnapshotPath. Either Balancer or Agent
+// is set.
 type Snapshot struct {
 	VM       string                 `json:"vm"`
 	Role     Role                   `json:"role"`
@@ -19,7 +20,7 @@
 	Agent    *flow.GateSnapshot     `json:"agent,omitempty"`
 }
 
-// ServeSnapshot serves what tell returns.
+// ServeSnapshot returns a handler that serves the result of snapshot as JSON.
 func ServeSnapshot(tell func() Snapshot) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		data, err := json.Marshal(tell())
--- a/internal/node/spans.go
+++ b/internal/node/spans.go
@@ -10,15 +10,15 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// Spans makes the span of this process for each flow that is traced. A nil
-// *Spans is tracing that is off.
+// Spans records this process's span for each traced flow. A nil *Spans means that
+// tracing is off.
 type Spans struct {
 	provider *tracing.Provider
 	flows    *tracing.Flows
 	id       []byte
 }
 
-// NewSpans returns nil if p is off.
+// NewSpans returns nil if tracing is off in p.
 func NewSpans(p *tracing.Provider) (*Spans, error) {
 	if !p.On() {
 		return nil, nil
@@ -30,8 +30,9 @@
 	return &Spans{provider: p, flows: flows}, nil
 }
 
-// Balancer records what the balancer at self did with a new flow. failed is
-// empty if an agent took it. One goroutine at a time calls it.
+// Balancer records the span in which the balancer at self offered a new flow to agents.
+// failed is the reason why no agent accepted it, empty if one did. It is not safe for
+// concurrent use.
 func (s *Spans) Balancer(id flow.ID, self netip.AddrPort, took time.Duration, failed string, attrs ...attribute.KeyValue) {
 	if s == nil {
 		return
@@ -40,8 +41,8 @@
 	s.provider.Record(s.flows, tracing.Hop{Name: "offer", Flow: s.id, Via: self, Root: true, Took: took, Failed: failed, Attrs: attrs})
 }
 
-// Agent records what an agent did with a flow that the balancer at via offered.
-// One goroutine at a time calls it.
+// Agent records the span in which an agent opened a flow that the balancer at via offered.
+// It is not safe for concurrent use.
 func (s *Spans) Agent(id flow.ID, via netip.AddrPort, took time.Duration, attrs ...attribute.KeyValue) {
 	if s == nil || !via.IsValid() {
 		return
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -13,7 +13,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// spanRecorder keeps the spans that a process exports.
+// spanRecorder is an exporter that passes on the spans of a process.
 type spanRecorder struct{ spans chan sdk.ReadOnlySpan }
 
 func (k spanRecorder) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
@@ -25,7 +25,7 @@
 
 func (spanRecorder) Shutdown(context.Context) error { return nil }
 
-// newTestSpans returns the spans of a process, and what it exports when end is called.
+// newTestSpans returns the spans of a process; end closes it and returns the exported spans.
 func newTestSpans(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
 	t.Helper()
 	k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
@@ -47,9 +47,8 @@
 	}
 }
 
-// Symptom: a flow's hops can't be put together.
-// Sequence: a balancer offers a flow to an agent, which opens it.
-// Cause: the packets carry no trace; each process would make one of its own.
+// Guards against spans of one flow in different traces. A balancer offers a flow to an agent,
+// which opens it; the packets carry no trace ID, so both have to derive the same one.
 func TestHopsOfAFlowAreOneTrace(t *testing.T) {
 	id := flow.ID{Key: flow.Key{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 40001}, Opener: 77}
 	via := netip.MustParseAddrPort("10.0.0.1:7720")
@@ -61,14 +60,14 @@
 	balancer.Balancer(id, via, time.Millisecond, "busy")
 	offers, opens := endBalancer(), endAgent()
 	if len(offers) != 2 || len(opens) != 1 {
-		t.Fatalf("%d and %d spans", len(offers), len(opens))
+		t.Fatalf("%d spans of the balancer, %d of the agent, want 2 and 1", len(offers), len(opens))
 	}
 	root, child := offers[0].SpanContext(), opens[0]
 	if child.Parent().SpanID() != root.SpanID() || child.SpanContext().TraceID() != root.TraceID() {
-		t.Errorf("the agent's span %v in trace %v is no child of the balancer's %v", child.Parent().SpanID(), child.SpanContext().TraceID(), root.SpanID())
+		t.Errorf("agent's span has parent %v in trace %v, want the balancer's span %v", child.Parent().SpanID(), child.SpanContext().TraceID(), root.SpanID())
 	}
 	if took := offers[0].EndTime().Sub(offers[0].StartTime()); took != 20*time.Millisecond {
-		t.Errorf("the span lasts %v", took)
+		t.Errorf("span lasts %v, want 20ms", took)
 	}
 	if offers[1].SpanContext().TraceID() == root.TraceID() || offers[1].Status().Description != "busy" {
 		t.Errorf("the next flow from the port: trace %v, status %v", offers[1].SpanContext().TraceID(), offers[1].Status())
@@ -85,7 +84,7 @@
 	none, end := newTestSpans(t, 0)
 	none.Balancer(flow.ID{}, netip.MustParseAddrPort("10.0.0.1:7720"), 0, "")
 	if got := end(); len(got) != 0 {
-		t.Errorf("%d spans at a share of 0", len(got))
+		t.Errorf("%d spans at a sample rate of 0", len(got))
 	}
 }
 
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -38,7 +38,7 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-// incompressible returns n bytes that no encoding makes shorter.
+// incompressible returns n pseudo-random bytes, which do not compress.
 func incompressible(n int) []byte {
 	data := make([]byte, n)
 	rand.NewChaCha8([32]byte{1}).Read(data)
@@ -54,8 +54,8 @@
 	return v
 }
 
-// Guards against a value that is asked for again and again, since a thin link does not
-// carry it within a fixed time.
+// Guards against a large value that is requested again and again because a slow link can't
+// transfer it within a fixed time.
 func TestLargeValueArrivesOverThinLink(t *testing.T) {
 	f, addr := startServer(t, platform.NewLink(800_000))
 	f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
@@ -67,7 +67,7 @@
 	t.Logf("%d bytes took %v", v.Bytes, time.Since(begun))
 }
 
-// Guards against three whole values on the asker's link where one is wanted.
+// Guards against three complete values on the client's link where one is needed.
 func TestOneOfSeveralResponsesIsRead(t *testing.T) {
 	link := platform.NewLink(1_000_000)
 	var processes []netip.AddrPort
@@ -79,12 +79,12 @@
 	begun := time.Now()
 	fetch(t, NewValueClient(), store.Value{}, processes...)
 	if took := time.Since(begun); took > 2*time.Second {
-		t.Errorf("took %v where one answer takes a second", took)
+		t.Errorf("took %v, want the time of one response, a second", took)
 	}
 }
 
-// Guards against the whole fleet taking a large value again because a process that has
-// just started read the same value in the store under a newer version.
+// Guards against the whole fleet transferring a large value again because a recently started
+// process has read the same value from the store under a newer version.
 func TestSameValueUnderNewerVersionIsNotSent(t *testing.T) {
 	f, addr := startServer(t, nil)
 	data := incompressible(1 << 16)
@@ -96,7 +96,7 @@
 	}
 }
 
-// Guards against answers with a value that the asker has, or a newer one than that.
+// Guards against responses with a body when the client's value is the same or newer.
 func TestProcessWithNothingNewerSendsNothing(t *testing.T) {
 	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: incompressible(1 << 16), Version: 61})
@@ -104,12 +104,12 @@
 		_, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		var nothing *NotNewerError
 		if !errors.As(err, &nothing) || nothing.Version != 61 {
-			t.Fatalf("asked with version %d: %v", known.Version, err)
+			t.Fatalf("request with version %d: %v, want *NotNewerError", known.Version, err)
 		}
 	}
 }
 
-// Guards against a small change of a large value that costs as much as the value.
+// Guards against sending a whole large value for a small change of it.
 func TestChangeIsSentAsDifference(t *testing.T) {
 	f, addr := startServer(t, nil)
 	before := store.Value{Data: incompressible(1 << 19), Version: 1}
@@ -118,11 +118,12 @@
 	f.take(after)
 	v := fetch(t, NewValueClient(), before, addr)
 	if string(v.Data) != string(after.Data) || v.Bytes > 1<<10 {
-		t.Fatalf("%d bytes sent for %d", v.Bytes, len(after.Data))
+		t.Fatalf("%d bytes sent for a changed value of %d bytes", v.Bytes, len(after.Data))
 	}
 }
 
-// Whatever values a process had, and whatever its asker has, the asker gets the newest one.
+// Checks that a client receives the newest value, whichever values the server had before and
+// whichever value the client has.
 func TestEveryClientReceivesTheNewestValue(t *testing.T) {
 	f, addr := startServer(t, nil)
 	version := uint64(0)
@@ -139,13 +140,13 @@
 		known := seen[rapid.IntRange(0, len(seen)-2).Draw(rt, "known")]
 		v, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || v.Version != newest.Version || string(v.Data) != string(newest.Data) {
-			rt.Fatalf("asked with %d: version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
+			rt.Fatalf("request with version %d: received version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
 		}
 	})
 }
 
-// Guards against a process that can never take a value again once the difference to the
-// one that it has can't be decoded.
+// Guards against a process that never receives a value again once a value encoded against its
+// own one could not be decoded.
 func TestFullValueIsFetchedAfterDecodeError(t *testing.T) {
 	f, _ := startServer(t, nil)
 	f.take(store.Value{Data: []byte("before"), Version: 1})
@@ -172,8 +173,8 @@
 	}
 }
 
-// Processes of an earlier version send the value as it is, to whoever asks, and ask
-// without telling what they have.
+// Checks the exchange with processes of an earlier program version, which send the value
+// without encoding to every client, and send requests without the headers of their value.
 func TestValueOfAnEarlierVersionOfTheProgram(t *testing.T) {
 	plain := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(versionHeader, strconv.Itoa(3))
@@ -194,7 +195,7 @@
 	}
 }
 
-// Guards against a fleet on full links in which no question is ever answered in time.
+// Guards against a fleet on saturated links in which no request gets a response in time.
 func TestResponseTimeoutGrowsWithUnansweredRequests(t *testing.T) {
 	const delay = 2 * responseTimeout
 	slow := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -211,12 +212,12 @@
 			return
 		}
 	}
-	t.Errorf("no answer that begins %v after its question is taken", delay)
+	t.Errorf("no response that begins %v after its request is accepted", delay)
 }
 
-// A process that is gone does not keep the others' answers waiting.
+// Checks that a process that does not respond does not delay the others' responses.
 func TestUnresponsiveProcessDoesNotDelayOthers(t *testing.T) {
-	dead, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections and never answers
+	dead, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,9 +231,9 @@
 	}
 }
 
-// Guards against a newer configuration that no process can take, since its version is the
-// same as, or lower than, that of an older configuration which the asker read in a store
-// that came back from an older copy.
+// Guards against a newer configuration that no process accepts, because its version is the
+// same as or lower than that of an older configuration which the client has read from a store
+// that was restored from an older copy.
 func TestNewerContentIsSentUnderALowerVersion(t *testing.T) {
 	orders := func(configuration string) []byte {
 		o := Orders{Configuration: []byte(configuration)}
@@ -247,7 +248,7 @@
 		known := store.Value{Data: orders("3"), Version: store.VersionAt(1, revision)}
 		v, err := c.Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || string(v.Data) != string(kept.Data) {
-			t.Errorf("asked with revision %d: %q, %v", revision, v.Data, err)
+			t.Errorf("request with revision %d: received %q, %v", revision, v.Data, err)
 		}
 	}
 }
--- a/test/packets/restore_test.go
+++ b/test/packets/restore_test.go
@@ -23,7 +23,7 @@
 func (d *deployment) restoreOnly(c *platform.Copy) (rewrite func()) {
 	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{Refuse: http.StatusServiceUnavailable} })
 	d.await("a balancer misses the store", func() bool {
-		return slices.ContainsFunc(d.balancers, func(b *vm) bool { return strings.Contains(b.process.Log(), "store lost") })
+		return slices.ContainsFunc(d.balancers, func(b *vm) bool { return strings.Contains(b.process.Log(), "store not available") })
 	})
 	rewrite = d.store.Restore(c)
 	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{} })
