--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -342,7 +342,7 @@
 	}
 	i.registeredAt = time.Now()
 	i.renewAt = i.registeredAt.Add(renewInterval)
-	i.Log.Info("registered in the store", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
+	i.Log.Info("introduced", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
 	return nil
 }
 
