--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -13,22 +13,22 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// kept keeps the spans that a process exports.
-type kept struct{ spans chan sdk.ReadOnlySpan }
+// spanRecorder is an exporter that passes on the spans of a process.
+type spanRecorder struct{ spans chan sdk.ReadOnlySpan }
 
-func (k kept) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+func (k spanRecorder) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, s := range spans {
 		k.spans <- s
 	}
 	return nil
 }
 
-func (kept) Shutdown(context.Context) error { return nil }
+func (spanRecorder) Shutdown(context.Context) error { return nil }
 
-// traced returns the spans of a process, and what it exports when end is called.
-func traced(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
+// newTestSpans returns the spans of a process; end closes it and returns the exported spans.
+func newTestSpans(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
 	t.Helper()
-	k := kept{spans: make(chan sdk.ReadOnlySpan, 100)}
+	k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
 	p := tracing.New(tracing.Config{Sample: sample}, k, prometheus.NewRegistry())
 	s, err := NewSpans(p)
 	if err != nil {
@@ -47,28 +47,27 @@
 	}
 }
 
-// Symptom: a flow's hops can't be put together.
-// Sequence: a balancer offers a flow to an agent, which opens it.
-// Cause: the packets carry no trace; each process would make one of its own.
+// Guards against spans of one flow in different traces. A balancer offers a flow to an agent,
+// which opens it; the packets carry no trace ID, so both have to derive the same one.
 func TestHopsOfAFlowAreOneTrace(t *testing.T) {
 	id := flow.ID{Key: flow.Key{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 40001}, Opener: 77}
 	via := netip.MustParseAddrPort("10.0.0.1:7720")
-	balancer, endBalancer := traced(t, 1)
-	agent, endAgent := traced(t, 1)
+	balancer, endBalancer := newTestSpans(t, 1)
+	agent, endAgent := newTestSpans(t, 1)
 	balancer.Balancer(id, via, 20*time.Millisecond, "")
 	agent.Agent(id, via, 10*time.Millisecond)
 	id.Opener++
 	balancer.Balancer(id, via, time.Millisecond, "busy")
 	offers, opens := endBalancer(), endAgent()
 	if len(offers) != 2 || len(opens) != 1 {
-		t.Fatalf("%d and %d spans", len(offers), len(opens))
+		t.Fatalf("%d spans of the balancer, %d of the agent, want 2 and 1", len(offers), len(opens))
 	}
 	root, child := offers[0].SpanContext(), opens[0]
 	if child.Parent().SpanID() != root.SpanID() || child.SpanContext().TraceID() != root.TraceID() {
-		t.Errorf("the agent's span %v in trace %v is no child of the balancer's %v", child.Parent().SpanID(), child.SpanContext().TraceID(), root.SpanID())
+		t.Errorf("agent's span has parent %v in trace %v, want the balancer's span %v", child.Parent().SpanID(), child.SpanContext().TraceID(), root.SpanID())
 	}
 	if took := offers[0].EndTime().Sub(offers[0].StartTime()); took != 20*time.Millisecond {
-		t.Errorf("the span lasts %v", took)
+		t.Errorf("span lasts %v, want 20ms", took)
 	}
 	if offers[1].SpanContext().TraceID() == root.TraceID() || offers[1].Status().Description != "busy" {
 		t.Errorf("the next flow from the port: trace %v, status %v", offers[1].SpanContext().TraceID(), offers[1].Status())
@@ -82,10 +81,10 @@
 	}
 	s.Balancer(flow.ID{}, netip.AddrPort{}, 0, "")
 	s.Agent(flow.ID{}, netip.AddrPort{}, 0)
-	none, end := traced(t, 0)
+	none, end := newTestSpans(t, 0)
 	none.Balancer(flow.ID{}, netip.MustParseAddrPort("10.0.0.1:7720"), 0, "")
 	if got := end(); len(got) != 0 {
-		t.Errorf("%d spans at a share of 0", len(got))
+		t.Errorf("%d spans at a sample rate of 0", len(got))
 	}
 }
 
@@ -96,7 +95,7 @@
 		sample float64
 	}{{"share=0.01", 0.01}, {"share=1", 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			k := kept{spans: make(chan sdk.ReadOnlySpan, 100)}
+			k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
 			go func() {
 				for range k.spans {
 				}
--- a/internal/node/share_test.go
+++ b/internal/node/value_test.go
@@ -20,14 +20,14 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// serving starts a process that serves values over link, and returns its follower.
-func serving(t testing.TB, link *platform.Link) (*Follower, netip.AddrPort) {
+// startServer starts a process that serves values over link, and returns its follower.
+func startServer(t testing.TB, link *platform.Link) (*Follower, netip.AddrPort) {
 	t.Helper()
 	f := &Follower{Source: &OrdersSource{Keys: testKeys}, Changed: func(store.Value) bool { return true }, Log: zap.NewNop()}
-	return f, listening(t, link, ValuePage(f))
+	return f, listen(t, link, ValueHandler(f))
 }
 
-func listening(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
+func listen(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
 	if link != nil {
@@ -38,93 +38,94 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-// incompressible returns n bytes that no encoding makes shorter.
+// incompressible returns n pseudo-random bytes, which do not compress.
 func incompressible(n int) []byte {
 	data := make([]byte, n)
 	rand.NewChaCha8([32]byte{1}).Read(data)
 	return data
 }
 
-func ask(t testing.TB, c *ValueClient, known store.Value, processes ...netip.AddrPort) ReceivedValue {
+func fetch(t testing.TB, c *ValueClient, known store.Value, processes ...netip.AddrPort) ReceivedValue {
 	t.Helper()
-	v, err := c.Ask(context.Background(), processes, known)
+	v, err := c.Fetch(context.Background(), processes, known)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return v
 }
 
-// Guards against a value that is asked for again and again, since a thin link does not
-// carry it within a fixed time.
+// Guards against a large value that is requested again and again because a slow link can't
+// transfer it within a fixed time.
 func TestLargeValueArrivesOverThinLink(t *testing.T) {
-	f, addr := serving(t, platform.NewLink(800_000))
+	f, addr := startServer(t, platform.NewLink(800_000))
 	f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 	begun := time.Now()
-	v := ask(t, NewValueClient(), store.Value{}, addr)
+	v := fetch(t, NewValueClient(), store.Value{}, addr)
 	if len(v.Data) != store.MaxValue || v.Version != 7 {
 		t.Fatalf("%d bytes of version %d", len(v.Data), v.Version)
 	}
 	t.Logf("%d bytes took %v", v.Bytes, time.Since(begun))
 }
 
-// Guards against three whole values on the asker's link where one is wanted.
-func TestOneOfSeveralAnswersIsTaken(t *testing.T) {
+// Guards against three complete values on the client's link where one is needed.
+func TestOneOfSeveralResponsesIsRead(t *testing.T) {
 	link := platform.NewLink(1_000_000)
 	var processes []netip.AddrPort
-	for range AskAtOnce {
-		f, addr := serving(t, link)
+	for range MaxParallelRequests {
+		f, addr := startServer(t, link)
 		f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 		processes = append(processes, addr)
 	}
 	begun := time.Now()
-	ask(t, NewValueClient(), store.Value{}, processes...)
+	fetch(t, NewValueClient(), store.Value{}, processes...)
 	if took := time.Since(begun); took > 2*time.Second {
-		t.Errorf("took %v where one answer takes a second", took)
+		t.Errorf("took %v, want the time of one response, a second", took)
 	}
 }
 
-// Guards against the whole fleet taking a large value again because a process that has
-// just started read the same value in the store under a newer version.
+// Guards against the whole fleet transferring a large value again because a recently started
+// process has read the same value from the store under a newer version.
 func TestSameValueUnderNewerVersionIsNotSent(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	data := incompressible(1 << 16)
 	f.take(store.Value{Data: data, Version: 65})
 	known := store.Value{Data: data, Version: 61}
-	v := ask(t, NewValueClient(), known, addr)
+	v := fetch(t, NewValueClient(), known, addr)
 	if v.Version != 65 || v.Bytes != 0 || string(v.Data) != string(data) {
 		t.Fatalf("version %d, %d bytes sent", v.Version, v.Bytes)
 	}
 }
 
-// Guards against answers with a value that the asker has, or a newer one than that.
+// Guards against responses with a body when the client's value is the same or newer.
 func TestProcessWithNothingNewerSendsNothing(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: incompressible(1 << 16), Version: 61})
 	for _, known := range []store.Value{{Data: []byte("newer"), Version: 65}, {Data: []byte("other"), Version: 61}} {
-		_, err := NewValueClient().Ask(context.Background(), []netip.AddrPort{addr}, known)
-		var nothing *NothingNewerError
+		_, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
+		var nothing *NotNewerError
 		if !errors.As(err, &nothing) || nothing.Version != 61 {
-			t.Fatalf("asked with version %d: %v", known.Version, err)
+			t.Fatalf("request with version %d: %v, want *NotNewerError", known.Version, err)
 		}
 	}
 }
 
-// Guards against a small change of a large value that costs as much as the value.
+// Guards against sending a whole large value for a small change of it.
 func TestChangeIsSentAsDifference(t *testing.T) {
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	before := store.Value{Data: incompressible(1 << 19), Version: 1}
 	after := store.Value{Data: append([]byte("change"), before.Data...), Version: 2}
 	f.take(before)
 	f.take(after)
-	v := ask(t, NewValueClient(), before, addr)
+	v := fetch(t, NewValueClient(), before, addr)
 	if string(v.Data) != string(after.Data) || v.Bytes > 1<<10 {
-		t.Fatalf("%d bytes sent for %d", v.Bytes, len(after.Data))
+		t.Fatalf("%d bytes sent for a changed value of %d bytes", v.Bytes, len(after.Data))
 	}
 }
 
-// Whatever values a process had, and whatever its asker has, the asker gets the newest one.
-func TestEveryAskerGetsTheNewestValue(t *testing.T) {
-	f, addr := serving(t, nil)
+// Checks that a client receives the newest value, whichever values the server had before and
+// whichever value the client has.
+func TestEveryClientReceivesTheNewestValue(t *testing.T) {
+	f, addr := startServer(t, nil)
 	version := uint64(0)
 	seen := []store.Value{{}}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -137,20 +138,20 @@
 		}
 		newest := seen[len(seen)-1]
 		known := seen[rapid.IntRange(0, len(seen)-2).Draw(rt, "known")]
-		v, err := NewValueClient().Ask(context.Background(), []netip.AddrPort{addr}, known)
+		v, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || v.Version != newest.Version || string(v.Data) != string(newest.Data) {
-			rt.Fatalf("asked with %d: version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
+			rt.Fatalf("request with version %d: received version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
 		}
 	})
 }
 
-// Guards against a process that can never take a value again once the difference to the
-// one that it has can't be decoded.
-func TestValueIsAskedForAsAWholeAfterADamagedOne(t *testing.T) {
-	f, _ := serving(t, nil)
+// Guards against a process that never receives a value again once a value encoded against its
+// own one could not be decoded.
+func TestFullValueIsFetchedAfterDecodeError(t *testing.T) {
+	f, _ := startServer(t, nil)
 	f.take(store.Value{Data: []byte("before"), Version: 1})
 	f.take(store.Value{Data: []byte("after"), Version: 2})
-	damaging := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	damaging := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("If-None-Match") != "" {
 			w.Header().Set("ETag", `"0"`)
 			w.Header().Set(versionHeader, "2")
@@ -163,26 +164,26 @@
 	}))
 	c := NewValueClient()
 	known := store.Value{Data: []byte("before"), Version: 1}
-	var damaged *EncodedValueError
-	if _, err := c.Ask(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
+	var damaged *ValueDecodeError
+	if _, err := c.Fetch(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
 		t.Fatalf("%v", err)
 	}
-	if v := ask(t, c, known, damaging); string(v.Data) != "after" {
+	if v := fetch(t, c, known, damaging); string(v.Data) != "after" {
 		t.Fatalf("%q", v.Data)
 	}
 }
 
-// Processes of an earlier version send the value as it is, to whoever asks, and ask
-// without telling what they have.
+// Checks the exchange with processes of an earlier program version, which send the value
+// without encoding to every client, and send requests without the headers of their value.
 func TestValueOfAnEarlierVersionOfTheProgram(t *testing.T) {
-	plain := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	plain := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(versionHeader, strconv.Itoa(3))
 		w.Write([]byte("plain"))
 	}))
-	if v := ask(t, NewValueClient(), store.Value{Data: []byte("x"), Version: 2}, plain); string(v.Data) != "plain" {
+	if v := fetch(t, NewValueClient(), store.Value{Data: []byte("x"), Version: 2}, plain); string(v.Data) != "plain" {
 		t.Errorf("%q", v.Data)
 	}
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("plain"), Version: 3})
 	resp, err := http.Get("http://" + addr.String() + valuePath)
 	if err != nil {
@@ -194,10 +195,10 @@
 	}
 }
 
-// Guards against a fleet on full links in which no question is ever answered in time.
-func TestPatienceGrowsWithUnansweredQuestions(t *testing.T) {
-	const delay = 2 * askTimeout
-	slow := listening(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// Guards against a fleet on saturated links in which no request gets a response in time.
+func TestResponseTimeoutGrowsWithUnansweredRequests(t *testing.T) {
+	const delay = 2 * responseTimeout
+	slow := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(delay):
 		case <-r.Context().Done():
@@ -206,48 +207,48 @@
 		w.Write([]byte("late"))
 	}))
 	c := NewValueClient()
-	for range askDoublings + 1 {
-		if _, err := c.Ask(context.Background(), []netip.AddrPort{slow}, store.Value{}); err == nil {
+	for range maxTimeoutDoublings + 1 {
+		if _, err := c.Fetch(context.Background(), []netip.AddrPort{slow}, store.Value{}); err == nil {
 			return
 		}
 	}
-	t.Errorf("no answer that begins %v after its question is taken", delay)
+	t.Errorf("no response that begins %v after its request is accepted", delay)
 }
 
-// A process that is gone does not keep the others' answers waiting.
-func TestDeadProcessDoesNotDelayTheOthers(t *testing.T) {
-	dead, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections and never answers
+// Checks that a process that does not respond does not delay the others' responses.
+func TestUnresponsiveProcessDoesNotDelayOthers(t *testing.T) {
+	dead, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer dead.Close()
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("x"), Version: 1})
 	begun := time.Now()
-	ask(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
-	if took := time.Since(begun); took > askTimeout {
+	fetch(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
+	if took := time.Since(begun); took > responseTimeout {
 		t.Errorf("took %v", took)
 	}
 }
 
-// Guards against a newer configuration that no process can take, since its version is the
-// same as, or lower than, that of an older configuration which the asker read in a store
-// that came back from an older copy.
+// Guards against a newer configuration that no process accepts, because its version is the
+// same as or lower than that of an older configuration which the client has read from a store
+// that was restored from an older copy.
 func TestNewerContentIsSentUnderALowerVersion(t *testing.T) {
 	orders := func(configuration string) []byte {
 		o := Orders{Configuration: []byte(configuration)}
 		return o.Encode()
 	}
-	f, addr := serving(t, nil)
+	f, addr := startServer(t, nil)
 	kept := store.Value{Data: orders("6"), Version: store.VersionAt(1, 107)}
 	f.take(kept)
 	for _, revision := range []uint64{106, 107, 112} {
 		c := NewValueClient()
-		c.Content = f.Source.Content
+		c.ContentNumber = f.Source.ContentNumber
 		known := store.Value{Data: orders("3"), Version: store.VersionAt(1, revision)}
-		v, err := c.Ask(context.Background(), []netip.AddrPort{addr}, known)
+		v, err := c.Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || string(v.Data) != string(kept.Data) {
-			t.Errorf("asked with revision %d: %q, %v", revision, v.Data, err)
+			t.Errorf("request with revision %d: received %q, %v", revision, v.Data, err)
 		}
 	}
 }
