--- a/placement/alternate.go
+++ b/placement/alternate.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// Alternate is the agent that a balancer names beside the primary.
+// Alternate is the second agent that a balancer chooses for a flow, besides the
+// primary.
 type Alternate struct {
 	Addr      netip.AddrPort
-	Occupancy Occupancy // as the balancer believes it
+	Occupancy Occupancy // as estimated by the balancer
 }
 
-// Alternate returns the agent believed least loaded among a few sampled others.
-// ok is false when the service has no other agent.
+// Alternate returns the agent with the lowest estimated load in a sample of the
+// agents other than primary, which is an index. ok is false when the service
+// has no other agent.
 func (t *Table) Alternate(cid []byte, primary int, load *Load, now time.Time) (alt Alternate, ok bool) {
 	return t.alternate(t.hash(cid), primary, load, ticks(now))
 }
 
-// Choice is what a balancer puts into the header of an Initial packet.
+// Choice is the pair of agents that a balancer writes into the header of an
+// Initial packet.
 type Choice struct {
 	Primary      netip.AddrPort
 	Alternate    Alternate
@@ -37,25 +40,26 @@
 	return c, true
 }
 
-// maxNearest bounds the agents that Pick and AppendRanked look at.
-const maxNearest = 16
+// maxRanked is the maximum number of agents that Pick and AppendRanked consider.
+const maxRanked = 16
 
-// Pick returns the agent believed least loaded among the first Config.Samples
-// and one more in the flow's rendezvous order, passing over those that skip
-// names: agents that have refused this flow already. ok is false when none is
-// left. It is for callers that offer a flow to one agent after the other and
-// need no primary. Whoever knows about the same agents finds a flow placed so
-// among the first of the same order, see AppendRanked.
+// Pick returns the agent with the lowest estimated load among the
+// Config.Samples+1 agents that rank highest for the flow by rendezvous score.
+// Agents for which skip returns true, such as those that have already refused
+// the flow, are left out. ok is false when no agent is left. Pick is used where
+// a flow is offered to one agent after another and no primary is needed. A
+// balancer with the same agents can locate a flow placed this way among the
+// first results of AppendRanked.
 func (t *Table) Pick(id uint64, load *Load, now time.Time, skip func(netip.AddrPort) bool) (alt Alternate, ok bool) {
-	var order [maxNearest]int
+	var order [maxRanked]int
 	best, bestCost, bestOccupancy := None, 0, Full
 	at := ticks(now)
-	for _, i := range t.nearest(id, order[:min(int(t.samples)+1, maxNearest)]) {
+	for _, i := range t.ranked(id, order[:min(int(t.samples)+1, maxRanked)]) {
 		if skip(t.Addr(i)) {
 			continue
 		}
-		o, worth := load.believed(t.entries[i].addr(), at)
-		cost := int(o) + t.handicap(i, worth)
+		o, confidence := load.estimate(t.entries[i].addr(), at)
+		cost := int(o) + t.occupancyPenalty(i, confidence)
 		if best == None || cost < bestCost {
 			best, bestCost, bestOccupancy = i, cost, o
 		}
@@ -66,19 +70,20 @@
 	return Alternate{Addr: t.Addr(best), Occupancy: bestOccupancy}, true
 }
 
-// AppendRanked appends the first n agents of the flow's rendezvous order to list.
+// AppendRanked appends to list the addresses of the n agents, at most 16, that
+// rank highest for the flow by rendezvous score, best first.
 func (t *Table) AppendRanked(id uint64, n int, list []netip.AddrPort) []netip.AddrPort {
-	var order [maxNearest]int
-	for _, i := range t.nearest(id, order[:min(n, maxNearest)]) {
+	var order [maxRanked]int
+	for _, i := range t.ranked(id, order[:min(n, maxRanked)]) {
 		list = append(list, t.Addr(i))
 	}
 	return list
 }
 
-// nearest fills order with the indices of the agents with the highest
-// rendezvous scores, best first, and returns the part that was filled.
-func (t *Table) nearest(id uint64, order []int) []int {
-	var scores [maxNearest]uint64
+// ranked fills order with the indices of the agents with the highest
+// rendezvous scores, best first, and returns the filled part.
+func (t *Table) ranked(id uint64, order []int) []int {
+	var scores [maxRanked]uint64
 	h := mix(id ^ t.seed)
 	filled := 0
 	for i := range t.entries {
@@ -108,8 +113,8 @@
 		if i == primary {
 			continue
 		}
-		o, worth := load.believed(t.entries[i].addr(), at)
-		cost := int(o) + t.handicap(i, worth)
+		o, confidence := load.estimate(t.entries[i].addr(), at)
+		cost := int(o) + t.occupancyPenalty(i, confidence)
 		if best == None || cost < bestCost {
 			best, bestCost, bestOccupancy = i, cost, o
 		}
@@ -120,30 +125,33 @@
 	return Alternate{Addr: t.Addr(best), Occupancy: bestOccupancy}, true
 }
 
-// rampShift turns lacking weight into occupancy: an agent that has just begun
-// its cold start counts as three to four requests busier than it is. Without
-// this the ramp would be undone: its idle slots make it the alternate of all.
-const rampShift = 3
+// rampPenaltyShift converts missing weight into occupancy: an agent at the
+// beginning of its cold start counts as three to four requests busier than it
+// is. Otherwise its idle slots would make every balancer choose it as the
+// alternate, which would defeat the ramp.
+const rampPenaltyShift = 3
 
-// handicap returns what counts against agent i besides its occupancy. The zone
-// counts as far as the belief is worth something: among agents that nothing is
-// known about, only the balancer's own zone would be named, however few agents
-// it has.
-func (t *Table) handicap(i int, worth int64) int {
+// occupancyPenalty returns what is added to the occupancy of agent i when
+// agents are compared: a part for its missing weight and, in another zone, the
+// remote penalty scaled by the confidence in the estimate. Without the scaling,
+// only agents of the balancer's own zone would be chosen while no occupancy is
+// known, however few agents that zone has.
+func (t *Table) occupancyPenalty(i int, confidence int64) int {
 	e := t.entries[i]
-	cost := int(FullWeight-e.weight()) >> rampShift
+	cost := int(FullWeight-e.weight()) >> rampPenaltyShift
 	if !e.local() {
-		cost += int(int64(t.remote) * worth / worthUnit)
+		cost += int(int64(t.remotePenalty) * confidence / fullConfidence)
 	}
 	return cost
 }
 
-// alternateSalt parts the hashes that sample alternates from those that choose
-// the primary.
+// alternateSalt makes the hashes that sample alternates independent of those
+// that choose the primary.
 const alternateSalt = 0xd6e8feb86659fd93
 
-// sample returns the k-th index of n for flow h: all indices in turn, from a
-// random one on, when the table is small, else a random one.
+// sample returns the index below n of the k-th sampled agent for flow hash h.
+// If n is at most samples+1, successive k yield all indices, starting at a
+// random one; otherwise each k yields a random index.
 func sample(h uint64, k, n, samples int) int {
 	if n > samples+1 {
 		return scale(mix(h+uint64(k)*golden), n)
@@ -155,7 +163,7 @@
 	return i
 }
 
-// scale maps a hash evenly to 0 to n-1 without a division.
+// scale maps a hash uniformly to [0, n) without a division.
 func scale(h uint64, n int) int {
 	return int((h >> 32) * uint64(n) >> 32)
 }
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BenchmarkFirstPacket is the whole choice for one Initial packet.
+// BenchmarkFirstPacket measures the choice of both agents for an Initial packet.
 func BenchmarkFirstPacket(b *testing.B) {
 	for _, n := range []int{3, 7, 100, 16000} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkChange is one agent's new weight.
+// BenchmarkChange measures a change of one agent's weight.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{3, 16000} {
 		agents := testAgents(n)
@@ -74,8 +74,8 @@
 	}
 }
 
-// fleet splits 94,000 agents over 33,000 services: one of 16,000, the others
-// of two or three.
+// fleet divides 94,000 agents among 33,000 services: one has 16,000 agents, the
+// others two or three.
 func fleet() map[uint32][]Agent {
 	const agents, services, large = 94_000, 33_000, 16_000
 	all := testAgents(agents)
@@ -87,7 +87,7 @@
 	return byService
 }
 
-// BenchmarkFleet builds all tables and the beliefs; MB is what they hold.
+// BenchmarkFleet builds all tables and the Load and reports their size in MB.
 func BenchmarkFleet(b *testing.B) {
 	byService := fleet()
 	for b.Loop() {
@@ -103,8 +103,8 @@
 	}
 }
 
-// BenchmarkFleetFirstPacket chooses for another service each time, so that
-// tables and beliefs are rarely in the processor's cache.
+// BenchmarkFleetFirstPacket chooses for a different service in each iteration,
+// so that tables and load reports are rarely in the processor's cache.
 func BenchmarkFleetFirstPacket(b *testing.B) {
 	var tables Tables
 	load := NewLoad(94_000, LoadOptions{})
--- a/placement/concurrent_test.go
+++ b/placement/concurrent_test.go
@@ -7,9 +7,9 @@
 	"go.uber.org/goleak"
 )
 
-// Symptom: a balancer crashes or names an agent of another service while the
-// roster changes. Sequence: packets are placed while tables and beliefs are
-// replaced. Cause: a table changed in place. Run with -race.
+// Guards against a table being changed in place: a balancer that places packets
+// while tables and load reports are replaced would crash or choose an agent of
+// another service. Run with -race.
 func TestPacketsWhileTablesChange(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	agents := testAgents(100)
--- a/placement/decider_test.go
+++ b/placement/decider_test.go
@@ -15,51 +15,50 @@
 		name     string
 		own, alt Occupancy
 		has      bool
-		handOn   bool
+		forward  bool
 	}{
 		{"idle stays", 0, 0, true, false},
-		{"clearly busier hands on", 100, 20, true, true},
+		{"clearly busier forwards", 100, 20, true, true},
 		{"about equal stays", 100, 96, true, false},
-		{"full hands on", Full, 250, true, true},
+		{"full forwards", Full, 250, true, true},
 		{"both full stays", Full, Full, true, false},
 		{"no alternate stays", Full, 0, false, false},
 	} {
 		alt.Occupancy = c.alt
 		got := NewDecider(1, DeciderOptions{}).Decide(testStart, testID(1), c.own, alt, c.has)
-		if got.Forward != c.handOn {
-			t.Errorf("%s: hand on %v", c.name, got.Forward)
+		if got.Forward != c.forward {
+			t.Errorf("%s: forward is %v", c.name, got.Forward)
 		}
 	}
 }
 
-// Symptom: a handshake hangs although both agents are well. Sequence: the first
-// Initial packet is handed on, the second comes by another balancer that names
-// another alternate, and the load has changed. Cause: deciding per packet.
+// Guards against deciding per packet: when the second Initial packet of a flow
+// arrives through a balancer that chose another alternate, or after the load has
+// changed, it must go where the first went, or the handshake stalls.
 func TestInitialFlightFollowsFirstDecision(t *testing.T) {
 	agents := testAgents(2)
 	d := NewDecider(1, DeciderOptions{})
 	first := d.Decide(testStart, testID(1), 200, Alternate{agents[0].Addr, 0}, true)
-	second := d.Decide(testStart.Add(repeatAfter/2), testID(1), 0, Alternate{agents[1].Addr, 0}, true)
+	second := d.Decide(testStart.Add(retransmitAfter/2), testID(1), 0, Alternate{agents[1].Addr, 0}, true)
 	if !first.Forward || second != first {
 		t.Errorf("first %v, second %v", first, second)
 	}
 	late := d.Decide(testStart.Add(DefaultTTL+time.Second), testID(1), 0, Alternate{agents[1].Addr, 0}, true)
 	if late.Forward {
-		t.Errorf("a decision outlived its time: %v", late)
+		t.Errorf("the decision is still in effect after its TTL: %v", late)
 	}
 }
 
-// Symptom: callers wait for seconds after a backend server died, although their
-// primary is well. Sequence: the primary hands the flow on to the dead agent,
-// the caller repeats its Initial, the primary follows its decision. Cause: a
-// remembered decision that no missing answer ends.
+// Guards against a decision that outlasts a missing answer: if the primary
+// forwards a flow to a failed agent and does the same with the caller's
+// retransmitted Initial, the caller waits for seconds although the primary works.
 func TestRepeatedInitialStaysAtPrimary(t *testing.T) {
 	d := NewDecider(1, DeciderOptions{})
-	dead := Alternate{testAgents(1)[0].Addr, 0}
-	d.Decide(testStart, testID(1), 200, dead, true)
+	failed := Alternate{testAgents(1)[0].Addr, 0}
+	d.Decide(testStart, testID(1), 200, failed, true)
 	for _, after := range []time.Duration{time.Second, 2 * time.Second} {
-		if got := d.Decide(testStart.Add(after), testID(1), 200, dead, true); got.Forward {
-			t.Errorf("the repeat after %v follows", after)
+		if got := d.Decide(testStart.Add(after), testID(1), 200, failed, true); got.Forward {
+			t.Errorf("the retransmission after %v was forwarded", after)
 		}
 	}
 	if d.Unanswered != 1 {
@@ -67,15 +66,15 @@
 	}
 }
 
-// Symptom: an Initial goes round between two agents. Sequence: the alternate is
-// busier than believed and sends the flow back, the next Initial packet reaches
-// the primary. Cause: a primary that doesn't remember that the flow came back.
+// Guards against an Initial being forwarded back and forth: the alternate is
+// busier than estimated and sends the flow back; the primary must record that,
+// or it forwards the next Initial packet again.
 func TestReturnedFlowStays(t *testing.T) {
 	agents := testAgents(2)
 	primary, alternate := NewDecider(1, DeciderOptions{}), NewDecider(2, DeciderOptions{})
 	id := testID(1)
 	if !primary.Decide(testStart, id, 100, Alternate{agents[1].Addr, 10}, true).Forward {
-		t.Fatal("the primary keeps")
+		t.Fatal("the primary keeps the flow")
 	}
 	back := alternate.Decide(testStart, id, 200, Alternate{agents[0].Addr, 100}, true)
 	if !back.Forward || back.To != agents[0].Addr {
@@ -83,20 +82,20 @@
 	}
 	primary.Keep(testStart, id)
 	if got := primary.Decide(testStart, id, 200, Alternate{agents[1].Addr, 0}, true); got.Forward {
-		t.Errorf("the returned flow leaves again: %v", got)
+		t.Errorf("the flow that was sent back is forwarded again: %v", got)
 	}
 }
 
-// Symptom: a backend server that is leaving gets new work. Cause: its agent
-// keeps a flow although another can take it, or the other sends it back.
+// Guards against a draining backend server receiving new flows because its agent
+// keeps a flow that another agent can take, or because that agent sends it back.
 func TestFullAgentGetsNoFlowThatAnotherCanTake(t *testing.T) {
 	agents := testAgents(2)
 	rapid.Check(t, func(t *rapid.T) {
-		believed := Occupancy(rapid.IntRange(0, int(Full)-1).Draw(t, "believed"))
+		reported := Occupancy(rapid.IntRange(0, int(Full)-1).Draw(t, "reported"))
 		actual := Occupancy(rapid.IntRange(0, int(Full)).Draw(t, "actual"))
 		id := rapid.SliceOfN(rapid.Byte(), 8, 20).Draw(t, "id")
 		primary, alternate := NewDecider(1, DeciderOptions{}), NewDecider(2, DeciderOptions{})
-		if !primary.Decide(testStart, id, Full, Alternate{agents[1].Addr, believed}, true).Forward {
+		if !primary.Decide(testStart, id, Full, Alternate{agents[1].Addr, reported}, true).Forward {
 			t.Fatal("the full primary keeps the flow")
 		}
 		if alternate.Decide(testStart, id, actual, Alternate{agents[0].Addr, Full}, true).Forward {
@@ -105,13 +104,13 @@
 	})
 }
 
-func TestForgottenDecisionsAreCounted(t *testing.T) {
+func TestEvictedDecisionsAreCounted(t *testing.T) {
 	d := NewDecider(1, DeciderOptions{})
 	for i := range uint64(2 * DefaultDecisions) {
 		d.Decide(testStart, testID(i), 0, Alternate{}, false)
 	}
 	if d.Evicted < DefaultDecisions {
-		t.Errorf("forgotten: %d", d.Evicted)
+		t.Errorf("evicted decisions: %d", d.Evicted)
 	}
 }
 
@@ -119,7 +118,7 @@
 	agent := testAgents(1)[0].Addr
 	l := NewLoad(10, LoadOptions{})
 	if _, _, ok := l.Get(agent, testStart); ok {
-		t.Error("an occupancy before any report")
+		t.Error("Get returned an occupancy before any report")
 	}
 	l.Report(agent, 42, testStart)
 	o, age, ok := l.Get(agent, testStart.Add(time.Second))
@@ -128,9 +127,9 @@
 	}
 }
 
-// Symptom: a draining agent is named as the alternate seconds after it said so.
-// Cause: an aged report of Full that counts as merely busy.
-func TestBeliefAgesToUnknownButFullStays(t *testing.T) {
+// Guards against a draining agent being chosen as the alternate seconds after it
+// reported Full, because the aged report counts as merely busy.
+func TestReportAgesToUnknownButFullStays(t *testing.T) {
 	agents := testAgents(2)
 	l := NewLoad(2, LoadOptions{})
 	l.Report(agents[0].Addr, 0, testStart)
@@ -145,7 +144,7 @@
 	} {
 		for i, want := range []Occupancy{c.idle, c.full} {
 			p, _ := pack(agents[i].Addr)
-			got, _ := l.believed(p, ticks(testStart.Add(c.age)))
+			got, _ := l.estimate(p, ticks(testStart.Add(c.age)))
 			if int(got) < int(want)-1 || got > want {
 				t.Errorf("after %v: %d, want %d", c.age, got, want)
 			}
@@ -199,10 +198,10 @@
 	}
 }
 
-// Symptom: a backend server that has just started is flooded. Sequence: its
-// weight keeps primaries away, its idle slots make every balancer name it as
-// the alternate. Cause: an alternate chosen without regard to weights.
-func TestColdAgentIsNotEveryonesAlternate(t *testing.T) {
+// Guards against overload of a recently started backend server: its low weight
+// limits the flows of which it is the primary, but if weights were ignored for
+// alternates, its idle slots would make every balancer choose it.
+func TestColdAgentIsNotPreferredAsAlternate(t *testing.T) {
 	agents := testAgents(3)
 	agents[1].Weight = 51
 	table, l := testTable(t, agents), NewLoad(3, LoadOptions{})
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -2,13 +2,13 @@
 //
 // A balancer holds a [Table] per service and chooses two agents for each
 // Initial packet. The primary depends only on the caller's first connection ID
-// and on the roster, so that the packets of one handshake meet one agent
-// whichever balancers they reach. The alternate is the agent that this balancer
-// believes least loaded among a few ([Load]). The primary knows its own load
-// and decides once per connection ID, by a [Decider], whether it keeps the flow
-// or hands it on to the alternate.
+// and on the member list, so that all packets of a handshake reach the same
+// agent regardless of the balancer that they arrive at. The alternate is the
+// agent with the lowest estimated load ([Load]) among a small sample. The
+// primary knows its own load and uses a [Decider] to decide once per connection
+// ID whether it keeps the flow or forwards it to the alternate.
 //
-// The package does no I/O, starts no goroutine and reads no clock: the time
-// comes in with each call. [Table], [Tables] and [Load] are safe for concurrent
-// use; a [Decider] belongs to one goroutine.
+// The package does no I/O, starts no goroutine and reads no clock: the current
+// time is passed to each call. [Table], [Tables] and [Load] are safe for
+// concurrent use; a [Decider] and a [Meter] are not.
 package placement
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// A balancer chooses two agents for a new flow; the primary hands the flow on,
+// A balancer chooses two agents for a new flow; the primary forwards the flow,
 // because it is busier than the alternate.
 func Example() {
 	agents := []placement.Agent{
--- a/placement/hash.go
+++ b/placement/hash.go
@@ -13,7 +13,7 @@
 	mixB   = 0x94d049bb133111eb
 )
 
-// mix is the SplitMix64 finalizer: each input bit reaches each output bit.
+// mix is the SplitMix64 finalizer: every input bit affects every output bit.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= mixA
@@ -27,7 +27,8 @@
 	return mix(xxhash.Sum64(cid) ^ seed)
 }
 
-// Packed addresses hold an IPv4 address and a port in the low 48 bits.
+// portBits is the width of the port in a packed address, which holds an IPv4
+// address and a port in its low 48 bits.
 const portBits = 16
 
 func pack(a netip.AddrPort) (uint64, bool) {
--- a/placement/load.go
+++ b/placement/load.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// Load holds what a balancer believes about the occupancy of agents. It is a
-// table of fixed size in sets of eight words, one cache line each: when a ninth
-// agent falls on a set, it takes the place of the report that is oldest, whose
-// agent counts as unknown until its next report. Of two reports that race for
-// an empty word one is lost. All methods are lock-free and allocate nothing.
+// Load holds the occupancies that agents last reported to a balancer. It is a
+// set-associative table of fixed size with eight words per set, one cache line.
+// When a ninth agent maps to a set, its report replaces the oldest one, whose
+// agent counts as unknown until its next report. If two reports race for a free
+// word, one of them is lost. All methods are safe for concurrent use, lock-free
+// and allocate nothing.
 //
-// One word holds a 32-bit tag of the address, the time of the report in units
+// A word holds a 32-bit tag of the address, the time of the report in units
 // of loadTick (24 bits) and the occupancy (8 bits).
 type Load struct {
-	words   []atomic.Uint64
-	mask    uint64
-	maxAge  uint64 // ticks
-	perTick int64  // 2^32 / (maxAge + 1), to age a belief without a division
-	unknown Occupancy
+	words             []atomic.Uint64
+	mask              uint64
+	maxAge            uint64 // ticks
+	confidencePerTick int64  // 2^32 / (maxAge + 1), lost per tick; avoids a division per lookup
+	unknown           Occupancy
 }
 
-// LoadOptions tunes a Load. A zero field means the default beside it.
+// LoadOptions configures a Load. A zero field means its default.
 type LoadOptions struct {
-	// MaxAge is the age from which a report counts as unknown; default
+	// MaxAge is the age above which a report is ignored; default
 	// DefaultMaxAge.
 	MaxAge time.Duration
-	// Unknown is assumed of an agent that nothing recent is known about;
+	// Unknown is the occupancy assumed for an agent without a recent report;
 	// default DefaultUnknown.
 	Unknown Occupancy
 }
 
-// Defaults of LoadOptions. DefaultUnknown loses to an idle agent and wins over
-// a busy one.
+// Defaults of LoadOptions. DefaultUnknown is higher than the occupancy of an
+// idle agent and lower than that of a busy one.
 const (
 	DefaultMaxAge            = 3 * time.Second
 	DefaultUnknown Occupancy = 40
 )
 
 const (
-	loadTick     = 10 * time.Millisecond
-	loadTimeBits = 24
-	loadTimeMask = 1<<loadTimeBits - 1
-	loadTagMask  = 0xffffffff << (64 - 32)
-	loadPerAgent = 2 // words per agent, so that hardly any set is full
-	loadWays     = 8 // words per set
+	loadTick          = 10 * time.Millisecond
+	loadTimeBits      = 24
+	loadTimeMask      = 1<<loadTimeBits - 1
+	loadTagMask       = 0xffffffff << (64 - 32)
+	loadWordsPerAgent = 2 // keeps nearly all sets from filling up
+	loadWays          = 8 // words per set
 )
 
-// NewLoad returns a table for about agents agents, 16 to 32 bytes each.
+// NewLoad returns a Load for about the given number of agents. It takes 16 to
+// 32 bytes per agent.
 func NewLoad(agents int, o LoadOptions) *Load {
 	if o.MaxAge == 0 {
 		o.MaxAge = DefaultMaxAge
@@ -57,20 +59,21 @@
 		o.Unknown = DefaultUnknown
 	}
 	size := 64
-	for size < agents*loadPerAgent {
+	for size < agents*loadWordsPerAgent {
 		size *= 2
 	}
 	maxAge := uint64(o.MaxAge / loadTick)
 	return &Load{
-		words:   make([]atomic.Uint64, size),
-		mask:    uint64(size - 1),
-		maxAge:  maxAge,
-		perTick: int64(1 << 32 / (maxAge + 1)),
-		unknown: o.Unknown,
+		words:             make([]atomic.Uint64, size),
+		mask:              uint64(size - 1),
+		maxAge:            maxAge,
+		confidencePerTick: int64(1 << 32 / (maxAge + 1)),
+		unknown:           o.Unknown,
 	}
 }
 
-// Report notes the occupancy that a datagram from agent carried.
+// Report records the occupancy o that agent reported at now. An address that is
+// not IPv4 is ignored.
 func (l *Load) Report(agent netip.AddrPort, o Occupancy, now time.Time) {
 	p, ok := pack(agent)
 	if !ok {
@@ -85,32 +88,32 @@
 	var oldest *atomic.Uint64
 	oldestAge := uint64(0)
 	for way := range uint64(loadWays) {
-		place := l.word(h, way)
-		w := place.Load()
+		slot := l.slot(h, way)
+		w := slot.Load()
 		if w == 0 {
-			place.CompareAndSwap(0, word)
+			slot.CompareAndSwap(0, word)
 			return
 		}
 		if (w^h)&loadTagMask == 0 {
-			place.Store(word)
+			slot.Store(word)
 			return
 		}
 		if age := (value>>8 - w>>8) & loadTimeMask; oldest == nil || age > oldestAge {
-			oldest, oldestAge = place, age
+			oldest, oldestAge = slot, age
 		}
 	}
 	oldest.Store(word)
 }
 
-// word returns the way-th word to look at for the address hash h. Words are
-// never emptied, so a search ends at an empty one.
-func (l *Load) word(h, way uint64) *atomic.Uint64 {
+// slot returns the way-th word of the set of the address hash h. Words are
+// never cleared, so a lookup can stop at the first empty one.
+func (l *Load) slot(h, way uint64) *atomic.Uint64 {
 	first := h & l.mask
 	return &l.words[first&^(loadWays-1)|(first+way)%loadWays]
 }
 
-// Get returns the last reported occupancy and its age. ok is false when nothing
-// is known.
+// Get returns the occupancy that agent last reported and the age of the report.
+// ok is false if the table holds no report of the agent.
 func (l *Load) Get(agent netip.AddrPort, now time.Time) (o Occupancy, age time.Duration, ok bool) {
 	p, ok := pack(agent)
 	if !ok {
@@ -120,30 +123,31 @@
 	return o, time.Duration(passed) * loadTick, ok
 }
 
-// worthUnit is the worth of a report that has just come in.
-const worthUnit = 1 << 32
+// fullConfidence is the confidence in a report of age 0.
+const fullConfidence = 1 << 32
 
-// believed returns the occupancy to act on and the worth of the report behind
-// it, worthUnit to 0. A report loses its worth in a straight line, and the
-// occupancy moves to unknown with it. Full stays: a draining agent that became
-// merely busy in a balancer's eyes would be named again.
-func (l *Load) believed(packed, now uint64) (o Occupancy, worth int64) {
+// estimate returns the estimated occupancy of an agent and the confidence in
+// it, from fullConfidence down to 0. The confidence falls linearly with the age
+// of the report, and the occupancy moves towards the unknown value with it. Full
+// does not age until the report expires: otherwise a draining agent would look
+// merely busy and be chosen again.
+func (l *Load) estimate(packed, now uint64) (o Occupancy, confidence int64) {
 	o, age, ok := l.get(packed, now)
 	if !ok || age > l.maxAge {
 		return l.unknown, 0
 	}
-	worth = worthUnit - int64(age)*l.perTick
+	confidence = fullConfidence - int64(age)*l.confidencePerTick
 	if o == Full {
-		return Full, worth
+		return Full, confidence
 	}
-	drift := (int64(o) - int64(l.unknown)) * worth / worthUnit
-	return Occupancy(int64(l.unknown) + drift), worth
+	drift := (int64(o) - int64(l.unknown)) * confidence / fullConfidence
+	return Occupancy(int64(l.unknown) + drift), confidence
 }
 
 func (l *Load) get(packed, now uint64) (o Occupancy, age uint64, ok bool) {
 	h := mix(packed)
 	for way := range uint64(loadWays) {
-		w := l.word(h, way).Load()
+		w := l.slot(h, way).Load()
 		if w == 0 {
 			break
 		}
--- a/placement/meter.go
+++ b/placement/meter.go
@@ -6,65 +6,67 @@
 )
 
 const (
-	// meterTime is the time in which a past load loses its weight but for 1/e.
-	meterTime = 2 * time.Second
-	// meterShare is the weight of the past beside the present.
-	meterShare = 0.5
-	// failureTime is the time in which failures are forgotten but for 1/e: an
-	// agent that nobody sends flows to must be tried again.
-	failureTime = 10 * time.Second
-	// failureShare is the weight of one request in the share of failures.
-	failureShare = 1.0 / 16
-	// failureScale is the occupancy of an agent whose requests all fail.
-	failureScale = 150
+	// meanTimeConstant is the time in which the weight of a past load falls to
+	// 1/e.
+	meanTimeConstant = 2 * time.Second
+	// meanShare is the weight of the mean against the current load.
+	meanShare = 0.5
+	// failureTimeConstant is the time in which the failure rate decays to 1/e
+	// without requests, so that an agent that receives no flows is tried again.
+	failureTimeConstant = 10 * time.Second
+	// failureGain is the weight of one request in the failure rate.
+	failureGain = 1.0 / 16
+	// failureOccupancy is added to the occupancy when all requests fail.
+	failureOccupancy = 150
 )
 
-// Meter turns an agent's usage into the occupancy that it reports and decides
-// by: half the requests of this moment, half their mean over the last seconds.
-// The present alone misleads: with a few slots it changes many times before a
-// report is used, and an agent that is slow or holds many long connections
-// looks idle at every pause. The zero value is ready to use; a Meter belongs to
-// one goroutine.
+// Meter computes from an agent's usage the occupancy that the agent reports and
+// bases its decisions on. It counts half the current requests and half their
+// mean over the last seconds, because the current number alone is misleading:
+// with few slots it changes many times before a report is used, and an agent
+// that is slow or holds many long connections looks idle at every pause. The
+// zero value is ready to use. A Meter is not safe for concurrent use.
 type Meter struct {
 	last     time.Time
-	requests float64 // at last
-	mean     float64
+	requests float64 // number since last
+	mean     float64 // exponentially weighted mean of requests
 	failures float64 // share of recent requests that failed
 }
 
-// Done notes a request that the backend server has ended. failed means that it
-// gave no answer of its own, such as a refused connection or a timeout, or an
-// answer that speaks of the server and not of the request. A server that fails
-// at once is always idle: without this it would draw every flow.
+// Done records the end of a request at the backend server. failed means that
+// there was no answer, as with a refused connection or a timeout, or that the
+// answer reports a fault of the server rather than of the request. Failures
+// raise the occupancy, because a server that fails immediately is always idle
+// and would otherwise attract every flow.
 func (m *Meter) Done(now time.Time, failed bool) {
-	m.settle(now)
+	m.advance(now)
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
-	m.failures += (outcome - m.failures) * failureShare
+	m.failures += (outcome - m.failures) * failureGain
 }
 
-// Occupancy returns the occupancy for u. The requests in u are taken to hold
-// until the next call: call it when they change, or for each report.
+// Occupancy returns the occupancy for u. The number of requests in u is assumed
+// to be constant until the next call: call it on each change or for each report.
 func (m *Meter) Occupancy(now time.Time, u Usage) Occupancy {
 	requests := float64(u.SlotsBusy + u.Queue)
-	m.settle(now)
+	m.advance(now)
 	m.requests = requests
-	o := u.occupancy(requests + (m.mean-requests)*meterShare)
+	o := u.occupancy(requests + (m.mean-requests)*meanShare)
 	if o == Full {
 		return Full
 	}
-	return Occupancy(min(float64(o)+m.failures*failureScale, float64(Full-1)))
+	return Occupancy(min(float64(o)+m.failures*failureOccupancy, float64(Full-1)))
 }
 
-// settle brings the means up to now.
-func (m *Meter) settle(now time.Time) {
+// advance updates the mean and the failure rate to now.
+func (m *Meter) advance(now time.Time) {
 	passed := now.Sub(m.last)
 	if passed <= 0 {
 		return
 	}
 	m.last = now
-	m.mean += (m.requests - m.mean) * -math.Expm1(-passed.Seconds()/meterTime.Seconds())
-	m.failures *= math.Exp(-passed.Seconds() / failureTime.Seconds())
+	m.mean += (m.requests - m.mean) * -math.Expm1(-passed.Seconds()/meanTimeConstant.Seconds())
+	m.failures *= math.Exp(-passed.Seconds() / failureTimeConstant.Seconds())
 }
--- a/placement/neglog.go
+++ b/placement/neglog.go
@@ -3,7 +3,7 @@
 import "math/bits"
 
 const (
-	// logBits is the number of leading fraction bits that choose a table row.
+	// logBits is the number of leading fraction bits that index the table.
 	logBits = 8
 	// logUnit is the fixed-point value of one binary digit.
 	logUnit = 1 << 24
@@ -12,9 +12,9 @@
 // logTable holds log2(1 + i/256) in units of 1/logUnit.
 var logTable = makeLogTable()
 
-// makeLogTable computes the logarithms digit by digit with integers alone.
-// Floating point could round differently on machines of another architecture,
-// and balancers that disagree on a score send one handshake to two agents.
+// makeLogTable computes the logarithms digit by digit in integer arithmetic.
+// Floating point could round differently on another architecture, and balancers
+// with different scores would send one handshake to two agents.
 func makeLogTable() [1<<logBits + 1]uint32 {
 	const one = 1 << 31
 	var table [1<<logBits + 1]uint32
--- a/placement/occupancy.go
+++ b/placement/occupancy.go
@@ -5,30 +5,31 @@
 // Occupancy is an agent's load in one byte, 0 (idle) to Full.
 type Occupancy uint8
 
-// Full means that the agent takes no new flow.
+// Full means that the agent accepts no new flows.
 const Full Occupancy = 255
 
-// Parts of the scale below Full.
+// Components of an occupancy below Full.
 const (
-	requestScale    = 40  // one request per slot, at work or waiting
-	requestTop      = 200 // the most that requests count
-	connectionScale = 50  // all connections taken
+	requestScale    = 40  // one request per slot, in progress or waiting
+	requestMax      = 200 // maximum contribution of requests
+	connectionScale = 50  // all connections in use
 )
 
-// Usage is what an agent knows about itself. MaxConnections has to be set: 0
-// is an agent that has no connection left.
+// Usage is an agent's own usage. MaxConnections must be set: 0 means that no
+// connection is left.
 type Usage struct {
-	SlotsBusy, Slots            int // requests at work at the backend server
+	SlotsBusy, Slots            int // requests in progress at the backend server, and their limit
 	Queue                       int // requests that wait for a slot
 	Connections, MaxConnections int // open caller connections
 	Draining                    bool
 }
 
-// Occupancy returns the usage of this moment in one byte; an agent reports what
-// a [Meter] makes of it. It rises in step with the requests at work and waiting,
-// up to five for each slot, and more finely with the root of the connections:
-// among agents of few connections one more still shows. Draining and no
-// connection left are Full.
+// Occupancy returns the occupancy of the current usage; an agent reports the
+// value that a [Meter] derives from it. It is proportional to the requests in
+// progress and waiting, up to five per slot, plus a smaller part proportional
+// to the square root of the share of connections in use, so that one more
+// connection still makes a difference among agents with few. It is Full while
+// draining and when no connection is left.
 func (u Usage) Occupancy() Occupancy {
 	return u.occupancy(float64(u.SlotsBusy + u.Queue))
 }
@@ -39,6 +40,6 @@
 	}
 	perSlot := requests / float64(max(u.Slots, 1))
 	connections := float64(u.Connections) / float64(u.MaxConnections)
-	level := min(perSlot*requestScale, requestTop) + math.Sqrt(connections)*connectionScale
+	level := min(perSlot*requestScale, requestMax) + math.Sqrt(connections)*connectionScale
 	return Occupancy(level)
 }
--- a/placement/occupancy_test.go
+++ b/placement/occupancy_test.go
@@ -46,17 +46,17 @@
 	idle := Usage{Slots: 5, MaxConnections: 2000}
 	var m Meter
 	m.Occupancy(testStart, busy)
-	pause := m.Occupancy(testStart.Add(time.Minute), idle)
-	later := m.Occupancy(testStart.Add(2*time.Minute), idle)
-	if pause <= idle.Occupancy() || pause >= busy.Occupancy() || later != idle.Occupancy() {
-		t.Errorf("in a pause %d, later %d, idle %d, busy %d", pause, later, idle.Occupancy(), busy.Occupancy())
+	firstIdle := m.Occupancy(testStart.Add(time.Minute), idle)
+	secondIdle := m.Occupancy(testStart.Add(2*time.Minute), idle)
+	if firstIdle <= idle.Occupancy() || firstIdle >= busy.Occupancy() || secondIdle != idle.Occupancy() {
+		t.Errorf("first idle sample %d, second %d; idle %d, busy %d", firstIdle, secondIdle, idle.Occupancy(), busy.Occupancy())
 	}
 }
 
-// Symptom: most requests of a service fail although one backend server of seven
-// is broken. Sequence: its requests fail at once, its slots are always free,
-// every balancer names it and every primary hands on to it. Cause: a load that
-// counts work and not outcomes.
+// Guards against a load that ignores outcomes: a broken backend server whose
+// requests fail immediately always has free slots, so every balancer chooses it,
+// every primary forwards to it, and most requests of the service fail although
+// only one server of seven is broken.
 func TestFailingAgentLooksBusyUntilForgotten(t *testing.T) {
 	idle := Usage{Slots: 5, MaxConnections: 2000}
 	var m Meter
--- a/placement/primary.go
+++ b/placement/primary.go
@@ -3,21 +3,23 @@
 import "math"
 
 const (
-	// ringFrom is the number of agents up to which every flow is placed by
-	// weighted rendezvous, ringOnly the number from which every flow is placed
-	// by multi-probe consistent hashing. In between the share of the ring grows
-	// with each agent, so that no single agent's joining moves all flows.
-	ringFrom = 16
-	ringOnly = 64
+	// rendezvousMaxAgents is the number of agents up to which all flows are
+	// placed by weighted rendezvous hashing, ringMinAgents the number from which
+	// all flows are placed by multi-probe consistent hashing. In between, the
+	// share of flows on the ring grows with each agent, so that no single
+	// joining agent moves all flows.
+	rendezvousMaxAgents = 16
+	ringMinAgents       = 64
 
-	// ringProbes is the number of places on the ring that a flow tries.
+	// ringProbes is the number of points on the ring that are probed per flow.
 	ringProbes = 21
-	// ringSkips bounds the agents that one probe passes over for their weight.
-	ringSkips = 16
+	// ringMaxSkips bounds the agents that one probe skips because of their
+	// weight.
+	ringMaxSkips = 16
 )
 
-// Primary returns the index of the agent that cid and the roster decide, the
-// same on every balancer with the same roster, or None for an empty table.
+// Primary returns the index of the primary agent for cid, or None for an empty
+// table. Balancers with the same member list return the same agent.
 func (t *Table) Primary(cid []byte) int {
 	return t.primary(t.hash(cid))
 }
@@ -29,32 +31,33 @@
 	switch {
 	case n == 0:
 		return None
-	case n <= ringFrom:
+	case n <= rendezvousMaxAgents:
 		return t.rendezvous(h)
-	case n < ringOnly && n <= ringThreshold(h):
+	case n < ringMinAgents && n <= ringThreshold(h):
 		return t.rendezvous(h)
 	}
-	if i := t.ring(h, !t.even); i != None {
+	if i := t.ring(h, !t.equalWeights); i != None {
 		return i
 	}
 	return t.ring(h, false)
 }
 
 // ringThreshold returns the table size above which the flow with hash h is
-// placed on the ring: in either octave between ringFrom and ringOnly with equal
-// chance, so that one more agent moves at most 1/n of the flows for this reason.
+// placed on the ring. The two octaves between rendezvousMaxAgents and
+// ringMinAgents are equally likely, so that one more agent moves at most 1/n of
+// the flows by the change of method.
 func ringThreshold(h uint64) int {
 	x := mix(h + golden)
-	octave := ringFrom << (x >> 63)
+	octave := rendezvousMaxAgents << (x >> 63)
 	return octave + int(x)&(octave-1)
 }
 
-// rendezvous picks by highest random weight, exactly in proportion to the
-// weights. With equal weights the logarithms can be left out: they don't change
-// which agent wins.
+// rendezvous selects an agent by weighted rendezvous hashing (highest random
+// weight), exactly in proportion to the weights. With equal weights the
+// logarithms are left out, because they don't change the selected agent.
 func (t *Table) rendezvous(h uint64) int {
-	if t.even {
-		return t.rendezvousEven(h)
+	if t.equalWeights {
+		return t.rendezvousEqualWeights(h)
 	}
 	best, bestCost, bestWeight := None, uint64(1), uint64(0)
 	for i, e := range t.entries {
@@ -66,7 +69,7 @@
 	return best
 }
 
-func (t *Table) rendezvousEven(h uint64) int {
+func (t *Table) rendezvousEqualWeights(h uint64) int {
 	best, bestScore := None, uint64(0)
 	for i := range t.entries {
 		score := mix(h ^ t.entries[i].hash)
@@ -77,16 +80,18 @@
 	return best
 }
 
-// ring picks the agent that follows one of the probes most closely. An agent of
-// reduced weight takes part for a flow only if its own hash with that flow is
-// below its weight; when nearly all agents have a low weight and no probe finds
-// one that takes part, the flow is placed without regard to weights, because
-// the packet path can't afford to search the whole ring. A joining agent takes
-// flows, and moves none between others.
+// ring selects by multi-probe consistent hashing: of the agents that follow the
+// flow's probes on the ring, the one with the smallest distance to its probe. If
+// weighted is set, an agent of reduced weight participates for a flow only if
+// its hash with that flow is below its weight. ring returns None if no probe
+// finds a participating agent, as can happen when nearly all agents have a low
+// weight; the flow is then placed without regard to weights, because searching
+// the whole ring is too slow for the packet path. A joining agent takes over
+// flows but moves none between other agents.
 func (t *Table) ring(h uint64, weighted bool) int {
 	var starts [ringProbes]uint32
 	for k := range starts {
-		starts[k] = t.index[probe(h, k)>>t.shift] // reads that don't wait for each other
+		starts[k] = t.index[probe(h, k)>>t.shift] // independent loads, which the processor can overlap
 	}
 	best, bestGap := None, uint64(math.MaxUint64)
 	for k, start := range starts {
@@ -105,12 +110,13 @@
 	return best
 }
 
-// probe returns the k-th place on the ring that flow h tries.
+// probe returns the k-th point on the ring that is probed for flow hash h.
 func probe(h uint64, k int) uint64 {
 	return mix(h + uint64(k+1)*golden)
 }
 
-// successor returns the first agent at or after p, searching from start.
+// successor returns the index of the first agent at or after point p, searching
+// from index start.
 func (t *Table) successor(p uint64, start int) int {
 	for i := start; i < len(t.entries); i++ {
 		if t.entries[i].hash >= p {
@@ -120,10 +126,11 @@
 	return 0
 }
 
-// participant returns the first agent from i on that takes part for flow h.
+// participant returns the index of the first agent from i on that participates
+// for flow hash h, or None if ringMaxSkips agents do not.
 func (t *Table) participant(i int, h uint64) int {
-	for range ringSkips {
-		if t.takesPart(i, h) {
+	for range ringMaxSkips {
+		if t.participates(i, h) {
 			return i
 		}
 		i++
@@ -134,11 +141,11 @@
 	return None
 }
 
-func (t *Table) takesPart(i int, h uint64) bool {
+func (t *Table) participates(i int, h uint64) bool {
 	e := t.entries[i]
-	if e.weight() == t.top {
+	if e.weight() == t.maxWeight {
 		return true
 	}
-	draw := mix(h^e.hash) >> 32 * uint64(t.top) >> 32
+	draw := mix(h^e.hash) >> 32 * uint64(t.maxWeight) >> 32
 	return draw < uint64(e.weight())
 }
--- a/placement/ramp.go
+++ b/placement/ramp.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Ramp is the cold start of an agent: its weight rises in a few steps, because
-// each step is a change that every balancer must hear of.
+// Ramp raises the weight of an agent during its cold start. The steps are few,
+// because each one is a change that must reach every balancer.
 type Ramp struct {
 	Duration time.Duration // from ready to full weight; 0 is no ramp
-	Steps    int           // weights on the way, at least 1
+	Steps    int           // weights below the full one; at least 1
 }
 
-// Weight returns the weight of an agent that has been ready for the time ready.
+// Weight returns the weight of an agent that has been ready for the given time.
 func (r Ramp) Weight(ready time.Duration) uint8 {
 	if r.Duration <= 0 || ready >= r.Duration {
 		return FullWeight
@@ -19,8 +19,8 @@
 	return uint8(max(1, FullWeight*(step+1)/(steps+1)))
 }
 
-// Next returns how long after ready the weight next changes. ok is false once
-// the weight is full.
+// Next returns the time of the next change of the weight, counted like ready
+// from the moment the agent became ready. ok is false once the weight is full.
 func (r Ramp) Next(ready time.Duration) (at time.Duration, ok bool) {
 	if r.Duration <= 0 || ready >= r.Duration {
 		return 0, false
--- a/placement/table_test.go
+++ b/placement/table_test.go
@@ -37,7 +37,8 @@
 	return binary.BigEndian.AppendUint64(nil, mix(i))
 }
 
-// place returns the primary's address for each of flows flows.
+// place returns the address of the primary for each of the given number of
+// flows.
 func place(table *Table, flows int) []netip.AddrPort {
 	placed := make([]netip.AddrPort, flows)
 	for i := range placed {
@@ -60,16 +61,16 @@
 		for i := range 50 {
 			id := testID(seed + uint64(i))
 			if a, b := direct.Addr(direct.Primary(id)), grown.Addr(grown.Primary(id)); a != b {
-				t.Fatalf("flow %d: %v and %v", i, a, b)
+				t.Fatalf("flow %d: primary %v in the table built at once, %v in the one built step by step", i, a, b)
 			}
 		}
 	})
 }
 
-// Symptom: one backend server leaves, and many more callers than its share meet
-// a new agent. Cause: a placement that depends on the number or the order of
-// agents. Outside the sizes between ringFrom and ringOnly only flows of the
-// changed agent may move; between them a flow may also change its method.
+// Guards against a placement that depends on the number or order of agents, by
+// which one agent's change moves many more flows than its share. Only flows of
+// the changed agent may move, except between rendezvousMaxAgents and
+// ringMinAgents, where a flow may also change its placement method.
 func TestOneAgentMovesItsShareOnly(t *testing.T) {
 	const flows = 20000
 	for _, n := range []int{2, 3, 7, 15, 20, 31, 32, 50, 63, 200, 2000} {
@@ -77,21 +78,21 @@
 		with, without := testTable(t, agents), testTable(t, agents[:n])
 		joined := agents[n].Addr
 		a, b := place(with, flows), place(without, flows)
-		moved, between := 0, 0
+		moved, movedBetweenOthers := 0, 0
 		for i := range a {
 			if a[i] == b[i] {
 				continue
 			}
 			moved++
 			if a[i] != joined {
-				between++
+				movedBetweenOthers++
 			}
 		}
 		if share := float64(moved) * float64(n+1) / flows; share > 2.2 {
 			t.Errorf("%d agents: %.2f/n of the flows moved", n, share)
 		}
-		if (n < ringFrom || n >= ringOnly) && between > 0 {
-			t.Errorf("%d agents: %d flows moved between agents that stayed", n, between)
+		if (n < rendezvousMaxAgents || n >= ringMinAgents) && movedBetweenOthers > 0 {
+			t.Errorf("%d agents: %d flows moved between agents that stayed", n, movedBetweenOthers)
 		}
 	}
 }
@@ -104,18 +105,18 @@
 	return counts
 }
 
-// An agent of weight w gets w/FullWeight of what it gets at full weight, as
-// long as the others are many or are few and their shares are known.
+// An agent of weight w receives w/FullWeight of the flows that it receives at
+// full weight, corrected for the change of the total weight.
 func TestPrimaryFollowsWeights(t *testing.T) {
 	const flows = 200000
 	for _, n := range []int{4, 15, 60, 300} {
 		agents := testAgents(n)
-		whole := countFlows(place(testTable(t, agents), flows))
+		fullWeight := countFlows(place(testTable(t, agents), flows))
 		for _, w := range []uint8{0, 51, 128} {
 			agents[1].Weight = w
 			got := countFlows(place(testTable(t, agents), flows))[agents[1].Addr]
 			sum := float64(n-1) + float64(w)/FullWeight
-			want := float64(whole[agents[1].Addr]) * float64(w) / FullWeight * float64(n) / sum
+			want := float64(fullWeight[agents[1].Addr]) * float64(w) / FullWeight * float64(n) / sum
 			if math.Abs(float64(got)-want) > 0.1*want+20 {
 				t.Errorf("%d agents, weight %d: %d flows, want about %.0f", n, w, got, want)
 			}
@@ -131,7 +132,7 @@
 			highest = max(highest, count)
 		}
 		if ratio := float64(highest) / 4000; ratio > 1.12 {
-			t.Errorf("%d agents: the most chosen has %.3f of the mean", n, ratio)
+			t.Errorf("%d agents: the most frequent primary has %.3f times the mean", n, ratio)
 		}
 	}
 }
@@ -143,7 +144,7 @@
 	}
 	_, err := NewTable(Config{}, []Agent{{Addr: netip.MustParseAddrPort("[::1]:1"), Weight: 1}})
 	if err == nil {
-		t.Error("an IPv6 agent was accepted")
+		t.Error("NewTable accepted an agent with an IPv6 address")
 	}
 }
 
@@ -155,12 +156,12 @@
 		table, _ = table.With(Config{Zone: "zone-0"}, agents[2])
 	}
 	if table.Len() != 5 {
-		t.Fatalf("after a replacement: %d agents", table.Len())
+		t.Fatalf("%d agents after a replacement, want 5", table.Len())
 	}
 	agents[2].Weight = 0
 	table, _ = table.With(Config{Zone: "zone-0"}, agents[2])
 	if table.Len() != 4 {
-		t.Fatalf("after a removal: %d agents", table.Len())
+		t.Fatalf("%d agents after a removal, want 4", table.Len())
 	}
 }
 
@@ -168,16 +169,16 @@
 	var tables Tables
 	for _, service := range []uint32{0, 1, 33000, 1<<32 - 1} {
 		if tables.Get(service) != nil {
-			t.Errorf("service %d: a table before Set", service)
+			t.Errorf("service %d: Get returned a table before Set", service)
 		}
 		table := new(Table)
 		tables.Set(service, table)
 		if tables.Get(service) != table {
-			t.Errorf("service %d: not the table that was set", service)
+			t.Errorf("service %d: Get did not return the table that was set", service)
 		}
 		tables.Set(service, nil)
 		if tables.Get(service) != nil {
-			t.Errorf("service %d: still there after removal", service)
+			t.Errorf("service %d: Get returned a table after removal", service)
 		}
 	}
 }
--- a/placement/tables.go
+++ b/placement/tables.go
@@ -13,15 +13,15 @@
 
 type page [pageSize]atomic.Pointer[Table]
 
-// Tables holds the tables of a whole fleet by service number. Get is lock-free
-// and allocates nothing; Set replaces one table and leaves the others alone.
-// The zero value is ready to use.
+// Tables holds the tables of all services by service number. Get is lock-free
+// and allocates nothing; Set replaces a single table. The zero value is ready to
+// use.
 type Tables struct {
-	mu    sync.Mutex // held to add a page
+	mu    sync.Mutex // held while a page is looked up or added in Set
 	pages atomic.Pointer[map[uint32]*page]
 }
 
-// Get returns the table of service, or nil.
+// Get returns the table of service, or nil if there is none.
 func (s *Tables) Get(service uint32) *Table {
 	pages := s.pages.Load()
 	if pages == nil {
@@ -34,7 +34,7 @@
 	return p[service%pageSize].Load()
 }
 
-// Set makes t the table of service. nil removes the service.
+// Set makes t the table of service; a nil t removes the service.
 func (s *Tables) Set(service uint32, t *Table) {
 	s.page(service >> pageBits)[service%pageSize].Store(t)
 }
