--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// BenchmarkOfferQueued has five slots busy and 45 requests of three owners
-// waiting: each Done starts one, each Offer queues one.
+// BenchmarkOfferQueued runs with five busy slots and 45 waiting requests of
+// three owners: each Done starts one, each Offer queues one.
 func BenchmarkOfferQueued(b *testing.B) {
 	c := New(t0, Config{Slots: 5, Queue: 50, ServiceTime: time.Millisecond})
 	owners := []string{"a", "b", "c"}
--- a/admission/climb.go
+++ b/admission/climb.go
@@ -3,86 +3,90 @@
 import "time"
 
 const (
-	climbAnswers = 200  // answers of an epoch: the rate is known to about 7 %
-	climbEpochs  = 8    // epochs at a level between two trials of another one
-	climbDown    = 0.95 // a lower level is kept if its rate is at least so much of the higher one's
-	climbUp      = 1.1  // a higher level is kept if its rate is at least so much of the lower one's
-	climbGain    = 0.3  // weight of a new epoch in the rate of a level
+	climbEpochAnswers  = 200  // answers per epoch: gives the rate to about 7 %
+	climbTrialInterval = 8    // epochs between two trials of another level
+	climbKeepLower     = 0.95 // minimum rate, relative to the higher level, at which a lower level is kept
+	climbKeepHigher    = 1.1  // minimum rate, relative to the lower level, at which a higher level is kept
+	climbGain          = 0.3  // weight of a new epoch in the rate of a level
 )
 
-// climber finds how many requests at work give the most answers a second. Some
-// backend servers get slower in all when they work on more than they carry,
-// and don't say so. Latency doesn't show it, because requests differ, but the
-// rate of answers while requests wait does.
+// climber searches, by hill climbing, for the number of concurrent requests that
+// gives the highest rate of answers. The throughput of some backend servers
+// falls when they process more requests than they have capacity for, and they
+// do not signal it. Latency doesn't reveal it, because requests differ, but the
+// rate of answers while requests are waiting does.
 type climber struct {
 	max   int
-	level int     // kept level
-	trial int     // -1, 0 or 1: what is tried beside the kept level
-	rate  float64 // answers a second at the kept level; 0 while unknown
+	level int     // current number of concurrent requests
+	trial int     // -1, 0 or 1: offset from level that is being tried
+	rate  float64 // answers per second at level; 0 while unknown
 
-	lower  bool // whether the next trial is a lower level
-	epochs int  // epochs since the last trial
-	n      int  // answers of this epoch
-	since  time.Time
+	tryLower   bool // whether the next trial is a lower level
+	epochs     int  // epochs since the last trial
+	answers    int  // answers in this epoch
+	epochStart time.Time
 }
 
-// reset begins at the most of max.
+// reset restarts the search at the maximum level, limit.
 func (c *climber) reset(limit int) {
-	*c = climber{max: limit, level: limit, lower: true}
+	*c = climber{max: limit, level: limit, tryLower: true}
 }
 
-// limit is the number of requests that may be at work.
+// limit returns the number of requests that may be in progress.
 func (c *climber) limit() int { return c.level + c.trial }
 
-// idle ends the epoch: with slots free the rate says nothing about the level.
-func (c *climber) idle() { c.n = 0 }
+// discardEpoch drops the current epoch, because the rate of answers does not
+// reflect the level while slots are free.
+func (c *climber) discardEpoch() { c.answers = 0 }
 
-// answer counts an answer that came while requests waited.
-func (c *climber) answer(now time.Time) {
-	if c.n == 0 {
-		c.since = now
+// recordAnswer counts an answer that arrived while requests were waiting.
+func (c *climber) recordAnswer(now time.Time) {
+	if c.answers == 0 {
+		c.epochStart = now
 	}
-	c.n++
-	if c.n <= climbAnswers {
+	c.answers++
+	if c.answers <= climbEpochAnswers {
 		return
 	}
-	c.n = 0
-	if d := now.Sub(c.since).Seconds(); d > 0 {
-		c.judge(climbAnswers / d)
+	c.answers = 0
+	if d := now.Sub(c.epochStart).Seconds(); d > 0 {
+		c.evaluateEpoch(climbEpochAnswers / d)
 	}
 }
 
-// judge takes in the rate of an epoch.
-func (c *climber) judge(rate float64) {
+// evaluateEpoch processes the rate of an epoch, in answers per second: it adopts
+// the level of a successful trial, ends an unsuccessful one, and begins a new
+// trial when one is due.
+func (c *climber) evaluateEpoch(rate float64) {
 	switch {
-	case c.trial < 0 && rate >= climbDown*c.rate, c.trial > 0 && rate >= climbUp*c.rate:
+	case c.trial < 0 && rate >= climbKeepLower*c.rate, c.trial > 0 && rate >= climbKeepHigher*c.rate:
 		c.level += c.trial
 		c.rate = rate
-		c.lower = c.trial < 0
-		c.try()
+		c.tryLower = c.trial < 0
+		c.startTrial()
 		return
 	case c.trial == 0 && c.rate == 0:
 		c.rate = rate
 	case c.trial == 0:
 		c.rate += climbGain * (rate - c.rate)
 	}
-	tried := c.trial != 0
+	wasTrial := c.trial != 0
 	c.trial = 0
 	c.epochs++
-	if tried || c.epochs < climbEpochs {
+	if wasTrial || c.epochs < climbTrialInterval {
 		return
 	}
 	c.epochs = 0
-	c.try()
+	c.startTrial()
 }
 
-// try begins the trial of a lower or a higher level, in turn.
-func (c *climber) try() {
+// startTrial begins the trial of a lower or a higher level, alternately.
+func (c *climber) startTrial() {
 	c.trial = 0
-	if c.lower && c.level > 1 {
+	if c.tryLower && c.level > 1 {
 		c.trial = -1
 	} else if c.level < c.max {
 		c.trial = 1
 	}
-	c.lower = !c.lower
+	c.tryLower = !c.tryLower
 }
--- a/admission/climb_test.go
+++ b/admission/climb_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// climbOn feeds c with answers at the rates that a backend server gives by
-// level, for d.
+// climbOn records answers in c for the time d, at the backend server's rate for
+// the current limit, and returns the end of that time. rates holds answers per
+// second by level.
 func climbOn(c *climber, now time.Time, d time.Duration, rates map[int]float64) time.Time {
 	for end := now.Add(d); now.Before(end); {
 		now = now.Add(time.Duration(float64(time.Second) / rates[c.limit()]))
-		c.answer(now)
+		c.recordAnswer(now)
 	}
 	return now
 }
 
-// Symptom: the backend server answers half as many requests as it could.
-// Sequence: it slows down when it works on more than 3, without a 503.
-// Cause: all 5 slots are used, and latency doesn't tell.
+// Guards against all 5 slots being used on a backend server that slows down
+// above 3 concurrent requests without answering 503, which halves its throughput
+// and is not visible in the latency.
 func TestClimberFindsTheBestLevel(t *testing.T) {
 	var c climber
 	c.reset(5)
@@ -33,9 +34,9 @@
 	}
 }
 
-// Symptom: the limit falls while a backend server is merely slow.
-// Sequence: it gets five times slower, whatever the number at work.
-// Cause: the slower epoch is taken for a sign of overload.
+// Guards against a lower limit when a backend server becomes five times slower
+// at every number of concurrent requests: the slower epoch must not count as a
+// sign of overload.
 func TestClimberStaysWhileBackendIsSlow(t *testing.T) {
 	var c climber
 	c.reset(5)
--- a/admission/config.go
+++ b/admission/config.go
@@ -13,30 +13,30 @@
 	DefaultMaxRetryAfter = 30 * time.Second
 )
 
-// Config bounds what a Controller admits. A zero field means its default.
+// Config holds the limits of a Controller. A zero field means its default.
 type Config struct {
-	Slots         int           // requests at work at once; default catalogue.DefaultSlots
+	Slots         int           // concurrent requests; default catalogue.DefaultSlots
 	Connections   int           // open caller connections; default catalogue.DefaultConnections
 	Queue         int           // requests that wait for a slot; default catalogue.DefaultQueue; negative is none
-	Rate          int           // requests a second; 0 is no limit
+	Rate          int           // requests per second; 0 is no limit
 	LongFlows     int           // open streams and downloads; default Connections - Slots
 	Warmup        time.Duration // time in which the limit grows from 1 to Slots after RestartRamp; 0 is no ramp
 	ServiceTime   time.Duration // assumed before the first answer; default DefaultServiceTime
-	MaxRetryAfter time.Duration // longest come-back time; default DefaultMaxRetryAfter
+	MaxRetryAfter time.Duration // longest Refusal.RetryAfter; default DefaultMaxRetryAfter
 
-	Owners map[string]OwnerLimits // limits of single owners; an owner that isn't named has none of its own
-	Rand   *rand.Rand             // spreads come-back times; default a source with a fixed seed
+	Owners map[string]OwnerLimits // limits per owner; an owner without an entry has no limits of its own
+	Rand   *rand.Rand             // jitter of retry times; default a source with a fixed seed
 }
 
-// OwnerLimits bounds one owner. A zero field is no limit.
+// OwnerLimits holds the limits of one owner. A zero field is no limit.
 type OwnerLimits struct {
 	Weight    float64 // share of the slots while owners compete; default 1
-	Slots     int     // requests at work at once
-	Rate      int     // requests a second
+	Slots     int     // concurrent requests
+	Rate      int     // requests per second
 	LongFlows int     // open streams and downloads
 }
 
-// FromLimits returns the Config of a catalogue entry's limits.
+// FromLimits returns the Config for the limits of a catalogue entry.
 func FromLimits(l catalogue.Limits, rng *rand.Rand) Config {
 	return Config{
 		Slots:       l.Slots,
@@ -47,7 +47,7 @@
 	}
 }
 
-// withDefaults returns c with its zero fields filled in.
+// withDefaults returns c with zero fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	c.Slots = orDefault(c.Slots, catalogue.DefaultSlots)
 	c.Connections = orDefault(c.Connections, catalogue.DefaultConnections)
--- a/admission/conns.go
+++ b/admission/conns.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// OpenConn counts a new caller connection. ok is false if there is no room for
-// it; the refusal says when to come back.
+// OpenConn counts a new caller connection of the named owner. ok is false if the
+// connection limit is reached or the controller drains; the refusal then holds
+// the retry time.
 func (c *Controller) OpenConn(now time.Time, name string) (r Refusal, ok bool) {
 	if c.draining {
 		return c.refusal(now, ReasonDraining, 0), false
@@ -19,7 +20,7 @@
 	return Refusal{}, true
 }
 
-// CloseConn counts the end of a connection that OpenConn accepted.
+// CloseConn records the end of a connection that OpenConn accepted.
 func (c *Controller) CloseConn(now time.Time, name string) {
 	o := c.owners[name]
 	if o == nil || o.conns == 0 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,28 +8,28 @@
 	lim    limiter
 	bucket bucket
 
-	flights map[uint64]*flight
+	flights map[uint64]*flight // by request ID
 	owners  map[string]*owner
 	queues  []*owner // owners with waiting requests
-	free    *flight  // flights to use again, linked by next
+	free    *flight  // unused flights, linked by next
 	effects []Effect
 
 	queued  int // waiting requests
-	slots   int // slots held, opening long flows included
+	slots   int // slots in use, including opening long flows
 	opening int // long flows that hold a slot
 	long    int // long flows admitted and not done
 	conns   int
 
 	longWaiting int // long flows that wait
 
-	service  [2]estimate // time that a slot is held: short, long
-	flowTime estimate    // time that a long flow lasts
-	vtime    float64     // virtual time: what the owner served last had used
+	service  [2]estimate // time for which a slot is held: short requests, long flows
+	flowTime estimate    // duration of a long flow
+	vtime    float64     // virtual time of the owner whose request started last
 
 	draining   bool
 	noBackend  bool
-	pauseUntil time.Time // the backend server asked for no work until then
-	nextReturn time.Time // come-back time given last
+	pauseUntil time.Time // nothing is started before, as the backend server refused all requests
+	nextRetry  time.Time // retry time assigned last
 }
 
 // New returns a Controller. The cold-start ramp, if any, begins at now.
@@ -43,8 +43,8 @@
 	return c
 }
 
-// Configure puts new limits in force, for example after an edit of the
-// catalogue entry. What is at work or waiting stays.
+// Configure applies new limits, for example after an edit of the catalogue
+// entry. Requests in progress or waiting are not affected.
 func (c *Controller) Configure(now time.Time, cfg Config) {
 	c.cfg = cfg.withDefaults()
 	grown := c.cfg.Slots > c.lim.max
@@ -53,8 +53,8 @@
 	if c.lim.climb.max != c.cfg.Slots {
 		c.lim.climb.reset(c.cfg.Slots)
 	}
-	if grown || c.lim.cur > float64(c.lim.max) {
-		c.lim.cur = float64(c.lim.max)
+	if grown || c.lim.current > float64(c.lim.max) {
+		c.lim.current = float64(c.lim.max)
 	}
 	for _, o := range c.owners {
 		o.limits = c.cfg.Owners[o.name]
@@ -62,18 +62,18 @@
 	c.dispatch(now)
 }
 
-// RestartRamp tells that the backend server has just started: the cold-start ramp
-// begins again.
+// RestartRamp restarts the cold-start ramp at now, because the backend server
+// has just started.
 func (c *Controller) RestartRamp(now time.Time) {
-	c.lim.since = now
+	c.lim.rampStart = now
 }
 
-// Drain refuses every request offered from now on. Requests that are at work
-// or wait already run to their end.
+// Drain refuses every request offered from now on. Requests in progress or
+// waiting are completed.
 func (c *Controller) Drain() { c.draining = true }
 
-// SetBackendReachable tells whether the backend server can be reached. When it can't,
-// waiting requests are refused at once.
+// SetBackendReachable records whether the backend server can be reached. While
+// it can't, waiting and new requests are refused.
 func (c *Controller) SetBackendReachable(now time.Time, up bool) {
 	c.noBackend = !up
 	if up {
@@ -81,29 +81,30 @@
 		return
 	}
 	for len(c.queues) > 0 {
-		c.refuseWaiting(now, first(c.queues[0]), ReasonNoBackend)
+		c.refuseWaiting(now, firstWaiting(c.queues[0]), ReasonNoBackend)
 	}
 }
 
-// first returns the request of o that waits first, short ones before long.
-func first(o *owner) *flight {
+// firstWaiting returns the first waiting request of o, short ones before long
+// ones.
+func firstWaiting(o *owner) *flight {
 	if f := o.waiting[0].head; f != nil {
 		return f
 	}
 	return o.waiting[1].head
 }
 
-// Offer decides about a request that has just come.
+// Offer decides whether a new request is admitted, queued or refused.
 func (c *Controller) Offer(now time.Time, r Request) Decision {
 	o := c.owner(r.Owner)
-	isLong := long(r.Class)
-	if reason, wait := c.barred(now, &r, o, isLong); reason != 0 {
+	isLong := isLongClass(r.Class)
+	if reason, wait := c.rejectReason(now, &r, o, isLong); reason != 0 {
 		o.markIdle(now)
 		return Decision{Verdict: Refused, Refusal: c.refusal(now, reason, wait)}
 	}
 	f := c.newFlight(r, o, isLong)
 	if c.queued == 0 && c.startable(now, o, isLong) {
-		if c.late(now, f, 0) {
+		if c.missesDeadline(now, f, 0) {
 			return c.refuseNew(now, f, ReasonDeadline)
 		}
 		c.start(now, f)
@@ -112,9 +113,10 @@
 	return c.enqueue(now, f)
 }
 
-// barred returns why r can't even wait, or zero, and the time after which
-// that may have changed, if it is known.
-func (c *Controller) barred(now time.Time, r *Request, o *owner, isLong bool) (Reason, time.Duration) {
+// rejectReason returns the reason for which r is refused without being queued,
+// or zero, and the expected time until the reason no longer applies, 0 if
+// unknown.
+func (c *Controller) rejectReason(now time.Time, r *Request, o *owner, isLong bool) (Reason, time.Duration) {
 	if c.draining {
 		return ReasonDraining, 0
 	}
@@ -127,8 +129,8 @@
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 		return ReasonDeadline, 0
 	}
-	if isLong && !c.longRoom(o) {
-		return ReasonLimit, c.longWait()
+	if isLong && !c.mayAddLongFlow(o) {
+		return ReasonLimit, c.longFlowWait()
 	}
 	if wait := o.bucket.take(now, o.limits.Rate); wait > 0 {
 		return ReasonLimit, wait
@@ -139,11 +141,11 @@
 	return 0, 0
 }
 
-// Opened tells that a long flow's header came: it gives back its slot. For a
-// short request it does nothing.
+// Opened releases the slot of a long flow once the header of its answer has
+// arrived. For a short request it does nothing.
 func (c *Controller) Opened(now time.Time, id uint64) {
 	f := c.flights[id]
-	if f == nil || !f.long || f.state != atWork {
+	if f == nil || !f.long || f.state != running {
 		return
 	}
 	c.release(now, f, OK)
@@ -151,13 +153,13 @@
 	c.dispatch(now)
 }
 
-// Done tells that an admitted request ended. An unknown ID does nothing.
+// Done records the end of an admitted request. An unknown ID is ignored.
 func (c *Controller) Done(now time.Time, id uint64, r Result) {
 	f := c.flights[id]
 	if f == nil || f.state == waiting {
 		return
 	}
-	if f.state == atWork {
+	if f.state == running {
 		c.release(now, f, r.Outcome)
 	}
 	if f.long {
@@ -168,50 +170,50 @@
 	if r.Outcome == Shed {
 		c.shed(now, r.RetryAfter)
 	}
-	c.forget(now, f)
+	c.untrack(now, f)
 	c.dispatch(now)
 }
 
-// Cancel tells that the caller of a request went away. A waiting request is
-// dropped without an effect. A request at work keeps its slot until Done,
-// because the backend server may still be working on it. Cancel reports
-// whether the request was waiting, and so was not run.
+// Cancel records that the caller of a request went away. A waiting request is
+// dropped without an effect. A request in progress keeps its slot until Done,
+// because the backend server may still be processing it. Cancel reports whether
+// the request was waiting and therefore was not run.
 func (c *Controller) Cancel(now time.Time, id uint64) bool {
 	f := c.flights[id]
 	if f == nil || f.state != waiting {
 		return false
 	}
 	c.unqueue(f)
-	c.forget(now, f)
+	c.untrack(now, f)
 	return true
 }
 
-// Tick refuses waiting requests that can't meet their deadline any more and
-// starts those that a pause or a ramp held back. Call it every 10 to 100 ms
-// while requests wait, and every second otherwise.
+// Tick refuses waiting requests that can no longer meet their deadline and
+// starts requests that were delayed by a pause or a ramp. Call it every 10 to
+// 100 ms while requests wait, and every second otherwise.
 func (c *Controller) Tick(now time.Time) {
 	c.dispatch(now)
 	c.refuseLate(now)
 	c.dropIdle(now)
 }
 
-// Effects appends the decisions made since the last call to buf, and returns
-// the extended slice. Call it after each other method.
+// Effects appends the decisions on waiting requests since the last call to buf
+// and returns the extended slice. Call it after every call of another method.
 func (c *Controller) Effects(buf []Effect) []Effect {
 	buf = append(buf, c.effects...)
 	c.effects = c.effects[:0]
 	return buf
 }
 
-// Load is the controller's own count of what is open.
+// Load holds the current counts of a Controller.
 type Load struct {
 	Slots       int // requests that hold a slot
-	Limit       int // slots that may be held now
+	Limit       int // current limit of Slots
 	Queued      int // requests that wait
 	LongFlows   int // streams and downloads admitted and not done
 	Connections int // open connections
 	Draining    bool
-	ServiceTime time.Duration // mean time that a short request holds a slot
+	ServiceTime time.Duration // mean time for which a short request holds a slot
 }
 
 // Load returns the current counts.
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -13,6 +13,7 @@
 
 func request(id uint64, owner string) Request { return Request{ID: id, Owner: owner} }
 
+// want fails the test unless d has verdict v and reason r.
 func want(t *testing.T, d Decision, v Verdict, r Reason) {
 	t.Helper()
 	if d.Verdict != v || d.Refusal.Reason != r {
@@ -28,7 +29,7 @@
 	d := c.Offer(t0, request(4, "a"))
 	want(t, d, Refused, ReasonQueueFull)
 	if d.Refusal.RetryAfter <= 0 {
-		t.Fatalf("no come-back time in %v", d.Refusal)
+		t.Fatalf("no retry time in %v", d.Refusal)
 	}
 	c.Done(t0.Add(time.Millisecond), 1, Result{Outcome: OK})
 	got := c.Effects(nil)
@@ -61,10 +62,10 @@
 	want(t, c.Offer(t0, request(3, "a")), Refused, ReasonNoBackend)
 }
 
-// Symptom: a caller hears of its refusal only when its deadline is near.
-// Sequence: two requests wait; the first is at work for longer than expected.
-// Cause: the deadline is checked only when the request would start.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// Guards against checking the deadline only when a request would start: the
+// caller would be refused shortly before its deadline instead of as soon as the
+// requests ahead of it make the deadline unreachable.
+func TestRequestThatCannotMeetItsDeadlineIsRefusedAtOnce(t *testing.T) {
 	c := New(t0, Config{Slots: 1, ServiceTime: 100 * time.Millisecond})
 	c.Offer(t0, request(1, "a"))
 	c.Offer(t0, request(2, "a"))
@@ -81,9 +82,9 @@
 	}
 }
 
-// Symptom: after a slow phase every request with a deadline is refused for good.
-// Sequence: requests take 10 s, then callers come with 1 s deadlines.
-// Cause: the estimate says 10 s, nothing is started, so nothing corrects it.
+// Guards against a stale estimate that refuses every request forever: after a
+// slow phase with requests of 10 s, no request with a deadline of 1 s would
+// start, so no answer would correct the estimate.
 func TestStaleEstimateIsCorrected(t *testing.T) {
 	c := New(t0, Config{Slots: 1})
 	c.Offer(t0, request(1, "a"))
@@ -125,9 +126,8 @@
 	}
 }
 
-// Symptom: short requests wait while many feeds are opened at once.
-// Sequence: every feed of a backend server comes back after a restart.
-// Cause: opening feeds hold every slot.
+// Guards against opening feeds using every slot, as when all feeds of a backend
+// server reconnect after a restart: short requests would have to wait.
 func TestOpeningFeedsLeaveASlot(t *testing.T) {
 	c := New(t0, Config{Slots: 3})
 	for id := uint64(1); id <= 5; id++ {
@@ -155,8 +155,8 @@
 	want(t, open("modest"), Admitted, 0)
 }
 
-// answers lets n requests run one after the other, so that at least one more
-// waits all the time, and returns the time after them.
+// answers offers n requests with IDs from first on, completes them one after the
+// other while others are waiting, and returns the time of the last completion.
 func answers(c *Controller, now time.Time, first, n uint64) time.Time {
 	for id := first; id < first+n; id++ {
 		c.Offer(now, request(id, "a"))
@@ -168,9 +168,9 @@
 	return now
 }
 
-// Symptom: a backend server that carries 3 of 5 slots idles most of the time.
-// Sequence: it answers the fourth request with 503 and a come-back time.
-// Cause: the agent starts nothing until then, though three are at work.
+// Guards against a pause while requests are in progress: a backend server with a
+// capacity of 3 requests refuses the fourth with 503 and Retry-After. If the
+// agent started nothing until then, the server would be idle most of the time.
 func TestShedLowersLimitToWhatIsAtWork(t *testing.T) {
 	c := New(t0, Config{Slots: 5, Queue: 100})
 	for id := uint64(1); id <= 4; id++ {
@@ -185,17 +185,16 @@
 	}
 	now = answers(c, now, 10, 50)
 	if l := c.Load(now); l.Limit != 3 {
-		t.Fatalf("limit %d within the come-back time, want 3", l.Limit)
+		t.Fatalf("limit %d within the Retry-After time, want 3", l.Limit)
 	}
 	answers(c, now.Add(time.Second), 100, 50)
 	if l := c.Load(now); l.Limit != 5 {
-		t.Fatalf("limit %d after the come-back time, want 5", l.Limit)
+		t.Fatalf("limit %d after the Retry-After time, want 5", l.Limit)
 	}
 }
 
-// Symptom: a backend server that takes nothing is asked again and again.
-// Sequence: it answers its only request with 503 and a come-back time.
-// Cause: the agent goes on starting requests.
+// Guards against further requests to a backend server that has refused its only
+// request with 503 and Retry-After, and therefore accepts none.
 func TestShedOfAllPauses(t *testing.T) {
 	c := New(t0, Config{Slots: 4})
 	c.Offer(t0, request(1, "a"))
@@ -240,10 +239,10 @@
 		}
 	}
 	if r, ok := c.OpenConn(t0, "a"); ok || r.Reason != ReasonLimit {
-		t.Fatalf("ninth of one owner: %v %v", r, ok)
+		t.Fatalf("ninth connection of one owner: %v %v", r, ok)
 	}
 	if _, ok := c.OpenConn(t0, "b"); !ok {
-		t.Fatal("no room left for another owner")
+		t.Fatal("no connection left for another owner")
 	}
 }
 
@@ -255,9 +254,8 @@
 	}
 }
 
-// Symptom: more attempts than the backend servers can bear while all fail.
-// Sequence: every attempt fails and every caller's request is retried.
-// Cause: retries aren't bounded by what is offered.
+// Guards against retries that are not limited by the offered requests: while
+// every attempt fails, retries would overload the backend servers.
 func TestBudgetBoundsAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
@@ -271,7 +269,7 @@
 				attempts++
 			}
 			if float64(attempts) > 1.1*float64(offered) {
-				t.Fatalf("%d attempts of %d offered", attempts, offered)
+				t.Fatalf("%d attempts for %d offered requests", attempts, offered)
 			}
 		}
 	})
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// overloadDecrease is the factor of the limit when the backend server fails
-// or doesn't answer in time.
+// overloadDecrease is the factor by which the limit is lowered when the backend
+// server fails or doesn't answer in time.
 const overloadDecrease = 0.5
 
-// maxHold bounds the time without an increase after a 503.
+// maxHold is the longest time without an increase after a 503.
 const maxHold = 10 * time.Second
 
-// limiter adapts the number of requests at work to what the backend server
-// carries: additive increase on answers, multiplicative decrease on explicit
-// signs of overload.
+// limiter adapts the number of requests in progress to the capacity of the
+// backend server: additive increase on answers, multiplicative decrease on
+// failures and timeouts.
 type limiter struct {
-	max    int           // never above the entry's slots
-	warmup time.Duration // length of the cold-start ramp
-	since  time.Time     // when the ramp began
-	cur    float64       // 1 ≤ cur ≤ max
-	cutAt  time.Time     // time of the last decrease
+	max          int           // Config.Slots
+	warmup       time.Duration // length of the cold-start ramp
+	rampStart    time.Time     // beginning of the cold-start ramp
+	current      float64       // 1 ≤ current ≤ max
+	lastDecrease time.Time     // time of the last decrease
 
 	climb climber
 
-	holdUntil time.Time     // no increase before
-	hold      time.Duration // length of the last hold
+	holdUntil time.Time     // no increase before this time
+	lastHold  time.Duration // length of the last hold
 }
 
-// limit is the number of requests that may be at work at now.
+// limit returns the number of requests that may be in progress at now.
 func (l *limiter) limit(now time.Time) int {
-	n := min(int(l.cur), l.climb.limit())
+	n := min(int(l.current), l.climb.limit())
 	if l.warmup > 0 {
-		ramp := 1 + int(float64(l.max)*now.Sub(l.since).Seconds()/l.warmup.Seconds())
+		ramp := 1 + int(float64(l.max)*now.Sub(l.rampStart).Seconds()/l.warmup.Seconds())
 		n = min(n, ramp)
 	}
 	return max(1, min(n, l.max))
 }
 
-// increase takes an answer into account: the limit grows by one with each
-// round of answers at the full limit.
+// increase raises the limit after an answer, by one per round of answers at the
+// full limit.
 func (l *limiter) increase(now time.Time) {
 	if now.Before(l.holdUntil) {
 		return
 	}
-	l.cur = math.Min(float64(l.max), l.cur+1/l.cur)
+	l.current = math.Min(float64(l.max), l.current+1/l.current)
 }
 
-// shed takes into account that the backend server refused one request more
-// than the others that are at work: so many it carries. The limit isn't raised
-// for a while, which doubles each time, so that a steady bound of the backend
-// server is seldom tried again.
+// shed lowers the limit to others, the number of requests in progress when the
+// backend server refused one more. The limit is not raised again for at least d;
+// this hold doubles each time, up to maxHold, so that a constant limit of the
+// backend server is rarely exceeded.
 func (l *limiter) shed(now time.Time, others int, d time.Duration) {
-	l.cur = math.Max(1, math.Min(l.cur, float64(others)))
+	l.current = math.Max(1, math.Min(l.current, float64(others)))
 	if now.Before(l.holdUntil) {
 		return
 	}
 	if now.Sub(l.holdUntil) > maxHold {
-		l.hold = 0
+		l.lastHold = 0
 	}
-	l.hold = min(max(d, 2*l.hold), maxHold)
-	l.holdUntil = now.Add(l.hold)
+	l.lastHold = min(max(d, 2*l.lastHold), maxHold)
+	l.holdUntil = now.Add(l.lastHold)
 }
 
-// decrease lowers the limit for an answer to a request that started at
-// started. Requests that were at work together tell of one overload, not of
-// many: an answer to one from before the last decrease lowers nothing.
+// decrease lowers the limit after the failure of a request that began at
+// started. Requests that were in progress at the same time indicate a single
+// overload, so the failure of a request that began before the last decrease has
+// no effect.
 func (l *limiter) decrease(now, started time.Time) {
-	if started.Before(l.cutAt) {
+	if started.Before(l.lastDecrease) {
 		return
 	}
-	l.cutAt = now
-	l.cur = math.Max(1, l.cur*overloadDecrease)
+	l.lastDecrease = now
+	l.current = math.Max(1, l.current*overloadDecrease)
 }
--- a/admission/owner.go
+++ b/admission/owner.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// flightState is where a request stands.
+// flightState is the state of a request.
 type flightState uint8
 
 const (
 	waiting flightState = iota
-	atWork              // holds a slot
-	opened              // a long flow after its header; holds no slot
+	running             // holds a slot
+	opened              // a long flow whose header has arrived; holds no slot
 )
 
-// flight is one request that isn't done. Waiting flights form a list.
+// flight is a request that is waiting or in progress. Waiting flights form a
+// list.
 type flight struct {
 	req        Request
 	owner      *owner
@@ -22,7 +23,7 @@
 	prev, next *flight
 }
 
-// queue is a list of waiting flights in order of arrival.
+// queue is a linked list of waiting flights in order of arrival.
 type queue struct {
 	head, tail *flight
 	n          int
@@ -54,30 +55,32 @@
 	q.n--
 }
 
-// owner is what the controller keeps for one owner of requests.
+// owner is the state of one owner of requests.
 type owner struct {
-	name    string
-	limits  OwnerLimits
-	waiting [2]queue // short, long
-	slots   int      // slots held
-	long    int      // long flows admitted and not done
-	conns   int      // open connections
-	served  float64  // weighted slot time used, in seconds: start-time fair queueing's virtual time
-	bucket  bucket
-	idle    time.Time // since when nothing is open; zero while something is
+	name      string
+	limits    OwnerLimits
+	waiting   [2]queue // short, long
+	slots     int      // slots in use
+	long      int      // long flows admitted and not done
+	conns     int      // open connections
+	vtime     float64  // virtual time of start-time fair queueing: weighted slot time used, in seconds
+	bucket    bucket
+	idleSince time.Time // time from which the owner has had no requests or connections; zero while it has some
 }
 
-func kind(long bool) int {
+// classIndex returns the index of owner.waiting and Controller.service: 0 for
+// short requests, 1 for long flows.
+func classIndex(long bool) int {
 	if long {
 		return 1
 	}
 	return 0
 }
 
-// queued counts the owner's waiting requests.
+// queued returns the number of the owner's waiting requests.
 func (o *owner) queued() int { return o.waiting[0].n + o.waiting[1].n }
 
-// weight is the owner's share against that of other owners.
+// weight returns the owner's weight in the sharing of slots, 1 by default.
 func (o *owner) weight() float64 {
 	if o.limits.Weight > 0 {
 		return o.limits.Weight
@@ -85,18 +88,19 @@
 	return 1
 }
 
-// charge adds slot time d, which may be negative, to what o has used.
+// charge adds slot time d, which may be negative, to the owner's virtual time.
 func (o *owner) charge(d time.Duration) {
-	o.served += d.Seconds() / o.weight()
+	o.vtime += d.Seconds() / o.weight()
 }
 
-// bucket is a token bucket that holds at most one second's worth of tokens.
+// bucket is a token bucket that holds the tokens of at most one second.
 type bucket struct {
 	tokens float64
 	last   time.Time
 }
 
-// take removes a token. Without one it returns the time until there is one.
+// take removes a token and returns 0, or returns the time until the next token
+// if there is none. rate is in tokens per second; 0 is no limit.
 func (b *bucket) take(now time.Time, rate int) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -10,46 +10,49 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the generated tests, so that the verdict is the
-// same in every run. -rapid.seed on the command line goes before it.
+// TestMain sets a fixed seed for the property tests, so that every run gives the
+// same result. A -rapid.seed flag on the command line overrides it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// tracker follows a controller and checks each of its decisions.
+// tracker drives a controller with random calls and checks its decisions against
+// the requests that should be waiting, running and open.
 type tracker struct {
-	t       *rapid.T
-	c       *Controller
-	now     time.Time
-	cfg     Config
-	next    uint64
-	waiting map[uint64]Request
-	running map[uint64]Request
-	open    map[uint64]Request
-	drained bool
+	t        *rapid.T
+	c        *Controller
+	now      time.Time
+	cfg      Config
+	next     uint64
+	waiting  map[uint64]Request
+	running  map[uint64]Request
+	open     map[uint64]Request
+	draining bool
 }
 
+// effects applies the controller's effects and compares its counts with those of
+// the tracker.
 func (k *tracker) effects() {
 	for _, e := range k.c.Effects(nil) {
 		r, ok := k.waiting[e.ID]
 		if !ok {
-			k.t.Fatalf("effect %+v on a request that doesn't wait", e)
+			k.t.Fatalf("effect %+v on a request that is not waiting", e)
 		}
 		delete(k.waiting, e.ID)
 		if e.Kind == Start {
 			k.start(r)
 		} else if e.Refusal.Reason == 0 || e.Refusal.RetryAfter < 0 {
-			k.t.Fatalf("refusal without reason or time: %+v", e)
+			k.t.Fatalf("refusal without a reason or retry time: %+v", e)
 		}
 	}
 	l := k.c.Load(k.now)
 	if l.Slots != len(k.running) || l.Queued != len(k.waiting) {
-		k.t.Fatalf("load %+v, but %d run and %d wait", l, len(k.running), len(k.waiting))
+		k.t.Fatalf("load %+v, but %d requests are running and %d waiting", l, len(k.running), len(k.waiting))
 	}
 	if l.Queued > k.cfg.Queue || l.LongFlows > k.cfg.LongFlows {
-		k.t.Fatalf("load %+v above its bounds", l)
+		k.t.Fatalf("load %+v exceeds the limits", l)
 	}
 }
 
@@ -59,7 +62,7 @@
 	}
 	k.running[r.ID] = r
 	if len(k.running) > k.cfg.Slots {
-		k.t.Fatalf("%d requests hold %d slots", len(k.running), k.cfg.Slots)
+		k.t.Fatalf("%d requests are running on %d slots", len(k.running), k.cfg.Slots)
 	}
 }
 
@@ -71,7 +74,7 @@
 		r.Deadline = k.now.Add(time.Duration(d) * time.Millisecond)
 	}
 	d := k.c.Offer(k.now, r)
-	if k.drained && d.Refusal.Reason != ReasonDraining {
+	if k.draining && d.Refusal.Reason != ReasonDraining {
 		k.t.Fatalf("%+v while draining", d)
 	}
 	switch d.Verdict {
@@ -82,6 +85,8 @@
 	}
 }
 
+// pickID draws a request ID from the keys of from; IDs are at most upTo. It
+// returns false if from is empty.
 func pickID(t *rapid.T, from map[uint64]Request, upTo uint64) (uint64, bool) {
 	if len(from) == 0 {
 		return 0, false
@@ -94,17 +99,18 @@
 	}
 }
 
+// done ends a random request of from with a random outcome.
 func (k *tracker) done(from map[uint64]Request) {
 	id, ok := pickID(k.t, from, k.next)
 	if !ok {
 		return
 	}
 	delete(from, id)
-	out := Outcome(rapid.IntRange(int(OK), int(Canceled)).Draw(k.t, "outcome"))
-	for waits := range k.waiting {
-		k.c.Done(k.now, waits, Result{Outcome: out}) // not at work: does nothing
+	outcome := Outcome(rapid.IntRange(int(OK), int(Canceled)).Draw(k.t, "outcome"))
+	for waitingID := range k.waiting {
+		k.c.Done(k.now, waitingID, Result{Outcome: outcome}) // ignored, as the request is not running
 	}
-	k.c.Done(k.now, id, Result{Outcome: out})
+	k.c.Done(k.now, id, Result{Outcome: outcome})
 	k.effects()
 }
 
@@ -115,7 +121,7 @@
 	case 4, 5:
 		k.done(k.running)
 	case 6:
-		if id, ok := pickID(k.t, k.running, k.next); ok && long(k.running[id].Class) {
+		if id, ok := pickID(k.t, k.running, k.next); ok && isLongClass(k.running[id].Class) {
 			k.open[id] = k.running[id]
 			delete(k.running, id)
 			k.c.Opened(k.now, id)
@@ -134,9 +140,9 @@
 	k.effects()
 }
 
-// Every request is either refused and never started, or started once, within
-// the slots and before its deadline; and what waits is started or refused in
-// the end.
+// Every request is either refused and never started, or started exactly once,
+// within the slots and before its deadline. Every waiting request is eventually
+// started or refused.
 func TestEveryRequestIsStartedOrRefusedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -153,12 +159,12 @@
 			k.step()
 		}
 		k.c.Drain()
-		k.drained = true
+		k.draining = true
 		k.offer()
 		for range 10_000 {
 			if len(k.waiting)+len(k.running)+len(k.open) == 0 {
 				if n := len(k.c.flights); n > 0 {
-					t.Fatalf("%d requests remembered for good", n)
+					t.Fatalf("%d finished requests are still tracked", n)
 				}
 				return
 			}
@@ -168,6 +174,6 @@
 			k.c.Tick(k.now)
 			k.effects()
 		}
-		t.Fatalf("%d still wait after draining", len(k.waiting))
+		t.Fatalf("%d requests are still waiting after draining", len(k.waiting))
 	})
 }
--- a/admission/schedule.go
+++ b/admission/schedule.go
@@ -3,27 +3,30 @@
 import "time"
 
 const (
-	// shareFactor bounds what one owner may hold of a bound whose places are
-	// held for long: shareFactor times what is still free. A lone owner gets
-	// 8/9 of the places, and another owner always finds some.
+	// shareFactor limits one owner's use of connections and long flows, which
+	// are held for a long time, to shareFactor times the number that is free. A
+	// single owner can use 8/9 of them, and some are always left for another
+	// owner.
 	shareFactor = 8
-	// idleOwner is how long an owner without open requests is remembered.
-	idleOwner = time.Minute
-	// defaultPause is how long nothing is started after the backend server
-	// shed without saying for how long.
+	// idleOwnerTTL is how long the state of an owner without requests and
+	// connections is kept.
+	idleOwnerTTL = time.Minute
+	// defaultPause is the pause after a 503 or 429 of the backend server
+	// without a Retry-After.
 	defaultPause = 100 * time.Millisecond
-	// maxPause bounds the pause that a backend server may ask for: its signal
-	// may be wrong, and without a request one never learns.
+	// maxPause is the longest pause that a backend server can request. Its
+	// signal may be wrong, which only another request can show.
 	maxPause = 5 * time.Second
 )
 
+// owner returns the state of the named owner, creating it if necessary.
 func (c *Controller) owner(name string) *owner {
 	o := c.owners[name]
 	if o == nil {
-		o = &owner{name: name, limits: c.cfg.Owners[name], served: c.vtime}
+		o = &owner{name: name, limits: c.cfg.Owners[name], vtime: c.vtime}
 		c.owners[name] = o
 	}
-	o.idle = time.Time{}
+	o.idleSince = time.Time{}
 	return o
 }
 
@@ -38,8 +41,8 @@
 	return f
 }
 
-// forget drops f, which neither waits nor holds a slot.
-func (c *Controller) forget(now time.Time, f *flight) {
+// untrack removes f, which neither waits nor holds a slot.
+func (c *Controller) untrack(now time.Time, f *flight) {
 	delete(c.flights, f.req.ID)
 	o := f.owner
 	*f = flight{next: c.free}
@@ -47,41 +50,42 @@
 	o.markIdle(now)
 }
 
-// markIdle notes since when o has nothing open.
+// markIdle records now as the beginning of o's idle time if o has no requests
+// and no connections.
 func (o *owner) markIdle(now time.Time) {
 	if o.slots == 0 && o.long == 0 && o.conns == 0 && o.queued() == 0 {
-		o.idle = now
+		o.idleSince = now
 	}
 }
 
-// dropIdle forgets owners that have had nothing open for long.
+// dropIdle removes owners that have been idle for longer than idleOwnerTTL.
 func (c *Controller) dropIdle(now time.Time) {
 	for name, o := range c.owners {
-		if !o.idle.IsZero() && now.Sub(o.idle) > idleOwner {
+		if !o.idleSince.IsZero() && now.Sub(o.idleSince) > idleOwnerTTL {
 			delete(c.owners, name)
 		}
 	}
 }
 
-// longRoom reports whether o may have one more long flow. A waiting one has
-// its place already: it waits for a slot only, never for another flow's end,
-// of which nobody knows when it comes.
-func (c *Controller) longRoom(o *owner) bool {
-	mine := o.long + o.waiting[1].n
-	if o.limits.LongFlows > 0 && mine >= o.limits.LongFlows {
+// mayAddLongFlow reports whether o may have one more long flow. Waiting long
+// flows are counted as well, so that a queued flow only waits for a slot and
+// never for the end of another long flow, which can't be predicted.
+func (c *Controller) mayAddLongFlow(o *owner) bool {
+	own := o.long + o.waiting[1].n
+	if o.limits.LongFlows > 0 && own >= o.limits.LongFlows {
 		return false
 	}
 	left := c.cfg.LongFlows - c.long - c.longWaiting
-	return left > 0 && mine < shareFactor*left
+	return left > 0 && own < shareFactor*left
 }
 
-// maxOpening bounds the slots held by opening long flows, so that short
-// requests always find one.
+// maxOpening returns the maximum number of slots for opening long flows. It
+// leaves one slot to short requests if limit is above 1.
 func (c *Controller) maxOpening(limit int) int {
 	return max(1, limit-1)
 }
 
-// startable reports whether a request of o could take a slot now.
+// startable reports whether a request of o may start now.
 func (c *Controller) startable(now time.Time, o *owner, isLong bool) bool {
 	limit := c.lim.limit(now)
 	if c.slots >= limit || now.Before(c.pauseUntil) || c.noBackend {
@@ -93,14 +97,14 @@
 	return !isLong || c.opening < c.maxOpening(limit)
 }
 
-// start gives f a slot.
+// start assigns a slot to f and charges its owner the expected slot time.
 func (c *Controller) start(now time.Time, f *flight) {
 	o := f.owner
-	f.state = atWork
+	f.state = running
 	f.started = now
 	f.charged = c.serviceTime(f.long)
-	o.served = max(o.served, c.vtime)
-	c.vtime = o.served
+	o.vtime = max(o.vtime, c.vtime)
+	c.vtime = o.vtime
 	o.charge(f.charged)
 	o.slots++
 	c.slots++
@@ -112,39 +116,41 @@
 	c.flights[f.req.ID] = f
 }
 
-// release gives back the slot of f and learns from the time it was held.
-func (c *Controller) release(now time.Time, f *flight, out Outcome) {
+// release frees the slot of f and updates the estimates and the limit by the
+// outcome and the time for which the slot was held.
+func (c *Controller) release(now time.Time, f *flight, outcome Outcome) {
 	o := f.owner
-	held := now.Sub(f.started)
+	slotTime := now.Sub(f.started)
 	busy := c.slots >= c.lim.limit(now)
-	o.charge(held - f.charged)
+	o.charge(slotTime - f.charged)
 	o.slots--
 	c.slots--
 	if f.long {
 		c.opening--
 	}
-	switch out {
+	switch outcome {
 	case OK:
-		c.service[kind(f.long)].add(held)
-		if busy { // a limit that isn't in use says nothing about a higher one
+		c.service[classIndex(f.long)].add(slotTime)
+		if busy { // below the limit, an answer is no evidence that a higher limit works
 			c.lim.increase(now)
 		}
 		if busy && c.queued > 0 {
-			c.lim.climb.answer(now)
+			c.lim.climb.recordAnswer(now)
 		} else {
-			c.lim.climb.idle()
+			c.lim.climb.discardEpoch()
 		}
 	case TimedOut:
-		c.service[kind(f.long)].add(held)
+		c.service[classIndex(f.long)].add(slotTime)
 		c.lim.decrease(now, f.started)
 	case Failed:
 		c.lim.decrease(now, f.started)
 	}
 }
 
-// shed takes into account that the backend server refused a request. While
-// it works on others it carries those. If there are none it takes nothing at
-// all, and nothing is started until it said, or for a default.
+// shed handles a request that the backend server refused. If other requests are
+// in progress, their number becomes the limit. If there are none, the backend
+// server accepts nothing, and no request is started for the time d that it asked
+// for, or for defaultPause.
 func (c *Controller) shed(now time.Time, d time.Duration) {
 	if d <= 0 {
 		d = defaultPause
@@ -158,14 +164,14 @@
 	}
 }
 
-// dispatch starts waiting requests while there are slots.
+// dispatch starts waiting requests while slots are free.
 func (c *Controller) dispatch(now time.Time) {
 	for c.queued > 0 {
 		f := c.pick(now)
 		if f == nil {
 			return
 		}
-		if c.late(now, f, 0) {
+		if c.missesDeadline(now, f, 0) {
 			c.refuseWaiting(now, f, ReasonDeadline)
 			continue
 		}
@@ -175,12 +181,12 @@
 	}
 }
 
-// pick returns the request to start next: that of the owner which used the
-// least slot time by weight, among those that may start.
+// pick returns the request to start next, or nil: among the owners with a
+// request that may start, that of the owner with the lowest virtual time.
 func (c *Controller) pick(now time.Time) *flight {
 	var best *flight
 	for _, o := range c.queues {
-		if best != nil && o.served >= best.owner.served {
+		if best != nil && o.vtime >= best.owner.vtime {
 			continue
 		}
 		if f := c.candidate(now, o); f != nil {
@@ -190,8 +196,8 @@
 	return best
 }
 
-// candidate returns the waiting request of o that may start now and came
-// first in its kind, short ones before long ones.
+// candidate returns the first waiting request of o that may start now, or nil.
+// Short requests come before long flows.
 func (c *Controller) candidate(now time.Time, o *owner) *flight {
 	for k := range o.waiting {
 		f := o.waiting[k].head
@@ -202,7 +208,7 @@
 	return nil
 }
 
-// serviceTime is the expected time that a slot is held.
+// serviceTime returns the expected time for which a slot is held.
 func (c *Controller) serviceTime(isLong bool) time.Duration {
-	return c.service[kind(isLong)].or(c.cfg.ServiceTime)
+	return c.service[classIndex(isLong)].meanOr(c.cfg.ServiceTime)
 }
--- a/admission/types.go
+++ b/admission/types.go
@@ -8,28 +8,28 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// Request is what a caller asks for.
+// Request is a request of a caller.
 type Request struct {
 	ID         uint64          // unique among the requests that are not done
-	Owner      string          // who is charged for it; fairness is between owners
+	Owner      string          // charged for the slot time; slots are shared fairly between owners
 	Class      catalogue.Class // empty means ClassInteractive
 	Deadline   time.Time       // when the caller stops waiting; zero means never
-	Idempotent bool            // whether Budget.Retry may grant another attempt
+	Idempotent bool            // whether Budget.Retry may allow another attempt
 }
 
-// long reports whether requests of class c hold the backend server for long.
-func long(c catalogue.Class) bool {
+// isLongClass reports whether requests of class c are long flows.
+func isLongClass(c catalogue.Class) bool {
 	return c == catalogue.ClassStream || c == catalogue.ClassDownload
 }
 
-// Verdict says what became of an offered request.
+// Verdict is the decision on an offered request.
 type Verdict uint8
 
 // The verdicts of Offer.
 const (
-	Admitted Verdict = iota + 1 // start it now
-	Queued                      // an Effect will start or refuse it
-	Refused                     // not run; answer the caller now
+	Admitted Verdict = iota + 1 // start the request now
+	Queued                      // a later Effect starts or refuses the request
+	Refused                     // the request is not run; answer the caller now
 )
 
 func (v Verdict) String() string {
@@ -44,24 +44,24 @@
 	return "unknown"
 }
 
-// Decision is the answer to Offer. Refusal is set if Verdict is Refused.
+// Decision is the result of Offer. Refusal is set if Verdict is Refused.
 type Decision struct {
 	Verdict Verdict
 	Refusal Refusal
 }
 
-// Reason says why a request was refused.
+// Reason is the reason of a refusal.
 type Reason uint8
 
 // The reasons of a refusal.
 const (
-	ReasonLimit     Reason = iota + 1 // a limit of the entry or of its owner is reached
-	ReasonQueueFull                   // no place left to wait for a slot
-	ReasonDeadline                    // it can't end before its deadline
-	ReasonDraining                    // the agent is stopping
-	ReasonShed                        // the backend server asked for less work
+	ReasonLimit     Reason = iota + 1 // a limit of the entry or of the request's owner is reached
+	ReasonQueueFull                   // the queue is full
+	ReasonDeadline                    // the request can't end before its deadline
+	ReasonDraining                    // the agent is draining
+	ReasonShed                        // the backend server is shedding load
 	ReasonNoBackend                   // the backend server can't be reached
-	ReasonDuplicate                   // the request ID is in use (a fault of the adapter)
+	ReasonDuplicate                   // the request ID is in use, a fault of the code that calls Offer
 )
 
 func (r Reason) String() string {
@@ -84,7 +84,7 @@
 	return "unknown"
 }
 
-// remedy names what the caller or operator can do about r.
+// remedy returns what the caller or the operator can do about r.
 func (r Reason) remedy() string {
 	switch r {
 	case ReasonLimit:
@@ -102,20 +102,20 @@
 // Refusal is the error of a request that was not run.
 type Refusal struct {
 	Reason     Reason
-	RetryAfter time.Duration // when to come back, counted from the refusal
+	RetryAfter time.Duration // time from the refusal after which to retry
 }
 
 func (r Refusal) Error() string {
 	return fmt.Sprintf("request not run: %s; %s (after %s)", r.Reason, r.Reason.remedy(), r.RetryAfter)
 }
 
-// Seconds is RetryAfter for the HTTP header of that name, which holds whole
-// seconds: rounded up, at least 1.
+// Seconds returns RetryAfter for the HTTP header Retry-After, in whole seconds:
+// rounded up, at least 1.
 func (r Refusal) Seconds() int {
 	return max(1, int(math.Ceil(r.RetryAfter.Seconds())))
 }
 
-// EffectKind says what an Effect asks for.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 // The kinds of effects.
@@ -124,27 +124,27 @@
 	Refuse                       // refuse the queued request; it was not run
 )
 
-// Effect is a decision about a request that was Queued before.
+// Effect is a decision on a request that was Queued.
 type Effect struct {
 	Kind    EffectKind
 	ID      uint64
 	Refusal Refusal // set if Kind is Refuse
 }
 
-// Outcome says how an admitted request ended.
+// Outcome is how an admitted request ended.
 type Outcome uint8
 
 // The outcomes that Done takes.
 const (
-	OK       Outcome = iota + 1 // the backend server answered, also with an error of the request
-	Failed                      // the connection failed or broke
+	OK       Outcome = iota + 1 // the backend server answered, possibly with an error caused by the request
+	Failed                      // the connection to the backend server failed
 	Shed                        // the backend server answered 503 or 429
 	TimedOut                    // the deadline passed before the answer
 	Canceled                    // the caller went away
 )
 
-// Result is how an admitted request ended.
+// Result is the argument of Done: the outcome of an admitted request.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // what the backend server asked for with Shed; zero if nothing
+	RetryAfter time.Duration // Retry-After of the backend server's answer if Outcome is Shed; 0 if absent
 }
