--- a/catalogue/lab/exchange.go
+++ b/catalogue/lab/exchange.go
@@ -119,7 +119,7 @@
 			})
 		})
 	}
-	if peer, ok := x.Nodes[i].NeedsBulk(); ok {
+	if peer, ok := x.Nodes[i].BulkSource(); ok {
 		x.bulk(NodeIndex(peer), i)
 	}
 }
--- a/catalogue/property_test.go
+++ b/catalogue/property_test.go
@@ -165,7 +165,7 @@
 }
 
 func (w *world) bulk(i int) {
-	peer, ok := w.nodes[i].NeedsBulk()
+	peer, ok := w.nodes[i].BulkSource()
 	if !ok {
 		return
 	}
@@ -236,7 +236,7 @@
 		for _, l := range bag {
 			to := nodeIndex(l.p.To)
 			w.nodes[to].Receive(w.now, nodeAddr(l.from), l.p.Message)
-			if peer, ok := w.nodes[to].NeedsBulk(); ok {
+			if peer, ok := w.nodes[to].BulkSource(); ok {
 				_ = w.nodes[to].ReceiveBulk(w.now, peer, w.nodes[nodeIndex(peer)].Bulk(w.nodes[to].Digest()))
 			}
 		}
--- a/catalogue/replica_bulk.go
+++ b/catalogue/replica_bulk.go
@@ -28,10 +28,10 @@
 	r.bulkEnd = now.Add(bulkPatience)
 }
 
-// NeedsBulk returns the peer to load a Bulk from, once for each need. The
+// BulkSource returns the peer to load a Bulk from, once for each need. The
 // caller sends that peer this replica's Digest over a stream, and gives what
 // comes back to ReceiveBulk.
-func (r *Replica) NeedsBulk() (netip.AddrPort, bool) {
+func (r *Replica) BulkSource() (netip.AddrPort, bool) {
 	peer := r.bulk
 	r.bulk = netip.AddrPort{}
 	return peer, peer.IsValid()
--- a/internal/balancer/spread.go
+++ b/internal/balancer/spread.go
@@ -94,7 +94,7 @@
 
 // fetchBulk starts the transfers that the state machines ask for.
 func (d *duty) fetchBulk(ctx context.Context) {
-	if peer, ok := d.replica.NeedsBulk(); ok {
+	if peer, ok := d.replica.BulkSource(); ok {
 		request, err := cbor.Marshal(d.replica.Digest())
 		if err == nil {
 			go d.fetch(ctx, bulkAnswer{from: peer, kind: bulk.KindCatalogue}, request)
