--- a/flow/freelist.go
+++ b/flow/freelist.go
@@ -1,9 +1,9 @@
 package flow
 
-// freeLists keeps what ended flows leave behind, so that the first packet of the
-// next one allocates nothing: under a flood of first packets or of packets of
-// unknown flows the collector would else take a small VM's processor. What it
-// holds is bounded by the flows that were ever remembered at once.
+// freeLists keeps the objects of removed flows for reuse, so that the first packet of a
+// flow allocates no memory. Otherwise, under a flood of first packets or of packets of
+// unknown flows, garbage collection would use up the processor of a small VM. The lists
+// are bounded by the highest number of flows that were in the table at once.
 type freeLists struct {
 	entries  []*entry
 	openings []*opening
@@ -11,7 +11,7 @@
 	returns  []*returning
 }
 
-// take returns the last of a list, or a new one.
+// take removes and returns the last object of a list, or a new one if the list is empty.
 func take[T any](list *[]*T) *T {
 	n := len(*list)
 	if n == 0 {
@@ -34,16 +34,15 @@
 	return o
 }
 
-// seek returns a seek with the memory of an earlier one.
+// seek returns a lookup that reuses the slices of an earlier one.
 func (p *freeLists) seek() *seek {
 	k := take(&p.seeks)
 	*k = seek{asked: k.asked[:0], packet: k.packet[:0], kept: k.kept[:0]}
 	return k
 }
 
-// release takes back what belongs to an entry beside its place. Effects of the
-// running call may still refer to it; nothing is taken out again before the next
-// call.
+// release returns the objects that an entry refers to to the lists. Effects of the current
+// call may still refer to them; they are not reused before the next call.
 func (p *freeLists) release(e *entry) {
 	if e.open != nil {
 		p.openings = append(p.openings, e.open)
@@ -61,7 +60,7 @@
 	}
 }
 
-// releaseAll takes an entry back whole.
+// releaseAll returns an entry and the objects that it refers to to the lists.
 func (p *freeLists) releaseAll(e *entry) {
 	p.release(e)
 	p.entries = append(p.entries, e)
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -8,117 +8,121 @@
 )
 
 const (
-	// subscriptionTTL is how long an agent goes on reporting to a balancer that it
-	// has not heard from: four greetings at their longest interval, and above the
-	// time in which a killed balancer is back.
+	// subscriptionTTL is how long an agent reports to a balancer after the last message
+	// received from it: four hello messages at their longest interval, and longer than a
+	// killed balancer takes to restart.
 	subscriptionTTL = 15 * time.Second
-	// maxBalancers bounds the balancers reported to.
+	// maxBalancers is the highest number of balancers that an agent reports to.
 	maxBalancers = 256
-	// ackSlack is how far beyond what the server was seen to send a caller may
-	// acknowledge: the bits that open and close a flow count as bytes.
+	// ackSlack is the number of bytes by which a caller's acknowledgement may exceed the
+	// data seen from the server: SYN and FIN each count as a byte.
 	ackSlack = 4
-	// urgentPriority is the last priority that counts as urgent.
+	// urgentPriority is the highest priority number that counts as urgent; 0 is the most
+	// urgent.
 	urgentPriority = 1
-	// justStartedSequence is the highest sequence number of the first heartbeat that
-	// shows that a server has just started. Between its first and its second
-	// one another agent process may have passed flows on.
+	// justStartedSequence is the highest sequence number of a first received heartbeat
+	// that shows that the server has just started. It is below 2 because an earlier agent
+	// process may have forwarded flows between the server's first and second heartbeat.
 	justStartedSequence = 1
-	// recentlyStartedSequence is the highest sequence number of the first heartbeat that an
-	// agent takes from a server that has just started: while its agent starts as
-	// well, the server's first two or three go unanswered. A server whose heartbeats
-	// were answered passes it within three seconds. If all processes of a fleet start
-	// anew in that time, its flows may be taken for gone.
+	// recentlyStartedSequence is the highest sequence number of a first received heartbeat
+	// that counts as one of a recently started server: while its agent starts too, the
+	// server's first two or three heartbeats go unanswered. A server whose heartbeats were
+	// answered exceeds it within three seconds. If all processes of a fleet restart within
+	// that time, flows that the server holds may be recorded as lost.
 	recentlyStartedSequence = 4
-	// recentlyStartedAge is the age of an agent's process from which a first heartbeat does
-	// not tell that both have just started.
+	// recentlyStartedAge is the age of the agent process above which a first heartbeat no
+	// longer shows that the agent and its server have started together.
 	recentlyStartedAge = 2 * time.Second
-	// confirmTimeout is how long a flow that the server has answered counts as a
-	// request to come: several exchanges with the farthest callers. A caller
-	// that has given up meanwhile never confirms; counted for longer, its flows
-	// would take all the room there is.
+	// confirmTimeout is how long a flow that the server has answered counts as a request
+	// in progress: several round trips to the farthest callers. A caller that has given
+	// up never confirms its flow; if such flows counted for longer, they would use up the
+	// server's capacity.
 	confirmTimeout = 30 * time.Millisecond
-	// minAnswerTimeCount is the number of answers from which their mean time says what
-	// is normal.
+	// minAnswerTimeCount is the number of answers after which their mean time is used to
+	// recognize implausibly fast ones.
 	minAnswerTimeCount = 32
-	// answerTimeWeight is the weight of one answer in that mean.
+	// answerTimeWeight is the weight of one answer in the moving average of answer times.
 	answerTimeWeight = 1.0 / 64
-	// fastAnswerWeight is how much less a hasty answer counts in it.
+	// fastAnswerWeight is the factor on answerTimeWeight for an implausibly fast answer.
 	fastAnswerWeight = 0.25
-	// fastAnswerDivisor is the part of the normal time below which an answer counts as
-	// a failure.
+	// fastAnswerDivisor is the divisor of the mean answer time below whose quotient an
+	// answer is implausibly fast and counts as a failure.
 	fastAnswerDivisor = 6
-	// minMeanAnswerTime is the least normal time that hasty answers can be told from.
+	// minMeanAnswerTime is the lowest mean answer time at which implausibly fast answers
+	// can be recognized.
 	minMeanAnswerTime = 4 * time.Millisecond
-	// closedLinger is how long a flow is remembered after both ends closed it:
-	// an end whose last packet was lost repeats it.
+	// closedLinger is how long a flow stays in the table after both ends have closed it:
+	// an end whose last packet was lost sends it again.
 	closedLinger = 4 * time.Second
-	// coldSlowdown is how much slower a server counts while it is cold.
+	// coldSlowdown is the factor by which a cold server's requests in progress are raised
+	// in the reported load, because it works more slowly.
 	coldSlowdown = 1.6
-	// defaultMaxConnections is assumed of a server whose limit is not known.
+	// defaultMaxConnections is the connection limit assumed for a server whose limit is
+	// not known.
 	defaultMaxConnections = 2000
 )
 
 // Heartbeat is one heartbeat of the backend server.
 type Heartbeat struct {
-	Instance string // identity of the server; it may keep it when it starts anew
-	// StartTimeMs tells one start of the server from another under the same identity: the
-	// time of day of the start by the server's own clock, in Unix milliseconds. It
-	// is compared with nothing else. 0 if the server does not tell.
+	Instance string // identity of the server; a restarted server may keep it
+	// StartTimeMs distinguishes starts of a server under the same identity: the time of
+	// day of the start by the server's own clock, in Unix milliseconds. It is compared
+	// only with other start times of the same server. 0 if the heartbeat does not give it.
 	StartTimeMs int64
-	Addr        netip.AddrPort // where it takes packets
+	Addr        netip.AddrPort // at which the server receives packets
 	Sequence    uint64         // increases with each heartbeat of one start
 	Service     ServiceID
 	Draining    bool
-	Slots       int           // requests that the server works on at once
-	ColdFor     time.Duration // how much longer the server is slow after its start
+	Slots       int           // requests that the server processes at once
+	ColdFor     time.Duration // how much longer the server is cold (slow after its start)
 }
 
-// GateStats counts what a Gate did. All but the gauges only grow.
+// GateStats holds the counters of a Gate. All fields but the gauges are cumulative.
 type GateStats struct {
 	Flows, Requests, Balancers int // gauges
 	Offered, Taken             uint64
 	Refusals                   [Reasons]uint64
 	NotHeld, Lost              uint64
-	ImplausiblyFast            uint64 // answers too quick to be work
+	ImplausiblyFast            uint64 // answers too fast for a processed request
 	ToServer, ToCaller         uint64 // packets
 	Heartbeats, OldHeartbeats  uint64
-	Dropped                    uint64 // packets without a place in a bounded table
+	Dropped                    uint64 // packets dropped because a bounded table was full or the server was not known yet
 }
 
+// gateState is the state of a flow at its agent.
 type gateState uint8
 
 const (
-	gateOffered  gateState = iota // passed to the server, no answer yet
+	gateOffered  gateState = iota // first packet sent to the server, no answer yet
 	gateAnswered                  // the server answered, the caller has not confirmed
-	gateOpen                      // packets of the caller met the server's flow
-	gateProbed                    // passed to the server to learn whether it holds the flow
-	gateLost                      // the server held it and has lost it
+	gateOpen                      // the server holds the flow and the caller has confirmed it
+	gateProbed                    // a packet was sent to the server to find out whether it holds the flow
+	gateLost                      // the server held the flow and has lost it
 )
 
-// gateFlow is one flow at the agent.
+// gateFlow is one flow in the agent's table.
 type gateFlow struct {
 	state            gateState
-	via              netip.AddrPort // balancer that brought the last packet
+	via              netip.AddrPort // balancer that forwarded the latest packet
 	instance         string         // of the server
 	opener           uint32         // sequence number of the caller's first packet
 	hasOpener        bool
 	serverFirst      uint32 // sequence number of the server's first packet
-	serverEnd        uint32 // end of what the server sent
+	serverEnd        uint32 // sequence number after the last byte that the server sent
 	hasServerFirst   bool
-	callerEnd        uint32 // end of what the caller sent
+	callerEnd        uint32 // sequence number after the last byte that the caller sent
 	hasCallerEnd     bool
-	requestActive    bool // a request is being worked on
+	requestActive    bool // counts as a request in progress
 	requestStartedAt time.Time
-	answerPending    bool      // a request's data was passed to the server
-	requestSentAt    time.Time // when
+	answerPending    bool      // a request's data was sent to the server, no answer yet
+	requestSentAt    time.Time // when that data was sent
 	createdAt        time.Time
 	lastPacketAt     time.Time
 	callerClosed     bool
 	serverClosed     bool
 }
 
-// pendingFlow is a flow whose next packet is due: the server's answer, or the
-// caller's confirmation.
+// pendingFlow is a flow that waits for the server's answer or the caller's confirmation.
 type pendingFlow struct {
 	key   Key
 	since time.Time
@@ -128,34 +132,34 @@
 type Gate struct {
 	cfg             GateConfig
 	started         time.Time
-	newestOrders    uint64    // number of the newest orders that anybody spoke of
-	readAt          time.Time // when somebody last read the orders in the store
+	newestOrders    uint64    // number of the newest orders that any process has reported
+	readAt          time.Time // time of the latest known read of the orders in the store
 	orders          receivedOrders
 	restored        restored
 	server          server
 	flows           map[Key]*gateFlow
-	freeFlows       []*gateFlow // of flows that were forgotten, to be used again
-	requests        int
-	requestTimes    fifo[time.Time] // requests of the last second, in the order of time
-	unanswered      fifo[pendingFlow]
-	unconfirmed     fifo[pendingFlow] // flows that callers have not confirmed
-	queue           []queueEntry
-	waitingCallers  []queueEntry    // callers of ended flows that wait to be told; without packets
-	reservations    fifo[time.Time] // until when room is kept for callers that were told
+	freeFlows       []*gateFlow       // removed flows, kept for reuse
+	requests        int               // in progress
+	requestTimes    fifo[time.Time]   // start times of the requests within coldWindow, oldest first
+	unanswered      fifo[pendingFlow] // flows whose first packet the server has not answered
+	unconfirmed     fifo[pendingFlow] // flows that the server has answered and the caller not confirmed
+	queue           []queueEntry      // offered flows that wait for capacity
+	waitingCallers  []queueEntry      // callers waiting to be notified that their flow ended; entries without packets
+	reservations    fifo[time.Time]   // expiry times of the capacity reserved for notified callers
 	balancers       map[netip.AddrPort]*subscriber
 	reportAt        time.Time
 	lastTickAt      time.Time
 	lastSweepAt     time.Time
 	meter           placement.Meter
 	meanAnswerTime  time.Duration // mean time from a request to the server's answer
-	answerTimeCount int           // requests behind it, up to normalAfter
-	queryAnswer     []byte        // to a query, of the running call
+	answerTimeCount int           // answers in that mean, up to minAnswerTimeCount
+	queryAnswer     []byte        // buffer for the answer to the current query
 	stats           GateStats
 	out             []Effect
 	trace           GateTracer
 }
 
-// NewGate returns a Gate that has not heard of its server.
+// NewGate returns a Gate that does not know the state of its server yet.
 func NewGate(now time.Time, cfg GateConfig, tr GateTracer) *Gate {
 	cfg.setDefaults()
 	if tr == nil {
@@ -174,8 +178,8 @@
 	}
 }
 
-// Effects returns what is to be done and empties the list. The slice is valid
-// until the next call of any method.
+// Effects returns the pending effects and clears the list. The slice is valid until the
+// next call of any method.
 func (g *Gate) Effects() []Effect {
 	out := g.out
 	g.out = g.out[:0]
@@ -189,8 +193,8 @@
 	return s
 }
 
-// FromBalancer takes a message of a balancer. s is the header of the packet
-// that came with it, or nil.
+// FromBalancer processes a message from a balancer. s is the header of the packet that
+// follows the message, nil if none does.
 func (g *Gate) FromBalancer(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
 	g.newestOrders = max(g.newestOrders, m.Revision)
 	if at := ReadAt(now, m.ReadAge); at.After(g.readAt) {
@@ -211,7 +215,7 @@
 		g.onQuery(now, from, packet)
 		return
 	case ReserveCapacity:
-		g.onReturn(now, from, m)
+		g.onReserveCapacity(now, from, m)
 		return
 	}
 	if s == nil {
@@ -228,17 +232,17 @@
 // subscriber is a balancer that an agent reports to.
 type subscriber struct {
 	lastReceivedAt time.Time
-	reportInterval time.Duration // between two reports, as the balancer wishes
-	reportAt       time.Time     // when the next one is due
+	reportInterval time.Duration // as requested by the balancer
+	reportAt       time.Time     // when the next report is due
 }
 
-// subscribe notes that a balancer was heard.
+// subscribe records the receipt of a message from a balancer.
 func (g *Gate) subscribe(now time.Time, from netip.AddrPort) *subscriber {
 	b := g.balancers[from]
 	if b == nil {
 		b = &subscriber{reportInterval: ReportEvery}
 		if len(g.balancers) >= maxBalancers {
-			return b // answered, and not reported to
+			return b // its messages are answered, but it gets no reports
 		}
 		g.balancers[from] = b
 	}
@@ -246,7 +250,8 @@
 	return b
 }
 
-// AddBalancer makes a balancer known that others told of.
+// AddBalancer subscribes a balancer that other processes have named, if it is new, and
+// reports to it.
 func (g *Gate) AddBalancer(now time.Time, balancer netip.AddrPort) {
 	if _, known := g.balancers[balancer]; known {
 		return
@@ -255,7 +260,7 @@
 	g.reply(now, balancer, Message{Kind: Report}, nil)
 }
 
-// reply sends m with what the agent says about itself in every message.
+// reply sends m with the fields that every message of an agent carries.
 func (g *Gate) reply(now time.Time, to netip.AddrPort, m Message, packet []byte) {
 	m.Revision = g.newestOrders
 	m.ReadAge = AgeOf(now, g.readAt)
@@ -276,7 +281,8 @@
 	g.out = append(g.out, Effect{Kind: SendMessage, To: to, Message: m, Packet: packet})
 }
 
-// holdsNoFlows reports whether the server holds no flow and gets none as things stand.
+// holdsNoFlows reports whether the server holds no flow and, in its present state, gets no
+// new one.
 func (g *Gate) holdsNoFlows(now time.Time) bool {
 	if g.State(now) == ServerReady || !g.complete(now) {
 		return false
@@ -289,7 +295,8 @@
 	return true
 }
 
-// sinceReceived returns the time since a balancer was heard.
+// sinceReceived returns the time since the last message from a balancer, 0 if there is no
+// subscription.
 func (g *Gate) sinceReceived(now time.Time, balancer netip.AddrPort) time.Duration {
 	if b := g.balancers[balancer]; b != nil {
 		return now.Sub(b.lastReceivedAt)
@@ -307,7 +314,7 @@
 	g.out = append(g.out, Effect{Kind: SendCaller, Message: Message{Key: key}, Packet: packet})
 }
 
-// occupancy is the load that the agent reports.
+// occupancy returns the load that the agent reports.
 func (g *Gate) occupancy(now time.Time) placement.Occupancy {
 	slots := g.server.slots
 	busy := g.requests
@@ -320,12 +327,12 @@
 	})
 }
 
-// requestCapacity is the number of requests at work up to which flows reach the server.
+// requestCapacity returns the number of requests in progress from which new flows wait.
 func (g *Gate) requestCapacity() int {
 	return max(1, int(g.cfg.CapacityFactor*float64(g.server.slots)))
 }
 
-// onOpen decides whether a first packet reaches the server.
+// onOpen decides whether a flow's first packet is sent to the server.
 func (g *Gate) onOpen(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
 	if !s.first() {
 		return
@@ -355,18 +362,18 @@
 	g.admit(now, from, s.Key, s.Seq, packet)
 }
 
-// admit passes a flow's first packet to the server.
+// admit sends a flow's first packet to the server.
 func (g *Gate) admit(now time.Time, via netip.AddrPort, key Key, opener uint32, packet []byte) {
 	g.consumeReservation()
 	f := g.addFlow(now, key, gateOffered)
 	f.via, f.opener, f.hasOpener = via, opener, true
-	// A request follows as soon as the caller has the answer.
+	// Counts as a request from now on: one follows as soon as the caller has the answer.
 	g.startRequest(now, f)
 	g.unanswered.push(pendingFlow{key, now})
 	g.sendToServer(packet)
 }
 
-// refusalReason returns why no new flow may reach the server, or ReasonNone.
+// refusalReason returns the reason to refuse or queue an offered flow, or ReasonNone.
 func (g *Gate) refusalReason(now time.Time, m *Message) Reason {
 	switch g.State(now) {
 	case ServerReady:
@@ -386,8 +393,8 @@
 	return ReasonNone
 }
 
-// onCopy takes another copy of the first packet of a flow that was taken. A
-// flow that the caller has not confirmed is new to the server still.
+// onCopy processes another copy of the first packet of a flow in the table. Until the
+// caller has confirmed the flow, a copy is subject to the same checks as the first packet.
 func (g *Gate) onCopy(now time.Time, from netip.AddrPort, f *gateFlow, s *Segment, packet []byte) {
 	f.via = from
 	f.lastPacketAt = now
@@ -396,7 +403,7 @@
 		return
 	}
 	if f.state != gateOpen && !g.hasColdCapacity(now, 0) {
-		return // it counts like a first packet; the caller sends another copy
+		return // a copy counts towards the cold limit too; the caller sends another one
 	}
 	g.countRequest(now)
 	if f.state == gateOffered {
@@ -413,7 +420,7 @@
 	g.reply(now, to, Message{Kind: Refused, Reason: reason, Key: key}, nil)
 }
 
-// removeFlow removes a flow.
+// removeFlow removes a flow and keeps its memory for reuse.
 func (g *Gate) removeFlow(key Key) {
 	f := g.flows[key]
 	if f == nil {
@@ -424,7 +431,7 @@
 	g.freeFlows = append(g.freeFlows, f)
 }
 
-// addFlow notes a flow in place of what was known of its key.
+// addFlow adds a flow to the table, in place of any other one with its key.
 func (g *Gate) addFlow(now time.Time, key Key, state gateState) *gateFlow {
 	g.removeFlow(key)
 	f := take(&g.freeFlows)
@@ -433,7 +440,7 @@
 	return f
 }
 
-// startRequest counts a request as being worked on.
+// startRequest counts a flow's request as in progress, if none is yet.
 func (g *Gate) startRequest(now time.Time, f *gateFlow) {
 	if f.requestActive {
 		return
--- a/flow/gate_config.go
+++ b/flow/gate_config.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// GateConfig sets up a Gate. A zero duration or bound means its default.
+// GateConfig configures a Gate. A zero duration or bound means its default.
 type GateConfig struct {
 	Zone        string
-	Incarnation uint64 // drawn at random at the start of the process
-	// Service is the service that the server belongs to by the settings. A
-	// heartbeat that names another one goes before it.
+	Incarnation uint64 // random number drawn at the start of the process
+	// Service is the server's service according to the settings. The service named in a
+	// heartbeat takes precedence.
 	Service ServiceID
-	// Server is where the server takes packets. A heartbeat that names another
-	// address is of another server. The zero value lets all pass.
+	// Server is the address at which the server receives packets. Heartbeats that name
+	// another address are rejected; with the zero value all addresses are accepted.
 	Server netip.AddrPort
 
-	// HeartbeatTTL is how long a heartbeat vouches for the server. It has to be
-	// shorter than the time after which an address is used again by another
-	// service.
+	// HeartbeatTTL is how long the state given by a heartbeat stays valid. It has to be
+	// shorter than the time after which an address may be reused by another service.
 	HeartbeatTTL time.Duration
 	// AnswerTimeout is how long the server may take to answer a first packet.
 	AnswerTimeout time.Duration
-	// RequestTimeout is how long a request may count as being worked on.
+	// RequestTimeout is how long a request may count as in progress.
 	RequestTimeout time.Duration
-	// MaxFlows bounds the flows remembered.
+	// MaxFlows is the highest number of flows in the table.
 	MaxFlows int
 	// MaxAge is the age from which a flow may be discarded.
 	MaxAge time.Duration
-	// IdleTimeout is the time without a packet after which a flow is forgotten.
+	// IdleTimeout is the time without a packet after which a flow is removed from the
+	// table.
 	IdleTimeout time.Duration
-	// CapacityFactor bounds the requests at work, as a multiple of the server's
-	// slots; 0 is DefaultQueueFactor.
+	// CapacityFactor limits the requests in progress, as a multiple of the server's slots;
+	// 0 means DefaultCapacityFactor.
 	CapacityFactor float64
-	// CallerCapacityFactor bounds the requests at work, and callers told to come back, up
-	// to which another caller of an ended flow is told, as a multiple of the
-	// server's slots; 0 is DefaultReturnFactor.
+	// CallerCapacityFactor limits the sum of requests in progress and reservations below
+	// which another caller is notified that its flow ended, as a multiple of the server's
+	// slots; 0 means DefaultCallerCapacityFactor.
 	CallerCapacityFactor float64
 }
 
 // Defaults of GateConfig.
 const (
-	// DefaultHeartbeatTTL is below the two seconds after which the platform gives an
-	// address to another service, and above one heartbeat.
+	// DefaultHeartbeatTTL is below the two seconds after which the platform may give an
+	// address to another service, and above the heartbeat interval.
 	DefaultHeartbeatTTL = 1900 * time.Millisecond
-	// DefaultAnswerTimeout is a hundred times what a server takes, and below
-	// the time that a balancer waits for the agent.
+	// DefaultAnswerTimeout is a hundred times a server's usual time for it, and below the
+	// time that a balancer waits for the agent.
 	DefaultAnswerTimeout = 35 * time.Millisecond
 	// DefaultRequestTimeout is above the longest deadline of a request.
 	DefaultRequestTimeout = 8 * time.Second
-	// DefaultGateFlows is twice the connections that a server takes.
+	// DefaultGateFlows is twice the number of connections that a server accepts.
 	DefaultGateFlows = 4096
-	// DefaultIdleTimeout is above the time after which a flow may be discarded.
+	// DefaultIdleTimeout is above the idle time after which a flow may be discarded.
 	DefaultIdleTimeout = 20 * time.Second
-	// DefaultCapacityFactor keeps a server's slots busy while callers answer a
-	// handshake; what more there is waits at the agent, which knows what is late.
+	// DefaultCapacityFactor is above 1 to keep the server's slots busy while callers
+	// complete the handshake. Further flows wait at the agent, which serves those that can
+	// still be answered in time first.
 	DefaultCapacityFactor = 1.6
-	// DefaultCallerCapacityFactor is the same for callers that come back as for flows that
-	// come: with less room for them, new flows took each slot before they were told.
+	// DefaultCallerCapacityFactor equals DefaultCapacityFactor: with less capacity for
+	// callers that wait to be notified, new flows would take every slot before them.
 	DefaultCallerCapacityFactor = DefaultCapacityFactor
-	// DefaultSlots is assumed until a heartbeat tells.
+	// DefaultSlots is the number of slots assumed until a heartbeat gives it.
 	DefaultSlots = 5
 )
 
@@ -75,9 +76,8 @@
 	c.CapacityFactor = cmp.Or(c.CapacityFactor, DefaultCapacityFactor)
 }
 
-// SetLimits changes the age that flows may reach and how long a heartbeat
-// vouches for the server; 0 is the default.
-func (g *Gate) SetLimits(maxAge, fresh time.Duration) {
+// SetLimits changes MaxAge and HeartbeatTTL of the configuration; 0 means the default.
+func (g *Gate) SetLimits(maxAge, heartbeatTTL time.Duration) {
 	g.cfg.MaxAge = cmp.Or(maxAge, DefaultMaxAge)
-	g.cfg.HeartbeatTTL = cmp.Or(fresh, DefaultHeartbeatTTL)
+	g.cfg.HeartbeatTTL = cmp.Or(heartbeatTTL, DefaultHeartbeatTTL)
 }
--- a/flow/held.go
+++ b/flow/held.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// onPacket takes a packet of a flow that should be open.
+// onPacket processes a packet of a flow that should be open at the server.
 func (g *Gate) onPacket(now time.Time, from netip.AddrPort, kind MessageKind, s *Segment, packet []byte) {
 	f := g.flows[s.Key]
 	switch {
 	case f == nil && g.complete(now):
 		g.replyNotHeld(now, from, kind, s, ReasonNotHeld, packet)
 	case f == nil && !g.server.responded:
-		// Not known yet whether there is a server; a packet to nobody may be
-		// answered with a reset that breaks the flow at its own server.
+		// Whether a server runs is not known yet. Without one, the operating system may
+		// answer the packet with a reset, which ends the flow that another server holds.
 		g.stats.Dropped++
 	case f == nil:
 		g.probe(now, from, s, packet)
 	case f.state == gateLost:
 		g.replyNotHeld(now, from, kind, s, ReasonLost, packet)
 	case !f.matches(s):
-		// Two servers have the first packet, and the caller took the other's
-		// answer. The flow is remembered as not open here: passed on to this
-		// server, its packets would be answered with a reset.
+		// Two servers received the first packet, and the caller accepted the other one's
+		// answer. The flow's entry stays, not open: this server would answer packets of
+		// the flow with a reset.
 		g.replyNotHeld(now, from, kind, s, ReasonNotHeld, packet)
 	default:
-		g.forward(now, from, kind, f, s, packet)
+		g.deliver(now, from, kind, f, s, packet)
 	}
 }
 
-// opensSameFlow reports whether a first packet is another copy of the one that opened
-// the flow. Callers use their ports again: a first packet with another sequence
-// number begins a new flow, which has to pass the gate like any other.
+// opensSameFlow reports whether a first packet is another copy of the one that opened the
+// flow. Callers reuse their ports: a first packet with another sequence number opens a new
+// flow, which is subject to the same checks as any other.
 func (f *gateFlow) opensSameFlow(s *Segment) bool { return f.hasOpener && f.opener == s.Seq }
 
-// matches reports whether the caller acknowledges bytes that this server sent.
-// Another server may have answered the same first packet, or hold a newer flow
-// from the same port; passed on to this one, its packet would be answered with
-// a reset.
+// matches reports whether a caller's packet belongs to the flow that this server holds: it
+// acknowledges bytes that this server sent. Another server may have answered the same first
+// packet, or hold a newer flow from the same port; this server would answer packets of such
+// a flow with a reset.
 func (f *gateFlow) matches(s *Segment) bool {
 	if f.state == gateOffered {
 		return !s.HasAck
@@ -45,7 +45,8 @@
 	return !f.hasServerFirst || !s.HasAck || s.Ack-f.serverFirst <= f.serverEnd-f.serverFirst+ackSlack
 }
 
-func (g *Gate) forward(now time.Time, from netip.AddrPort, kind MessageKind, f *gateFlow, s *Segment, packet []byte) {
+// deliver sends a caller's packet to the server that holds its flow.
+func (g *Gate) deliver(now time.Time, from netip.AddrPort, kind MessageKind, f *gateFlow, s *Segment, packet []byte) {
 	f.lastPacketAt = now
 	if f.state == gateAnswered {
 		f.state = gateOpen
@@ -59,8 +60,8 @@
 	g.sendToServer(packet)
 }
 
-// recordCallerPacket keeps count of requests: data that the caller had not sent before
-// is a request, until the server sends data.
+// recordCallerPacket updates a flow with a packet of its caller. Data that the caller has
+// not sent before counts as a request in progress until the server sends data.
 func (g *Gate) recordCallerPacket(now time.Time, f *gateFlow, s *Segment) {
 	end := s.Seq + uint32(s.Data)
 	fresh := !f.hasCallerEnd || int32(end-f.callerEnd) > 0
@@ -78,15 +79,15 @@
 	}
 }
 
-// complete reports whether a flow that is not in the table is not at the server:
-// there was no server at the start, every flow of this instance came through
-// this process, or any older one has reached its greatest age.
+// complete reports whether the table has every flow that the server holds: there was no
+// server at the start of this process, every flow of this instance came through this
+// process, or all flows from before have reached their maximum age.
 func (g *Gate) complete(now time.Time) bool {
 	return g.server.absent || g.server.stateKnown && g.server.flowsComplete || now.Sub(g.started) >= g.cfg.MaxAge
 }
 
-// probe passes a packet to the server to learn whether it holds the flow. What
-// it does not hold it sends back.
+// probe sends a packet to the server to find out whether it holds the flow. The server
+// sends back (bounces) packets of flows that it does not hold.
 func (g *Gate) probe(now time.Time, from netip.AddrPort, s *Segment, packet []byte) {
 	if len(g.flows) >= g.cfg.MaxFlows {
 		g.stats.Dropped++
@@ -96,9 +97,9 @@
 	g.sendToServer(packet)
 }
 
-// replyNotHeld answers that the flow is not here. A packet that was passed here as to
-// the flow's holder goes back with the answer, so that the balancer can look for
-// the flow at once, or reset it.
+// replyNotHeld replies to a balancer that the server does not hold the flow. A packet
+// received with a Pass message is returned with the reply, so that the balancer can look
+// up or reset the flow at once.
 func (g *Gate) replyNotHeld(now time.Time, to netip.AddrPort, kind MessageKind, s *Segment, reason Reason, packet []byte) {
 	if reason == ReasonLost {
 		g.stats.Lost++
@@ -114,7 +115,7 @@
 	g.reply(now, to, Message{Kind: NotHeld, Reason: reason, Key: s.Key}, packet)
 }
 
-// FromServer takes a packet that the server sent.
+// FromServer processes a packet that the server sent.
 func (g *Gate) FromServer(now time.Time, s Segment, packet []byte) {
 	g.recordActivity(now)
 	f := g.flows[s.Key]
@@ -132,7 +133,8 @@
 	g.dequeue(now)
 }
 
-// addExistingFlow notes a flow that the server had before this process knew of it.
+// addExistingFlow adds a flow that the server holds and that is not in the table. It
+// returns nil if the table is full.
 func (g *Gate) addExistingFlow(now time.Time, key Key) *gateFlow {
 	if g.flows[key] == nil && len(g.flows) >= g.cfg.MaxFlows {
 		g.stats.Dropped++
@@ -141,6 +143,8 @@
 	return g.addFlow(now, key, gateOpen)
 }
 
+// recordServerPacket updates a flow with a packet of the server, and reports Taken or Held
+// to the balancer that waits for it.
 func (g *Gate) recordServerPacket(now time.Time, f *gateFlow, s *Segment) {
 	f.lastPacketAt = now
 	if s.Syn {
@@ -178,11 +182,11 @@
 	}
 }
 
-// recordAnswerTime takes the time of a server's answer. A server that fails at once looks
-// idle, and would be offered every flow; it answers in far less time than the
-// work takes. Answers can't be read at this layer, their time can. Failures only
-// add to the load that the agent reports, so a service that is as quick as this
-// everywhere loses nothing.
+// recordAnswerTime records the time that the server took for an answer. A server that fails
+// every request at once looks idle and would be offered every flow. The content of its
+// answers is not visible at this layer, but they come in far less time than a processed
+// request takes. Such answers only add to the load that the agent reports, so a service
+// whose servers are all that fast is not affected.
 func (g *Gate) recordAnswerTime(now time.Time, f *gateFlow) {
 	if !f.answerPending {
 		return
@@ -190,34 +194,34 @@
 	f.answerPending = false
 	took := now.Sub(f.requestSentAt)
 	known := g.answerTimeCount >= minAnswerTimeCount && g.meanAnswerTime >= minMeanAnswerTime
-	hasty := known && took < g.meanAnswerTime/fastAnswerDivisor
-	g.meter.Done(now, hasty)
-	if hasty {
+	tooFast := known && took < g.meanAnswerTime/fastAnswerDivisor
+	g.meter.Done(now, tooFast)
+	if tooFast {
 		g.stats.ImplausiblyFast++
 	}
-	g.updateMeanAnswerTime(took, hasty)
+	g.updateMeanAnswerTime(took, tooFast)
 }
 
-// updateMeanAnswerTime takes the time of an answer into the mean. One answer moves it no
-// more than one of twice or half the mean would: a server that hangs for seconds
-// would else make its usual answers look hasty for good. Hasty answers count
-// too, for the same reason, but little.
-func (g *Gate) updateMeanAnswerTime(took time.Duration, hasty bool) {
+// updateMeanAnswerTime adds an answer time to the moving average. Each is limited to
+// between half and twice the mean: otherwise, after the server has hung for seconds, its
+// usual answers would count as implausibly fast for good. For the same reason implausibly
+// fast answers are included, with a lower weight.
+func (g *Gate) updateMeanAnswerTime(took time.Duration, tooFast bool) {
 	if g.answerTimeCount < minAnswerTimeCount {
 		g.answerTimeCount++
 		g.meanAnswerTime += (took - g.meanAnswerTime) / time.Duration(g.answerTimeCount)
 		return
 	}
-	share := answerTimeWeight
-	if hasty {
-		share *= fastAnswerWeight
+	weight := answerTimeWeight
+	if tooFast {
+		weight *= fastAnswerWeight
 	}
 	took = min(max(took, g.meanAnswerTime/2), 2*g.meanAnswerTime)
-	g.meanAnswerTime += time.Duration(float64(took-g.meanAnswerTime) * share)
+	g.meanAnswerTime += time.Duration(float64(took-g.meanAnswerTime) * weight)
 }
 
-// onBounced takes a packet that the server sent back: a first packet that it
-// can't accept, or a packet of a flow that it does not hold.
+// onBounced processes a packet that the server sent back: a first packet that it can't
+// accept, or a packet of a flow that it does not hold.
 func (g *Gate) onBounced(now time.Time, f *gateFlow, s *Segment, packet []byte) {
 	if f == nil || !f.via.IsValid() {
 		return
@@ -241,7 +245,7 @@
 // closed reports whether both ends have sent their last byte.
 func (f *gateFlow) closed() bool { return f.callerClosed && f.serverClosed }
 
-// Tick does what is due.
+// Tick expires timeouts, serves the queue and sends the reports that are due.
 func (g *Gate) Tick(now time.Time) {
 	paused := now.Sub(g.lastTickAt) >= pauseAfter
 	g.lastTickAt = now
@@ -259,14 +263,15 @@
 	}
 }
 
-// restartAnswerTimeouts gives the server its time anew after this process stood still.
+// restartAnswerTimeouts restarts the server's answer timeouts after a pause of this
+// process.
 func (g *Gate) restartAnswerTimeouts(now time.Time) {
 	g.unanswered.all(func(w *pendingFlow) { w.since = now })
 }
 
-// expireUnanswered hands back the flows whose first packet the server has not
-// answered. A server that has sent nothing else since then is silent: it has
-// crashed or hangs, and no flow is offered to it until it is heard again.
+// expireUnanswered refuses the flows whose first packet the server has not answered in
+// time. If the server has sent nothing else since, it is unresponsive: it has crashed or
+// hangs, and gets no new flow until it sends a packet or heartbeat.
 func (g *Gate) expireUnanswered(now time.Time) {
 	for g.unanswered.len() > 0 && now.Sub(g.unanswered.first().since) >= g.cfg.AnswerTimeout {
 		w := g.unanswered.pop()
@@ -284,7 +289,8 @@
 	}
 }
 
-// expireUnconfirmed stops counting flows that their callers have not confirmed.
+// expireUnconfirmed ends the requests counted for flows that their callers have not
+// confirmed in time.
 func (g *Gate) expireUnconfirmed(now time.Time) {
 	for g.unconfirmed.len() > 0 && now.Sub(g.unconfirmed.first().since) >= confirmTimeout {
 		f := g.flows[g.unconfirmed.pop().key]
@@ -294,7 +300,7 @@
 	}
 }
 
-// NextTick returns when Tick has something to do at the latest.
+// NextTick returns the latest time at which Tick has to be called next.
 func (g *Gate) NextTick(now time.Time) time.Time {
 	next := g.reportAt
 	if g.unanswered.len() > 0 {
@@ -321,8 +327,8 @@
 	return next
 }
 
-// sweep forgets flows that have ended, balancers that are gone, and requests
-// that nobody waits for any more.
+// sweep removes idle and closed flows and balancers whose subscription has expired, and
+// ends requests that have reached RequestTimeout.
 func (g *Gate) sweep(now time.Time) {
 	g.lastSweepAt = now
 	for key, f := range g.flows {
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// queuePerSlot bounds the flows that wait at an agent, as a multiple of its server's
-// slots: what a slot works off in about two and a half seconds, as long as callers
-// wait in all. A caller that is refused for want of a place comes back at once as if
-// it were new, takes the place of one that could be in time, and has spent its tries
-// after 30 ms. With 40, credit of the second two seconds after a loss of power was
-// 0.864 in place of 0.909 (flow/lab, ten seeds).
+// queuePerSlot limits the flows that wait at an agent, as a multiple of its server's slots:
+// a slot processes that many in about two and a half seconds, which is how long callers
+// wait in total. A caller refused because the queue is full retries at once as a new flow,
+// takes the place of one that could be answered in time, and has used up its attempts
+// after 30 ms. With 40, the credit in the second two seconds after a power loss was 0.864
+// instead of 0.909 (flow/lab, ten seeds).
 const queuePerSlot = 100
 
-// queueEntry is a flow that waits for room at the server.
+// queueEntry is a flow, or a caller to be notified, that waits for capacity at the server.
 type queueEntry struct {
 	key         Key
-	via         netip.AddrPort
-	onTimeUntil time.Time // until when its request can be answered in time
-	expiresAt   time.Time // when it is given up
+	via         netip.AddrPort // balancer to reply to
+	onTimeUntil time.Time      // until when its request can be answered in time
+	expiresAt   time.Time      // when it is refused
 	urgent      bool
-	mayBeOlder  bool   // may have been asked longer ago than onTime takes for granted
+	mayBeOlder  bool   // the request may be older than onTimeUntil assumes
 	opener      uint32 // sequence number of the packet
 	packet      []byte
 }
 
-// newQueueEntry returns the wait that a balancer's message asks for.
+// newQueueEntry returns an entry with the time limits and priority of a balancer's message.
 func newQueueEntry(now time.Time, m *Message) queueEntry {
 	return queueEntry{
 		onTimeUntil: now.Add(m.OnTime), expiresAt: now.Add(m.Wait), urgent: m.Priority <= urgentPriority, mayBeOlder: m.Reason == ReasonStarted,
 	}
 }
 
-// timeliness says how likely it is that a request is answered in time.
+// timeliness is whether a request can still be answered in time.
 type timeliness uint8
 
 const (
 	inTime      timeliness = iota
-	maybeInTime            // if it is as young as it looks
+	maybeInTime            // in time unless the request is older than assumed
 	late
 )
 
+// timeliness returns whether the entry's request can still be answered in time at now.
+
 func (q *queueEntry) timeliness(now time.Time) timeliness {
 	switch {
 	case !q.onTimeUntil.After(now):
@@ -51,9 +53,10 @@
 	return inTime
 }
 
-// precedes reports whether q goes to the server precedes o: what can still be in time,
-// then what is urgent. Otherwise the one that came first does; but of those that may be
-// older than they look the last one, which most likely is not.
+// precedes reports whether q is served before o: requests that can still be in time go
+// first, then urgent ones. Of equal entries the one that arrived first is served first;
+// only of those that may be older than assumed the latest one is, because it is the least
+// likely to be older.
 func (q *queueEntry) precedes(o *queueEntry, now time.Time) bool {
 	c, oc := q.timeliness(now), o.timeliness(now)
 	if c != oc {
@@ -65,21 +68,21 @@
 	return c == maybeInTime && q.onTimeUntil.After(o.onTimeUntil)
 }
 
-// enqueue lets a flow wait for room. It returns false if too many wait.
+// enqueue adds an offered flow to the queue. It returns false if the queue is full.
 //
-// A flow that is reset for want of room comes again at once, as a new one, and
-// after three times not at all. While it waits it costs nothing, and what is
-// late already leaves the room to what is not.
+// The caller of a flow that is reset for lack of capacity retries at once with a new flow,
+// and gives up after three attempts. A waiting flow costs the server nothing, and flows
+// that are already late yield to those that are not.
 func (g *Gate) enqueue(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) bool {
 	q := g.findQueued(s.Key)
 	if q == nil {
-		waits := newQueueEntry(now, m)
-		waits.key, waits.opener = s.Key, s.Seq
-		if !g.makeQueueSpace(now, &waits) {
+		waiter := newQueueEntry(now, m)
+		waiter.key, waiter.opener = s.Key, s.Seq
+		if !g.makeQueueSpace(now, &waiter) {
 			return false
 		}
-		waits.packet = append([]byte(nil), packet...)
-		g.queue = append(g.queue, waits)
+		waiter.packet = append([]byte(nil), packet...)
+		g.queue = append(g.queue, waiter)
 		q = &g.queue[len(g.queue)-1]
 	}
 	q.via = from
@@ -87,8 +90,8 @@
 	return true
 }
 
-// makeQueueSpace reports whether a flow may wait. If too many do, the one that would be served
-// last is handed back for one that goes before it.
+// makeQueueSpace reports whether the queue has space for q. If the queue is full, the entry
+// that would be served last is refused in favour of q if q precedes it.
 func (g *Gate) makeQueueSpace(now time.Time, q *queueEntry) bool {
 	if len(g.queue) < g.queueLimit(now, q.expiresAt) {
 		return true
@@ -107,6 +110,7 @@
 	return true
 }
 
+// findQueued returns the queued entry of a flow, or nil.
 func (g *Gate) findQueued(key Key) *queueEntry {
 	for i := range g.queue {
 		if g.queue[i].key == key {
@@ -116,9 +120,9 @@
 	return nil
 }
 
-// dequeue passes flows that wait to the server, and tells callers to come back, as far as
-// there is room for them, and hands back those whose time is over or that the server may
-// not get any more.
+// dequeue sends waiting flows to the server and has waiting callers notified as far as
+// there is capacity, and refuses entries that have expired or that the server must not
+// receive any more.
 func (g *Gate) dequeue(now time.Time) {
 	g.expireReservations(now)
 	g.expireQueue(now)
@@ -130,13 +134,14 @@
 	}
 }
 
-// dequeueOne serves what goes first of the flows and the callers that wait, and reports
-// whether there was room for it.
+// dequeueOne serves the waiting flow or caller that precedes all others, and reports
+// whether there was capacity for it.
 //
-// Load: after a loss of power the callers of all dead flows wait to be told, two thirds of
-// all callers where flows are long, while callers of before repeat their first packets.
-// If every flow that waits went before every caller, new requests of those callers waited
-// behind late ones until all of them were told at once.
+// After a power loss the callers of all lost flows wait to be notified, two thirds of all
+// callers where flows are long-lived, while other callers send copies of first packets
+// from before the loss. If every waiting flow preceded every waiting caller, new requests
+// of the waiting callers would wait behind late ones, until all of these callers were
+// notified at once.
 func (g *Gate) dequeueOne(now time.Time) bool {
 	flow, caller := nextIndex(g.queue, now), nextIndex(g.waitingCallers, now)
 	if caller >= 0 && (flow < 0 || g.waitingCallers[caller].precedes(&g.queue[flow], now)) {
@@ -154,7 +159,8 @@
 	return true
 }
 
-// expireQueue hands back flows whose time is over or that the server may not get.
+// expireQueue refuses waiting flows that have expired, and all of them if the server is not
+// ready.
 func (g *Gate) expireQueue(now time.Time) {
 	if len(g.queue) == 0 {
 		return
@@ -166,18 +172,20 @@
 	g.refuseQueued(now, ReasonBusy, func(q *queueEntry) bool { return !q.expiresAt.After(now) })
 }
 
-// nextIndex returns the index of what goes first, negative if the list is empty.
+// nextIndex returns the index of the entry that precedes all others, negative if the list
+// is empty.
 func nextIndex(list []queueEntry, now time.Time) int {
-	best := -1
+	first := -1
 	for i := range list {
-		if best < 0 || list[i].precedes(&list[best], now) {
-			best = i
+		if first < 0 || list[i].precedes(&list[first], now) {
+			first = i
 		}
 	}
-	return best
+	return first
 }
 
-// removeNext takes out what goes first; the list must not be empty.
+// removeNext removes and returns the entry that precedes all others; the list must not be
+// empty.
 func removeNext(list *[]queueEntry, now time.Time) queueEntry {
 	i := nextIndex(*list, now)
 	q := (*list)[i]
@@ -185,12 +193,12 @@
 	return q
 }
 
-// refuseQueued hands back the flows that over selects.
-func (g *Gate) refuseQueued(now time.Time, reason Reason, over func(*queueEntry) bool) {
+// refuseQueued removes and refuses the waiting flows for which remove returns true.
+func (g *Gate) refuseQueued(now time.Time, reason Reason, remove func(*queueEntry) bool) {
 	kept := g.queue[:0]
 	for i := range g.queue {
 		q := g.queue[i]
-		if !over(&q) {
+		if !remove(&q) {
 			kept = append(kept, q)
 			continue
 		}
@@ -199,7 +207,8 @@
 	g.queue = kept
 }
 
-// earliestExpiry returns when the first flow, or caller, has waited for too long.
+// earliestExpiry returns when the first waiting flow or caller expires; ok is false if none
+// waits.
 func (g *Gate) earliestExpiry() (at time.Time, ok bool) {
 	for _, list := range [...][]queueEntry{g.queue, g.waitingCallers} {
 		for i := range list {
--- a/flow/server.go
+++ b/flow/server.go
@@ -8,42 +8,43 @@
 // server is what an agent knows about its backend server.
 type server struct {
 	instance          string
-	startTimeMs       int64       // of this start; 0 if not known
-	previousStart     serverStart // the one before
-	sequence          uint64
+	startTimeMs       int64       // as in Heartbeat, 0 if not known
+	previousStart     serverStart // the start before the current one
+	sequence          uint64      // of the latest heartbeat
 	service           ServiceID
 	slots             int
 	draining          bool
 	ended             bool
-	unresponsive      bool // did not react to packets
-	flowsComplete     bool // the agent has seen every flow of this instance
-	stateKnown        bool // a heartbeat or a status check told of its state
-	responded         bool // something has shown that there is a server
+	unresponsive      bool // did not answer a first packet in time
+	flowsComplete     bool // every flow of this instance has passed through this process
+	stateKnown        bool // from a heartbeat or a status check
+	responded         bool // a heartbeat, packet or status check has shown that a server runs
 	absent            bool // a status check found no server, and nothing has shown one since
 	lastHeartbeatAt   time.Time
-	lastActivityAt    time.Time // last packet or heartbeat
+	lastActivityAt    time.Time // of the latest packet or heartbeat
 	coldUntil         time.Time
-	coldUnknown       bool        // it may have become cold since it said how long it is
-	recentlyStarted   bool        // it and this process had just started when they first met
-	candidate         serverStart // another start that sent a heartbeat
-	candidateSequence uint64
+	coldUnknown       bool        // the server may have become cold since its latest heartbeat
+	recentlyStarted   bool        // the server and this process had both just started at the first heartbeat
+	candidate         serverStart // unknown start whose heartbeat was rejected
+	candidateSequence uint64      // of that heartbeat
 }
 
-// serverStart identifies one serverStart of a server.
+// serverStart identifies one start of a server.
 type serverStart struct {
 	instance string
 	timeMs   int64 // as in Heartbeat
 }
 
-// matches reports whether b matches of this start, as far as both tell.
+// matches reports whether b is a heartbeat of this start. A start time that is not known
+// matches any.
 func (s serverStart) matches(b *Heartbeat) bool {
 	return s.instance != "" && s.instance == b.Instance && (s.timeMs == b.StartTimeMs || s.timeMs == 0 || b.StartTimeMs == 0)
 }
 
-// currentStart returns which currentStart of the server is known.
+// currentStart returns the start that the present state is of.
 func (v *server) currentStart() serverStart { return serverStart{v.instance, v.startTimeMs} }
 
-// State returns what the agent believes about its server now.
+// State returns the state of the server at now.
 func (g *Gate) State(now time.Time) ServerState {
 	v := &g.server
 	switch {
@@ -63,8 +64,8 @@
 	return ServerReady
 }
 
-// Heartbeat takes a heartbeat. It returns false for one that is older than what is
-// known: held up on its way, or of an instance that has been replaced.
+// Heartbeat processes a heartbeat. It returns false for one that is not accepted: delayed
+// in transit, of an instance that has been replaced, or of another server.
 func (g *Gate) Heartbeat(now time.Time, b Heartbeat) bool {
 	g.stats.Heartbeats++
 	if !g.accepts(now, &b) {
@@ -100,10 +101,10 @@
 	return true
 }
 
-// accepts reports whether b tells something newer than what is known. A
-// heartbeat of a start never seen may be one of an older start that was held up:
-// while the known one is heard, an unknown one has to have just started, or to go
-// on sending.
+// accepts reports whether b is newer than the known state. A heartbeat of an unknown start
+// may be a delayed one of an older start. So while heartbeats of the current start are
+// recent, an unknown start is accepted only if it has just started or sends a further
+// heartbeat.
 func (g *Gate) accepts(now time.Time, b *Heartbeat) bool {
 	v := &g.server
 	switch {
@@ -114,8 +115,8 @@
 	case v.previousStart.matches(b):
 		return false
 	}
-	// A clock that was set back gives a new start a lower number than the old one
-	// has, so a lower number alone does not tell which is older.
+	// After the server's clock was set back, a new start has a lower start time than the
+	// old one, so the start times alone do not show which start is older.
 	older := b.Instance == v.instance && b.StartTimeMs < v.startTimeMs
 	if !v.stateKnown || now.Sub(v.lastHeartbeatAt) >= g.cfg.HeartbeatTTL || b.Sequence <= justStartedSequence && !older {
 		return true
@@ -127,38 +128,39 @@
 	return false
 }
 
-// fromOtherServer reports whether a heartbeat is of another writer than the server: it
-// names another address, or another service while the server of the settings'
-// service is heard. An address gets to another service only after a rest that is
-// longer than a heartbeat vouches for.
+// fromOtherServer reports whether a heartbeat was sent by another process than the agent's
+// server: it names another address, or, while heartbeats of the server are recent, a
+// service that is neither the server's present one nor the configured one. The platform
+// gives an address to another service only after a delay longer than HeartbeatTTL.
 func (g *Gate) fromOtherServer(now time.Time, b *Heartbeat) bool {
 	v := &g.server
 	if g.cfg.Server.IsValid() && b.Addr.IsValid() && b.Addr != g.cfg.Server {
 		return true
 	}
-	heard := v.stateKnown && now.Sub(v.lastHeartbeatAt) < g.cfg.HeartbeatTTL
-	return heard && b.Service != v.service && b.Service != g.cfg.Service
+	recent := v.stateKnown && now.Sub(v.lastHeartbeatAt) < g.cfg.HeartbeatTTL
+	return recent && b.Service != v.service && b.Service != g.cfg.Service
 }
 
-// recordServerStart notes that the server was started anew: its flows are gone.
+// recordServerStart records a new start of the server. The open flows of the start before
+// are lost.
 func (g *Gate) recordServerStart(now time.Time, b *Heartbeat) {
 	v := &g.server
-	hadOne := v.instance != ""
+	hadInstance := v.instance != ""
 	v.previousStart = v.currentStart()
 	v.instance, v.startTimeMs = b.Instance, b.StartTimeMs
 	v.sequence = 0
 	v.candidate = serverStart{}
-	// All flows of this instance came through this process if it heard of the
-	// instance from its beginning, or knew the one before.
-	v.flowsComplete = hadOne || v.absent || b.Sequence <= justStartedSequence
+	// Every flow of this instance passes through this process if it knew the instance
+	// before, found no server, or receives the instance's first heartbeat.
+	v.flowsComplete = hadInstance || v.absent || b.Sequence <= justStartedSequence
 	for key, f := range g.flows {
 		switch {
 		case f.state == gateLost:
 		case f.state != gateOpen:
-			// Whether this server or another one had the flow was not known, so
-			// it can't be called lost.
+			// Whether this server or another one held the flow was not known, so it
+			// can't be recorded as lost.
 			g.removeFlow(key)
-		case hadOne:
+		case hadInstance:
 			g.endRequest(f)
 			f.state = gateLost
 		default:
@@ -169,16 +171,16 @@
 	g.trace.Instance(now, v.instance, b.Sequence, v.flowsComplete)
 }
 
-// StatusCheckResult is the outcome of a status check.
+// StatusCheckResult is the result of a status check.
 type StatusCheckResult struct {
-	Absent   bool   // nobody listens at the server's address
-	Answered bool   // a server answered, whatever it said
-	Instance string // of the server, if it is ready
+	Absent   bool   // the server's address refused the connection
+	Answered bool   // a server answered, with any status
+	Instance string // identity of the server if it is ready, otherwise empty
 }
 
-// StatusCheck takes the outcome of a status check made because no heartbeat has come
-// yet: after a start of this process alone the server need not wait for its next
-// one, and its open flows go on.
+// StatusCheck processes the result of a status check, which is made while no heartbeat has
+// been received yet. After a restart of this process alone, the server's open flows go on
+// without waiting for its next heartbeat.
 func (g *Gate) StatusCheck(now time.Time, c StatusCheckResult) {
 	v := &g.server
 	if v.stateKnown {
@@ -191,14 +193,14 @@
 	}
 	v.instance = c.Instance
 	v.stateKnown = true
-	v.coldUnknown = true // a status check does not tell
+	v.coldUnknown = true // a status check does not show whether the server is cold
 	v.lastHeartbeatAt = now
 	v.lastActivityAt = now
 	g.stateChanged(now, ServerUnknown, "status check")
 }
 
-// Deregister notes that the instance has said that it ends. What an earlier start under
-// the same identity said does not count.
+// Deregister records that the instance has deregistered because it ends. Deregistrations
+// of an earlier start under the same identity are ignored.
 func (g *Gate) Deregister(now time.Time, instance string, born int64) {
 	if !g.server.currentStart().matches(&Heartbeat{Instance: instance, StartTimeMs: born}) {
 		return
@@ -208,7 +210,7 @@
 	g.stateChanged(now, before, "deregistered")
 }
 
-// Close is the end of the process: its server has ended before it.
+// Close records the end of the agent process, which follows the end of its server.
 func (g *Gate) Close(now time.Time) {
 	before := g.State(now)
 	g.server.ended = true
@@ -225,20 +227,20 @@
 	g.report(now, true)
 }
 
-// report reports to the balancers for which that is due, or to all.
+// report sends a report to the balancers for which one is due, or to all.
 func (g *Gate) report(now time.Time, all bool) {
 	g.reportAt = now.Add(ReportEvery)
 	for to, b := range g.balancers {
 		if !all && now.Before(b.reportAt) {
 			continue
 		}
-		// Half a tick early rather than one tick late.
+		// The next report may be half a tick early rather than one tick late.
 		b.reportAt = now.Add(b.reportInterval - ReportEvery/2)
 		g.reply(now, to, Message{Kind: Report}, nil)
 	}
 }
 
-// recordActivity notes a sign of life of the server.
+// recordActivity records a packet of the server, which shows that it is responsive.
 func (g *Gate) recordActivity(now time.Time) {
 	v := &g.server
 	v.lastActivityAt = now
@@ -250,8 +252,8 @@
 	}
 }
 
-// HeartbeatAge returns the time since the server's last heartbeat, negative if
-// there was none.
+// HeartbeatAge returns the time since the server's last heartbeat, negative if there was
+// none.
 func (g *Gate) HeartbeatAge(now time.Time) time.Duration {
 	return ageSince(now, g.server.lastHeartbeatAt)
 }
--- a/flow/room.go
+++ b/flow/waiting_callers.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// waitingCallersPerSlot bounds the callers of ended flows that wait for room at an
+	// waitingCallersPerSlot limits the callers of ended flows that wait for capacity at an
 	// agent, as a multiple of its server's slots.
 	waitingCallersPerSlot = 12
-	// reservationTTL is how long room is kept for a caller that was told to come
-	// back: two exchanges with the farthest callers.
+	// reservationTTL is how long capacity is reserved for a notified caller: two round
+	// trips to the farthest callers.
 	reservationTTL = 20 * time.Millisecond
 )
 
-// onReturn lets the caller of a flow that has ended wait for room. It reaches the
-// server by a new flow, which any agent may get; what counts is that as many come
-// back as there is room for.
-func (g *Gate) onReturn(now time.Time, from netip.AddrPort, m *Message) {
+// onReserveCapacity queues the caller of an ended flow until the server has capacity. The
+// caller will open a new flow, which may be offered to any agent. Its agent need not be
+// this one: the purpose is that no more callers are notified than the servers have
+// capacity for.
+func (g *Gate) onReserveCapacity(now time.Time, from netip.AddrPort, m *Message) {
 	reason := ReasonNone
 	switch {
 	case g.State(now) != ServerReady:
@@ -38,20 +39,21 @@
 	g.dequeue(now)
 }
 
-// expireReservations gives up the room of callers that did not come back.
+// expireReservations removes the reservations of callers that opened no new flow in time.
 func (g *Gate) expireReservations(now time.Time) {
 	for g.reservations.len() > 0 && !g.reservations.first().After(now) {
 		g.reservations.pop()
 	}
 }
 
-// hasCallerCapacity reports whether the server has a slot for another caller that neither a
-// request nor an earlier caller takes.
+// hasCallerCapacity reports whether the server has capacity for another notified caller,
+// besides the requests in progress and the reservations.
 func (g *Gate) hasCallerCapacity(now time.Time) bool {
 	return g.requests+g.reservations.len() < g.callerCapacity() && g.hasColdCapacity(now, g.reservations.len())
 }
 
-// waitingCallerPrecedes reports whether a caller that waits to be told goes before a new flow.
+// waitingCallerPrecedes reports whether a waiting caller precedes the new flow that m
+// offers.
 func (g *Gate) waitingCallerPrecedes(now time.Time, m *Message) bool {
 	first := nextIndex(g.waitingCallers, now)
 	if first < 0 {
@@ -61,13 +63,14 @@
 	return g.waitingCallers[first].precedes(&q, now)
 }
 
-// reserveCapacity has a caller told to come back.
+// reserveCapacity reserves capacity for a caller and replies so to the balancer, which
+// notifies the caller that its flow ended.
 func (g *Gate) reserveCapacity(now time.Time, q queueEntry) {
 	g.reservations.push(now.Add(reservationTTL))
 	g.reply(now, q.via, Message{Kind: CapacityReserved, Key: q.key}, nil)
 }
 
-// expireWaitingCallers hands back the callers that have waited for too long.
+// expireWaitingCallers refuses the waiting callers that have expired.
 func (g *Gate) expireWaitingCallers(now time.Time) {
 	kept := g.waitingCallers[:0]
 	for _, q := range g.waitingCallers {
@@ -80,13 +83,13 @@
 	g.waitingCallers = kept
 }
 
-// callerCapacity is the number of requests at work, and callers told to come back, up
-// to which another one is told.
+// callerCapacity returns the sum of requests in progress and reservations below which
+// another caller is notified.
 func (g *Gate) callerCapacity() int {
 	return max(1, int(g.cfg.CallerCapacityFactor*float64(g.server.slots)))
 }
 
-// consumeReservation has a new flow take the room that was kept longest.
+// consumeReservation removes the oldest reservation, which a new flow uses.
 func (g *Gate) consumeReservation() {
 	if g.reservations.len() > 0 {
 		g.reservations.pop()
