--- a/flow/agent_restart_test.go
+++ b/flow/agent_restart_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against a flow that is never found although its server lives: the agent beside it is
-// restarted, and the packet by which another balancer looks for the flow has no data, so that
-// the server does not react to it.
+// Guards against a flow that is never found although its server holds it: the server's agent
+// is restarted, and the packet with which another balancer looks up the flow has no data, so
+// the server does not answer it.
 func TestFlowSoughtByAcknowledgementIsFoundAfterAgentRestart(t *testing.T) {
 	const down, repeat, tries = 400 * time.Millisecond, 400 * time.Millisecond, 8
 	w := newWorld(t, 3)
@@ -16,14 +16,14 @@
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	n := c.holders()[0]
-	home := w.agents[agentAddr(n)]
+	holder := w.agents[agentAddr(n)]
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
 	w.pass(down / 2)
 	c.acknowledge(balancerB)
 	w.pass(down / 2)
 	w.cut = nil
 	w.restartAgent(n)
-	w.beat(n, home.server.sequence+1, false)
+	w.beat(n, holder.server.sequence+1, false)
 	before := c.served()
 	for range tries {
 		c.acknowledge(balancerB)
@@ -46,8 +46,8 @@
 	c.send(to, Segment{Seq: c.seq + 1, Ack: a.Seq + 1, HasAck: true})
 }
 
-// Guards against an open flow that is reset although its server lives, because the agent beside
-// it is stopped and started again while another balancer looks for the flow.
+// Guards against a reset of an open flow whose server holds it: the server's agent is stopped
+// and started again while another balancer looks up the flow.
 func TestFlowIsNotResetWhileItsAgentIsStoppedAndStarted(t *testing.T) {
 	const down, repeat, tries = 500 * time.Millisecond, 400 * time.Millisecond, 8
 	w := newWorld(t, 3)
@@ -55,8 +55,8 @@
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	n := c.holders()[0]
-	home := w.agents[agentAddr(n)]
-	home.gate.Close(w.now)
+	holder := w.agents[agentAddr(n)]
+	holder.gate.Close(w.now)
 	w.settle()
 	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
 	w.pass(down / 2)
@@ -64,7 +64,7 @@
 	w.pass(down / 2)
 	w.cut = nil
 	w.restartAgent(n)
-	w.beat(n, home.server.sequence+1, false)
+	w.beat(n, holder.server.sequence+1, false)
 	before := c.served()
 	for range tries {
 		c.request(balancerB)
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// coldGate is an agent beside a server with a limit while it is cold, and the times at
-// which packets reached the server.
+// coldGate is an agent whose server has a limit while it is cold, with the times at which
+// packets reached the server.
 type coldGate struct {
 	*Gate
 	now     time.Time
@@ -16,10 +16,10 @@
 	rate    ColdRate
 	beats   uint64
 	port    uint16
-	passed  []time.Time
+	sentAt  []time.Time
 }
 
-const coldLimit = 10 // requests a second
+const coldLimit = 10 // requests per second
 
 func newColdGate(started time.Time) *coldGate {
 	c := &coldGate{now: started, service: listing, rate: ColdRateOf(coldLimit)}
@@ -27,37 +27,40 @@
 	return c
 }
 
-// beat sends a heartbeat that says how much longer the server is cold.
-func (c *coldGate) beat(cold time.Duration) {
+// beat sends a heartbeat of a server that stays cold for the given time.
+func (c *coldGate) beat(coldFor time.Duration) {
 	c.beats++
-	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, ColdFor: cold})
+	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, ColdFor: coldFor})
 	c.collect()
 }
 
-// offer offers a flow that may wait for so long, and reports whether it was refused.
+// offer offers a new flow that may wait for the given time, and reports whether a flow was
+// refused.
 func (c *coldGate) offer(wait time.Duration, priority uint8) (refused bool) {
 	c.port++
 	return c.send(Segment{Key: Key{CallerPort: c.port}, Seq: 7, Syn: true}, wait, priority)
 }
 
+// send offers a flow with the first packet s, and reports whether a flow was refused.
 func (c *coldGate) send(s Segment, wait time.Duration, priority uint8) (refused bool) {
 	m := Message{Kind: Open, Service: c.service, Revision: 1, ZoneOrder: ZoneInService, ColdRate: c.rate, Wait: wait, OnTime: wait / 2, Priority: priority}
 	c.FromBalancer(c.now, balancerA, &m, &s, []byte{1})
 	return c.collect()
 }
 
-// collect notes what was passed to the server and has it answer at once.
+// collect records the times of the packets sent to the server, and reports whether a flow
+// was refused.
 func (c *coldGate) collect() (refused bool) {
 	for _, e := range clone(c.Effects()) {
 		refused = refused || e.Message.Kind == Refused
 		if e.Kind == SendServer {
-			c.passed = append(c.passed, c.now)
+			c.sentAt = append(c.sentAt, c.now)
 		}
 	}
 	return refused
 }
 
-// finish has the server answer everything that it was handed.
+// finish has the server answer all first packets that it received.
 func (c *coldGate) finish() {
 	for key, f := range c.flows {
 		if f.state == gateOffered {
@@ -68,11 +71,11 @@
 	c.collect()
 }
 
-// most returns the most packets that reached the server within any second.
+// most returns the highest number of packets that reached the server within any second.
 func (c *coldGate) most() (most int) {
-	for i, from := range c.passed {
+	for i, from := range c.sentAt {
 		n := 0
-		for _, at := range c.passed[i:] {
+		for _, at := range c.sentAt[i:] {
 			if at.Sub(from) < time.Second {
 				n++
 			}
@@ -82,10 +85,9 @@
 	return most
 }
 
-// Symptom: servers that have just started fall over, start cold again, and fall over
-// again for as long as callers come.
-// Sequence: a cold server with free slots is offered thirty times what it bears.
-// Cause: only slots bounded what it was handed.
+// Guards against recently started servers that crash and start cold again and again while
+// the load lasts: a cold server with free slots is offered thirty times the rate that it
+// can process, and only its slots limit what it receives.
 func TestColdServerGetsWhatItBears(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(10 * time.Second)
@@ -103,16 +105,14 @@
 	if most := c.most(); most > coldLimit {
 		t.Errorf("%d requests in a second, want %d at most", most, coldLimit)
 	}
-	if len(c.passed) < 3*coldLimit {
-		t.Errorf("%d requests in four seconds: the server bears %d in each", len(c.passed), coldLimit)
+	if len(c.sentAt) < 3*coldLimit {
+		t.Errorf("%d requests in four seconds, although the server can process %d per second", len(c.sentAt), coldLimit)
 	}
 }
 
-// Symptom: a server beside a restarted agent gets twice what it bears.
-// Sequence: the agent passes on what the server bears, is killed and starts anew; a
-// status check, which tells nothing of cold, shows the server before its next heartbeat.
-// Cause: what the last second brought was forgotten with the process, and a server of
-// which nothing was known counted as warm.
+// Guards against a server that gets twice its cold limit after its agent is killed and
+// restarted: the new process does not know the requests of the last second, and a status
+// check, which does not show whether the server is cold, comes before the next heartbeat.
 func TestRestartedAgentKeepsColdLimit(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(10 * time.Second)
@@ -120,35 +120,34 @@
 		c.offer(0, 2)
 		c.finish()
 	}
-	passed := c.passed
-	again := newColdGate(c.now.Add(100 * time.Millisecond))
-	again.passed, again.beats = passed, 5
-	again.StatusCheck(again.now, StatusCheckResult{Answered: true, Instance: "i"})
+	sentBefore := c.sentAt
+	restarted := newColdGate(c.now.Add(100 * time.Millisecond))
+	restarted.sentAt, restarted.beats = sentBefore, 5
+	restarted.StatusCheck(restarted.now, StatusCheckResult{Answered: true, Instance: "i"})
 	for range 300 {
-		again.now = again.now.Add(10 * time.Millisecond)
-		again.offer(0, 2)
-		again.finish()
+		restarted.now = restarted.now.Add(10 * time.Millisecond)
+		restarted.offer(0, 2)
+		restarted.finish()
 	}
-	if most := again.most(); most > coldLimit {
+	if most := restarted.most(); most > coldLimit {
 		t.Errorf("%d requests in a second, want %d at most", most, coldLimit)
 	}
-	if len(again.passed) == len(passed) {
-		t.Error("the server gets nothing any more")
+	if len(restarted.sentAt) == len(sentBefore) {
+		t.Error("no request reached the server after the agent's restart")
 	}
 }
 
-// Symptom: the servers of a zone that was given back fall over.
-// Sequence: a zone is evacuated and given back; its servers have become cold meanwhile,
-// and say so with their next heartbeat.
-// Cause: what the last heartbeat before said was taken for true.
+// Guards against servers that crash when their evacuated zone returns to service: they have
+// become cold meanwhile and report it only with their next heartbeat, so the state of their
+// previous heartbeat is out of date.
 func TestServerOfReturnedZoneCountsAsCold(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(0)
-	tell := func(number uint64, o ZoneOrder) {
+	sendOrder := func(number uint64, o ZoneOrder) {
 		c.FromBalancer(c.now, balancerA, &Message{Kind: Hello, Service: listing, Revision: number, ZoneOrder: o, ColdRate: c.rate}, nil, nil)
 	}
-	tell(2, ZoneEvacuated)
-	tell(3, ZoneInService)
+	sendOrder(2, ZoneEvacuated)
+	sendOrder(3, ZoneInService)
 	for range 3 * coldLimit {
 		c.offer(0, 2)
 		c.finish()
@@ -161,16 +160,15 @@
 		c.offer(0, 2)
 		c.finish()
 	}
-	if len(c.passed) != 4*coldLimit {
-		t.Errorf("%d requests passed on, want all once the server says that it is warm", len(c.passed))
+	if len(c.sentAt) != 4*coldLimit {
+		t.Errorf("%d requests reached the server, want all once a heartbeat reports it warm", len(c.sentAt))
 	}
 }
 
-// Symptom: callers wait for a cold server until they give up, and urgent requests wait
-// behind others.
-// Sequence: far more flows are offered than the server bears while they may wait.
-// Cause: as many flows waited as a warm server works off.
-func TestColdServerQueueHoldsWhatItBears(t *testing.T) {
+// Guards against callers that wait for a cold server until they give up, and urgent
+// requests that wait behind others: far more flows are offered than the server can process
+// while they may wait, and the queue is as long as for a warm server.
+func TestColdServerQueueIsLimited(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(10 * time.Second)
 	const wait = time.Second
@@ -181,9 +179,9 @@
 		}
 	}
 	if waiting := len(c.queue); waiting == 0 || waiting > coldLimit {
-		t.Fatalf("%d flows wait for a second at a server that bears %d", waiting, coldLimit)
+		t.Fatalf("%d flows wait for up to a second, want 1 to %d", waiting, coldLimit)
 	}
-	if want := 10*coldLimit - len(c.queue) - len(c.passed); refused != want {
+	if want := 10*coldLimit - len(c.queue) - len(c.sentAt); refused != want {
 		t.Errorf("%d refused at once, want %d", refused, want)
 	}
 	if !c.offer(wait, 0) || !c.queue[len(c.queue)-1].urgent {
@@ -191,10 +189,10 @@
 	}
 }
 
-// Symptom: callers of ended flows wait for half of their deadline and are refused then.
-// Sequence: far more of them ask a cold server for room than it bears in that time.
-// Cause: as many could wait as a warm server works off.
-func TestColdServerLetsNoMoreCallersWaitThanItBears(t *testing.T) {
+// Guards against callers of ended flows that wait for half of their deadline and are then
+// refused: far more of them wait for a cold server than it can process in that time, and
+// their limit is that of a warm server.
+func TestColdServerWaitingCallersAreLimited(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(10 * time.Second)
 	c.offer(0, 2)
@@ -209,13 +207,13 @@
 		}
 	}
 	if waiting := len(c.waitingCallers); waiting == 0 || waiting > 2*coldLimit || refused < 17*coldLimit {
-		t.Errorf("%d callers wait two seconds at a server that bears %d in each, %d of %d refused at once", waiting, coldLimit, refused, 20*coldLimit)
+		t.Errorf("%d callers wait up to two seconds for a server that can process %d per second, %d of %d refused at once", waiting, coldLimit, refused, 20*coldLimit)
 	}
 }
 
-// Symptom: balancers offer every flow to the server that can take none.
-// Sequence: a cold server has used up its limit; its slots are free.
-// Cause: only slots counted in the load that agents tell.
+// Guards against balancers that offer every flow to a server that can accept none: a cold
+// server has reached its limit while its slots are free, and the reported load counts only
+// slots.
 func TestUsedLimitShowsAsLoad(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.beat(10 * time.Second)
@@ -226,19 +224,19 @@
 	}
 	c.now = c.now.Add(500 * time.Millisecond)
 	if full := c.occupancy(c.now); full < idle+30 {
-		t.Errorf("load %d with the limit used up, %d before", full, idle)
+		t.Errorf("load %d after the limit is reached, %d before", full, idle)
 	}
 	c.port++
 	c.FromBalancer(c.now, balancerA, &Message{Kind: ReserveCapacity, Key: Key{CallerPort: c.port}, Service: listing, Wait: 300 * time.Millisecond}, nil, nil)
 	for _, e := range c.Effects() {
 		if e.Message.Kind == CapacityReserved {
-			t.Error("a caller was told to come back")
+			t.Error("capacity was reserved for a caller although the limit is reached")
 		}
 	}
 }
 
-// Whatever comes in which order: no more packets that open a flow reach a cold server in
-// any second than it bears.
+// For every order of events, no more first packets reach a cold server within any second
+// than its limit allows.
 func TestColdLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newColdGate(time.Unix(1000, 0))
@@ -261,7 +259,7 @@
 				c.finish()
 			case "restart":
 				next := newColdGate(c.now)
-				next.passed, next.beats, next.port = c.passed, c.beats+2, c.port
+				next.sentAt, next.beats, next.port = c.sentAt, c.beats+2, c.port
 				c = next
 				c.StatusCheck(c.now, StatusCheckResult{Answered: true, Instance: "i"})
 			case "order":
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -6,48 +6,44 @@
 	"time"
 )
 
-// Symptom: new flows at a backend server that had said that it leaves.
-// Sequence: the server's heartbeat says draining and is acknowledged; balancers
-// that have not heard of it offer flows; the agent is killed and starts again.
-// Cause: whoever decides by what balancers believe, or by what the store held,
-// decides by something older than the acknowledgement.
+// Guards against new flows at a draining server: its draining heartbeat was acknowledged,
+// balancers that have not been notified offer flows, and the agent is killed and restarted.
+// A decision based on a balancer's state or on the store is older than the acknowledgement.
 func TestNoNewFlowAtDrainingServer(t *testing.T) {
 	w := newWorld(t, 1)
 	if m := w.offerTo(0, listing, 1000); m.Kind != Taken {
-		t.Fatalf("ready server: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer to a ready server: %v, %v", m.Kind, m.Reason)
 	}
 	w.beat(0, 50, true)
 	if m := w.offerTo(0, listing, 1001); m.Kind != Refused || m.Reason != ReasonState {
-		t.Fatalf("draining server: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer to a draining server: %v, %v", m.Kind, m.Reason)
 	}
 	w.restartAgent(0)
 	if m := w.offerTo(0, listing, 1002); m.Kind != Refused || m.Reason != ReasonState {
-		t.Fatalf("draining server after a restart of its agent: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer to a draining server after a restart of its agent: %v, %v", m.Kind, m.Reason)
 	}
 	w.gate(0).StatusCheck(w.now, StatusCheckResult{Answered: true})
 	if m := w.offerTo(0, listing, 1003); m.Kind != Refused {
-		t.Fatalf("draining server that answers a status check: %v", m.Kind)
+		t.Fatalf("offer to a draining server that answers a status check: %v", m.Kind)
 	}
 	w.beat(0, 51, true)
 	if m := w.offerTo(0, listing, 1004); m.Kind != Refused {
-		t.Fatalf("draining server heard again: %v", m.Kind)
+		t.Fatalf("offer to a draining server after another heartbeat: %v", m.Kind)
 	}
 }
 
-// Symptom: a flow of one service at a server of another.
-// Sequence: a server ends, and its address is given to another service while a
-// balancer goes on naming the old one.
-// Cause: a balancer's view of who has an address is older than the address's
-// owner.
+// Guards against a flow of one service reaching a server of another: a server ends and its
+// address is given to another service, while a balancer still offers flows of the old
+// service there.
 func TestAddressOfAnotherService(t *testing.T) {
 	w := newWorld(t, 1)
 	if m := w.offerTo(0, records, 1000); m.Kind != Refused || m.Reason != ReasonService {
-		t.Fatalf("flow of records at a server of listing: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer of a records flow to a listing server: %v, %v", m.Kind, m.Reason)
 	}
-	w.server(0).mute = true // no heartbeats any more
+	w.server(0).mute = true // sends no more heartbeats
 	w.pass(DefaultHeartbeatTTL)
 	if m := w.offerTo(0, listing, 1001); m.Kind != Refused || m.Reason != ReasonState {
-		t.Fatalf("server not heard of for as long as an address rests: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer to a server without a heartbeat for DefaultHeartbeatTTL: %v, %v", m.Kind, m.Reason)
 	}
 }
 
@@ -60,19 +56,19 @@
 	for _, c := range []struct {
 		name  string
 		beats []beat
-		after time.Duration // before the last heartbeat
-		taken bool          // the last heartbeat counts
+		after time.Duration // between the last two heartbeats
+		taken bool          // the last heartbeat is accepted
 		state ServerState
 	}{
 		{"first", []beat{{"a", 7, false}}, 0, true, ServerReady},
 		{"next", []beat{{"a", 7, false}, {"a", 8, true}}, 0, true, ServerDraining},
-		{"late", []beat{{"a", 8, true}, {"a", 7, false}}, 0, false, ServerDraining},
+		{"delayed", []beat{{"a", 8, true}, {"a", 7, false}}, 0, false, ServerDraining},
 		{"repeated", []beat{{"a", 8, true}, {"a", 8, true}}, 0, false, ServerDraining},
 		{"new instance", []beat{{"a", 8, true}, {"b", 1, false}}, 0, true, ServerReady},
 		{"of the replaced instance", []beat{{"a", 8, true}, {"b", 1, false}, {"a", 9, true}}, 0, false, ServerReady},
-		{"of an instance never heard, held up", []beat{{"b", 5, false}, {"a", 9, true}}, 0, false, ServerReady},
-		{"of one that goes on sending", []beat{{"b", 5, false}, {"a", 9, true}, {"a", 10, true}}, 0, true, ServerDraining},
-		{"after a silence", []beat{{"b", 5, false}, {"a", 9, true}}, 2 * time.Second, true, ServerDraining},
+		{"of an unknown instance, delayed", []beat{{"b", 5, false}, {"a", 9, true}}, 0, false, ServerReady},
+		{"of an unknown instance that sends another", []beat{{"b", 5, false}, {"a", 9, true}, {"a", 10, true}}, 0, true, ServerDraining},
+		{"of an unknown instance after the TTL", []beat{{"b", 5, false}, {"a", 9, true}}, 2 * time.Second, true, ServerDraining},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -85,24 +81,21 @@
 				taken = g.Heartbeat(now, Heartbeat{Instance: b.instance, Sequence: b.sequence, Draining: b.draining})
 			}
 			if taken != c.taken || g.State(now) != c.state {
-				t.Fatalf("taken %v, state %v; want %v, %v", taken, g.State(now), c.taken, c.state)
+				t.Fatalf("accepted %v, state %v; want %v, %v", taken, g.State(now), c.taken, c.state)
 			}
 		})
 	}
 }
 
-// Symptom: an open flow is reset although its server lives.
-// Sequence: a VM is added; its agent starts a second before its server. A
-// balancer looks for a flow that it does not know, the agent passes the packet
-// to the address of a server that is not there yet, and the VM answers with a
-// reset that its caller takes for the server's.
-// Cause: the agent took "not known whether it holds the flow" for "may hold it"
-// before anything had shown that there is a server.
+// Guards against a reset of an open flow whose server holds it: a new VM's agent starts a
+// second before its server, and a balancer looks up a flow that it does not know. If the
+// agent sends the packet to the address where no server runs yet, the VM answers with a
+// reset that the caller accepts as its server's.
 func TestNothingReachesServerThatNobodyHasSeen(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
 	s := Segment{Key: Key{CallerPort: 1}, Seq: 5, Ack: 9, HasAck: true, Data: 10}
-	seek := func() (toServer, notHeld bool) {
+	sendLookup := func() (toServer, notHeld bool) {
 		g.FromBalancer(now, balancerA, &Message{Kind: Lookup}, &s, []byte{1})
 		for _, e := range g.Effects() {
 			toServer = toServer || e.Kind == SendServer
@@ -110,25 +103,23 @@
 		}
 		return toServer, notHeld
 	}
-	if toServer, notHeld := seek(); toServer || notHeld {
+	if toServer, notHeld := sendLookup(); toServer || notHeld {
 		t.Fatalf("before the status check: to server %v, not held %v", toServer, notHeld)
 	}
 	g.StatusCheck(now, StatusCheckResult{Absent: true})
-	if toServer, notHeld := seek(); toServer || !notHeld {
-		t.Fatalf("no server there: to server %v, not held %v", toServer, notHeld)
+	if toServer, notHeld := sendLookup(); toServer || !notHeld {
+		t.Fatalf("status check found no server: to server %v, not held %v", toServer, notHeld)
 	}
 	g.Heartbeat(now, Heartbeat{Instance: "a", Sequence: 1, Service: listing})
-	if toServer, notHeld := seek(); toServer || !notHeld {
+	if toServer, notHeld := sendLookup(); toServer || !notHeld {
 		t.Fatalf("server that started after its agent: to server %v, not held %v", toServer, notHeld)
 	}
 }
 
-// Symptom: an open flow is reset although its server lives.
-// Sequence: a server takes longer for a first packet than the agent waits, and
-// the balancer offers the flow elsewhere. The caller takes the other server's
-// answer. Its packets, sought by another balancer, come by the first server,
-// which has the flow half open and answers with a reset.
-// Cause: the agent forgot the first packet that it had given back.
+// Guards against a reset of an open flow whose server holds it: a server answers a first
+// packet later than AnswerTimeout, and the flow is opened at another server. Another
+// balancer's lookup then reaches the slow server, which has the flow half open and answers
+// with a reset, unless the agent still has the entry of the refused first packet.
 func TestPacketsOfAnothersFlowStayAway(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
@@ -146,7 +137,7 @@
 	if got := c.holders(); len(got) != 1 || got[0] != 1-slow {
 		t.Fatalf("held by %v, want by the server that answers", got)
 	}
-	// The slow server comes to the first packet now.
+	// The slow server processes the first packet now.
 	w.server(slow).mute = false
 	w.server(slow).take(Segment{Key: c.key, Seq: c.seq, Syn: true})
 	before := len(w.server(slow).got)
@@ -154,17 +145,16 @@
 		c.request(balancerB)
 	}
 	if got := w.server(slow).got[before:]; len(got) > 0 {
-		t.Fatalf("the other server was handed %d packets of the flow", len(got))
+		t.Fatalf("the slow server received %d packets of the flow", len(got))
 	}
 	if c.served() == 0 {
-		t.Fatal("the flow's own server was not reached")
+		t.Fatal("the server that holds the flow received no request")
 	}
 }
 
-// Symptom: a new flow at a draining server.
-// Sequence: a caller uses its port again. The agent remembers the port's old
-// flow, and passes the first packet on as a copy of the old one's.
-// Cause: flows were told apart by addresses and ports alone.
+// Guards against a new flow at a draining server: a caller reuses its port while the agent
+// still has the port's old flow. If flows are distinguished by addresses and ports alone,
+// the new first packet is forwarded as a copy of the old one.
 func TestPortUsedAgainIsNewFlow(t *testing.T) {
 	w := newWorld(t, 1)
 	c := w.caller(1000, listingPort)
@@ -175,17 +165,15 @@
 	c.seq += 12345
 	c.open(balancerA, 0)
 	if got := w.server(0).got[before:]; len(got) > 0 {
-		t.Fatalf("draining server was handed %+v", got)
+		t.Fatalf("draining server received %+v", got)
 	}
 }
 
-// Symptom: a flow gets nowhere, or is reset, after its caller's port was used
-// before at another server.
-// Sequence: a balancer that does not know the new flow asks all agents; the one
-// that remembers the port's old flow claims it.
-// Cause: any acknowledgement within a wide window of the old flow's first
-// sequence number counted as one of the old flow.
-func TestOldFlowOfPortIsNotTheNewOne(t *testing.T) {
+// Guards against a flow that gets no answer or is reset after its caller's port was used
+// at another server: a balancer looks up the new flow at all agents, and the one that has
+// the port's old flow claims it. This happens if an acknowledgement within a wide window of
+// the old flow's first sequence number is accepted as one of the old flow.
+func TestOldFlowDoesNotMatchReusedPort(t *testing.T) {
 	w := newWorld(t, 1)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
@@ -194,41 +182,39 @@
 	before := len(w.server(0).got)
 	c.send(balancerB, Segment{Seq: c.seq + 999, Ack: a.Seq + 5000, HasAck: true, Data: 10})
 	if got := w.server(0).got[before:]; len(got) > 0 {
-		t.Fatalf("the old flow's server was handed %+v", got)
+		t.Fatalf("the old flow's server received %+v", got)
 	}
 }
 
-// Symptom: after power was lost everywhere, a service recovers to a fraction of
-// what it serves, for as long as the load lasts.
-// Sequence: callers give up while their flows wait; the server answers first
-// packets that nobody confirms; each counts as a request until it is forgotten
-// seconds later, and takes the room of a flow that would be served.
-// Cause: a flow counted as a request from its first packet on, without end.
+// Guards against a service that, after a power loss everywhere, recovers to a fraction of
+// its throughput for as long as the load lasts: callers give up while their flows wait, and
+// the server answers first packets whose flows are never confirmed. If such flows count as
+// requests until their entries expire seconds later, they use up the server's capacity.
 func TestUnconfirmedFlowsStopCounting(t *testing.T) {
 	w := newWorld(t, 1)
-	room := w.gate(0).requestCapacity()
-	for i := range room {
+	capacity := w.gate(0).requestCapacity()
+	for i := range capacity {
 		if m := w.offerTo(0, listing, uint16(2000+i)); m.Kind != Taken {
 			t.Fatalf("flow %d: %v, %v", i, m.Kind, m.Reason)
 		}
 	}
 	if m := w.offerTo(0, listing, 3000); m.Reason != ReasonBusy {
-		t.Fatalf("no room: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer without capacity: %v, %v", m.Kind, m.Reason)
 	}
 	w.now = w.now.Add(confirmTimeout)
 	w.tick()
 	if m := w.offerTo(0, listing, 3001); m.Kind != Taken {
-		t.Fatalf("after the callers gave up: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer after the callers gave up: %v, %v", m.Kind, m.Reason)
 	}
 }
 
-// A flow that waits for room is served when there is some: what can be in time
-// before what is late, the urgent before the others.
+// Flows that wait for capacity are served once there is some: those that can be in time
+// before late ones, urgent ones before others.
 func TestWaitingFlowsInOrder(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
-	room := g.requestCapacity()
-	for i := range room {
+	capacity := g.requestCapacity()
+	for i := range capacity {
 		w.offerTo(0, listing, uint16(2000+i))
 	}
 	wait := func(port uint16, priority uint8, onTime time.Duration) Key {
@@ -243,24 +229,23 @@
 	plain := wait(3001, 2, 300*time.Millisecond)
 	urgent := wait(3002, 1, 300*time.Millisecond)
 	before := len(w.server(0).got)
-	w.now = w.now.Add(confirmTimeout) // the flows before were never confirmed
+	w.now = w.now.Add(confirmTimeout) // the flows that fill the capacity are not confirmed
 	w.tick()
 	got := w.server(0).got[before:]
 	want := []Key{urgent, plain, late}
 	if len(got) != len(want) {
-		t.Fatalf("%d flows were passed on, want %d", len(got), len(want))
+		t.Fatalf("%d flows reached the server, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if got[i].Key != want[i] {
-			t.Errorf("place %d: port %d, want %d", i, got[i].Key.CallerPort, want[i].CallerPort)
+			t.Errorf("position %d: port %d, want %d", i, got[i].Key.CallerPort, want[i].CallerPort)
 		}
 	}
 }
 
-// Symptom: flows wait at an agent whose server has begun to leave.
-// Sequence: flows wait for room, and the server says that it drains.
-// Cause: what waits had passed the gate when the server was ready.
-func TestWaitingFlowsLeaveDrainingServer(t *testing.T) {
+// Guards against a waiting flow that reaches a draining server: it was queued while the
+// server was ready, and the server starts to drain before there is capacity for the flow.
+func TestDrainingServerGetsNoWaitingFlows(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
 	for i := range g.requestCapacity() {
@@ -275,18 +260,17 @@
 	w.now = w.now.Add(confirmTimeout)
 	w.tick()
 	if got := w.server(0).got[before:]; len(got) > 0 {
-		t.Fatalf("draining server was handed %+v", got)
+		t.Fatalf("draining server received %+v", got)
 	}
 	if n := len(g.queue); n > 0 {
-		t.Fatalf("%d flows wait at a draining server", n)
+		t.Fatalf("%d flows are queued for a draining server", n)
 	}
 }
 
-// Symptom: an open flow is reset although its server holds it.
-// Sequence: a server starts and sends its first heartbeat; flows are opened; the
-// agent is killed before the second heartbeat, and starts again.
-// Cause: the second heartbeat of an instance, heard first, counted as a sign that
-// the agent had seen all of the instance's flows.
+// Guards against a reset of an open flow whose server holds it: flows are opened after a
+// server's first heartbeat, and the agent is killed and restarted before the second one.
+// If the second heartbeat, the first that the new agent process receives, counts as proof
+// that the agent has seen all flows of the instance, it reports the flows as not held.
 func TestAgentRestartedEarlyIsNotSure(t *testing.T) {
 	w := newWorld(t, 1)
 	w.server(0).instance = "i-new"
@@ -302,12 +286,11 @@
 	}
 }
 
-// Symptom: an open flow is reset although its server holds it.
-// Sequence: a balancer stands still; a copy of a flow's first packet opens the
-// flow through another one. The first balancer goes on and passes the first
-// packet that had waited in its socket to the flow's server, which answers it
-// once more. Then the caller's next packet is refused as another flow's.
-// Cause: the repeated answer set back what the server was known to have sent.
+// Guards against a reset of an open flow whose server holds it: a balancer pauses, and a
+// copy of the flow's first packet opens the flow through another balancer. The first
+// balancer resumes and forwards the first packet from its socket; the server answers it
+// again. If this repeated answer resets the record of what the server has sent, the
+// caller's next packet is taken for one of another flow.
 func TestRepeatedAnswerLeavesFlowOpen(t *testing.T) {
 	w := newWorld(t, 1)
 	c := w.caller(1000, listingPort)
@@ -321,13 +304,11 @@
 	}
 }
 
-// Symptom: an open flow is reset while its server holds it.
-// Sequence: answers of the agent that holds the flow to a balancer get lost.
-// Another agent starts while its server is down, and is asked for the flow; it asks
-// the server, which does not react. A new instance of that server starts. The agent
-// is asked for the flow again.
-// Cause: whatever the old instance had been asked about counts as lost with it, and
-// a flow that one agent calls lost is looked for nowhere else.
+// Guards against a reset of an open flow whose server holds it: the replies of the holding
+// agent to a balancer get lost. Another agent, recently started, receives the lookup and
+// probes its server, which does not answer; then a new instance of that server starts, and
+// the lookup comes again. If a probed flow counts as lost with the old instance, the
+// balancer ends the lookup and resets the flow.
 func TestSoughtFlowIsNotLostWithAnInstance(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1, listingPort)
--- a/flow/load_test.go
+++ b/flow/load_test.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// loadRun plays callers against balancers, agents and servers with slots, a
-// millisecond at a time. It answers what callers got: so many in time, late, not.
+// loadRun simulates callers, balancers, agents and servers with slots in steps of a
+// millisecond, and counts the answers that callers receive in time and late.
 type loadRun struct {
-	w       *world
-	rng     *rand.Rand
-	start   time.Time
-	at      map[int][]func() // by milliseconds from start
-	ms      int
-	servers []*loadServer
-	flows   map[Key]*loadRequest
-	port    uint16
-	answers int // of w.toCaller and w.resets that were looked at
-	resets  int
-	inTime  int
-	late    int
-	asked   int
+	w            *world
+	rng          *rand.Rand
+	start        time.Time
+	scheduled    map[int][]func() // calls by the millisecond after start in which they are due
+	ms           int
+	servers      []*loadServer
+	flows        map[Key]*loadRequest
+	port         uint16
+	answersSeen  int // number of entries of w.toCaller that were processed
+	resetsSeen   int
+	inTime       int
+	late         int
+	requestsSent int
 }
 
-// loadServer works on so many requests at once, and queues the others.
+// loadServer processes loadSlots requests at once and queues the others.
 type loadServer struct {
 	n       int
 	busy    int
 	waiting []Segment
 }
 
-// loadRequest is one request with its repeats.
+// loadRequest is one request with its attempts.
 type loadRequest struct {
-	sent   time.Time // first attempt; zero: before the start
-	tries  int
-	key    Key
-	state  loadState
-	caller *testCaller
+	sent     time.Time // time of the first attempt; may be before the start of the run
+	attempts int
+	key      Key
+	state    loadState
+	caller   *testCaller
 }
 
+// loadState is the state of the current attempt of a request.
 type loadState uint8
 
 const (
@@ -50,58 +51,61 @@
 )
 
 const (
-	loadSlots    = 3
-	loadWork     = 35 * time.Millisecond // of a cold server, in the mean
-	loadWay      = 3                     // milliseconds from a caller to the VMs
-	loadTarget   = 200 * time.Millisecond
-	loadDeadline = 1200 * time.Millisecond
-	loadTries    = 3
+	loadSlots       = 3
+	loadServiceTime = 35 * time.Millisecond // mean of a cold server
+	loadDelayMs     = 3                     // one way between a caller and the VMs
+	loadTarget      = 200 * time.Millisecond
+	loadDeadline    = 1200 * time.Millisecond
+	loadMaxAttempts = 3
 )
 
-// newLoadRun returns a fleet that has just started, whole.
+// newLoadRun returns a run with a fleet all of whose processes have just started.
 func newLoadRun(t *testing.T, agents int, seed uint64) *loadRun {
 	w := newWorld(t, agents)
 	w.startAll(3)
-	r := &loadRun{w: w, rng: rand.New(rand.NewPCG(seed, 5)), start: w.now, at: map[int][]func(){}, flows: map[Key]*loadRequest{}, port: 20000}
+	r := &loadRun{w: w, rng: rand.New(rand.NewPCG(seed, 5)), start: w.now, scheduled: map[int][]func(){}, flows: map[Key]*loadRequest{}, port: 20000}
 	for n := range agents {
 		s := &loadServer{n: n}
 		r.servers = append(r.servers, s)
-		w.server(n).hold = func(q Segment) { r.arrive(s, q) }
+		w.server(n).hold = func(q Segment) { r.startWork(s, q) }
 		w.gate(n).Heartbeat(w.now, Heartbeat{Instance: w.server(n).instance, Sequence: 4, Service: listing, Slots: loadSlots})
 	}
 	w.settle()
 	return r
 }
 
-func (r *loadRun) after(ms int, f func()) { r.at[r.ms+max(ms, 1)] = append(r.at[r.ms+max(ms, 1)], f) }
+// schedule runs f after the given number of milliseconds, at least one.
+func (r *loadRun) schedule(ms int, f func()) {
+	r.scheduled[r.ms+max(ms, 1)] = append(r.scheduled[r.ms+max(ms, 1)], f)
+}
 
-func (r *loadRun) via() netip.AddrPort {
+func (r *loadRun) randomBalancer() netip.AddrPort {
 	return []netip.AddrPort{balancerA, balancerB}[r.rng.IntN(2)]
 }
 
-// request begins an attempt of a request, on a flow of its own.
+// attempt starts an attempt of a request on a new flow.
 func (r *loadRun) attempt(q *loadRequest) {
-	if q.state == loadDone || q.tries == loadTries {
+	if q.state == loadDone || q.attempts == loadMaxAttempts {
 		return
 	}
-	q.tries++
+	q.attempts++
 	q.state = loadOpening
 	r.port++
 	c := r.w.caller(r.port, listingPort)
 	q.caller, q.key = c, c.key
 	r.flows[c.key] = q
-	via := r.via()
+	via := r.randomBalancer()
 	for copies, ms := range []int{0, 200, 600} {
-		r.after(loadWay+ms, func() {
+		r.schedule(loadDelayMs+ms, func() {
 			if r.flows[c.key] == q && q.state == loadOpening {
 				c.open(via, uint32(copies))
 			}
 		})
 	}
-	r.after(1400, func() { r.fail(q, c.key) })
+	r.schedule(1400, func() { r.fail(q, c.key) })
 }
 
-// fail ends an attempt; the next one begins at once.
+// fail ends an attempt and starts the next one at once.
 func (r *loadRun) fail(q *loadRequest, key Key) {
 	if r.flows[key] != q || q.key != key || q.state != loadOpening {
 		return
@@ -110,25 +114,26 @@
 	r.attempt(q)
 }
 
-// arrive has a server work on a request, or queue it.
-func (r *loadRun) arrive(s *loadServer, q Segment) {
+// startWork has a server process a request, or queues it if all slots are busy.
+func (r *loadRun) startWork(s *loadServer, q Segment) {
 	if s.busy == loadSlots {
 		s.waiting = append(s.waiting, q)
 		return
 	}
 	s.busy++
-	work := int(float64(loadWork.Milliseconds()) * (0.5 + r.rng.Float64()))
-	r.after(work, func() {
+	work := int(float64(loadServiceTime.Milliseconds()) * (0.5 + r.rng.Float64()))
+	r.schedule(work, func() {
 		s.busy--
 		r.answer(s, q)
 		if len(s.waiting) > 0 {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
-			r.arrive(s, next)
+			r.startWork(s, next)
 		}
 	})
 }
 
+// answer sends a server's answer to a request, unless the server no longer has its flow.
 func (r *loadRun) answer(s *loadServer, q Segment) {
 	f := r.w.server(s.n).flows[q.Key]
 	if f == nil {
@@ -139,9 +144,10 @@
 	r.w.settle()
 }
 
-// look takes what came for callers in this millisecond.
-func (r *loadRun) look() {
-	for _, s := range r.w.toCaller[r.answers:] {
+// processResults processes the packets and resets that callers received in this
+// millisecond.
+func (r *loadRun) processResults() {
+	for _, s := range r.w.toCaller[r.answersSeen:] {
 		q := r.flows[s.Key]
 		if q == nil || q.key != s.Key {
 			continue
@@ -149,32 +155,32 @@
 		switch {
 		case s.Syn && q.state == loadOpening:
 			q.state = loadOpen
-			r.after(2*loadWay, func() {
+			r.schedule(2*loadDelayMs, func() {
 				if q.state == loadOpen {
-					q.caller.send(r.via(), Segment{Seq: q.caller.seq + 1, Ack: s.Seq + 1, HasAck: true, Data: 50})
+					q.caller.send(r.randomBalancer(), Segment{Seq: q.caller.seq + 1, Ack: s.Seq + 1, HasAck: true, Data: 50})
 				}
 			})
 		case s.Data > 0 && q.state == loadOpen:
 			q.state = loadDone
-			r.credit(q)
+			r.countAnswer(q)
 		}
 	}
-	r.answers = len(r.w.toCaller)
-	for _, e := range r.w.resets[r.resets:] {
+	r.answersSeen = len(r.w.toCaller)
+	for _, e := range r.w.resets[r.resetsSeen:] {
 		key := e.Message.Key
 		if q := r.flows[key]; q != nil {
-			r.after(2*loadWay, func() {
+			r.schedule(2*loadDelayMs, func() {
 				q.state = loadOpening
 				r.fail(q, key)
 			})
 		}
 	}
-	r.resets = len(r.w.resets)
+	r.resetsSeen = len(r.w.resets)
 }
 
-// credit counts an answer, if its caller still waits.
-func (r *loadRun) credit(q *loadRequest) {
-	took := r.w.now.Sub(q.sent) + loadWay*time.Millisecond
+// countAnswer counts an answer if it arrives before the caller's deadline.
+func (r *loadRun) countAnswer(q *loadRequest) {
+	took := r.w.now.Sub(q.sent) + loadDelayMs*time.Millisecond
 	switch {
 	case took <= loadTarget:
 		r.inTime++
@@ -183,44 +189,44 @@
 	}
 }
 
-// old adds requests that were sent before the start, on flows that are gone: their
-// callers' packets come by until they are told.
-func (r *loadRun) old(n int) {
+// addOldRequests adds n requests that were sent before the start, on flows that are lost.
+// Their callers send copies of their packets until they are notified.
+func (r *loadRun) addOldRequests(n int) {
 	for range n {
 		r.port++
 		c := r.w.caller(r.port, listingPort)
 		sent := time.Duration(r.rng.IntN(900)) * time.Millisecond
-		q := &loadRequest{sent: r.start.Add(-sent), tries: 1, key: c.key, state: loadOpening, caller: c}
+		q := &loadRequest{sent: r.start.Add(-sent), attempts: 1, key: c.key, state: loadOpening, caller: c}
 		r.flows[c.key] = q
 		first := r.rng.IntN(300)
 		for _, ms := range []int{0, 200, 600} {
-			r.after(first+ms, func() {
+			r.schedule(first+ms, func() {
 				if r.flows[c.key] == q {
-					c.send(r.via(), Segment{Seq: 5, Ack: 77, HasAck: true, Data: 50})
+					c.send(r.randomBalancer(), Segment{Seq: 5, Ack: 77, HasAck: true, Data: 50})
 				}
 			})
 		}
 	}
 }
 
-// fresh adds requests that are sent from now on, so many a second.
-func (r *loadRun) fresh(perSecond int, span time.Duration) {
+// addNewRequests adds requests that are sent from now on at the given mean rate.
+func (r *loadRun) addNewRequests(perSecond int, span time.Duration) {
 	for ms := range int(span.Milliseconds()) {
 		if r.rng.IntN(1000) >= perSecond {
 			continue
 		}
-		r.asked++
-		r.after(ms, func() { r.attempt(&loadRequest{sent: r.w.now}) })
+		r.requestsSent++
+		r.schedule(ms, func() { r.attempt(&loadRequest{sent: r.w.now}) })
 	}
 }
 
-// play lets time pass.
-func (r *loadRun) play(span time.Duration) {
+// run advances the simulation by span.
+func (r *loadRun) run(span time.Duration) {
 	for range int(span.Milliseconds()) {
 		r.ms++
 		r.w.now = r.start.Add(time.Duration(r.ms) * time.Millisecond)
-		due := r.at[r.ms]
-		delete(r.at, r.ms)
+		due := r.scheduled[r.ms]
+		delete(r.scheduled, r.ms)
 		for _, f := range due {
 			f()
 		}
@@ -231,45 +237,41 @@
 			}
 		}
 		r.w.tick()
-		r.look()
+		r.processResults()
 	}
 }
 
-// loadOutcome sums runs with several seeds: old requests of before a start of
-// everything, and fresh ones for two seconds, before 15 slots that work off 430 a
-// second.
-func loadOutcome(t *testing.T, old, perSecond int) (inTime, late int) {
+// loadOutcome returns the sums of runs with several seeds. Each has the given number of
+// requests from before the start of all processes, and new ones for two seconds, for 15
+// slots that process 430 requests per second.
+func loadOutcome(t *testing.T, oldRequests, perSecond int) (inTime, late int) {
 	for seed := range uint64(4) {
 		r := newLoadRun(t, 5, seed)
-		r.old(old)
-		r.fresh(perSecond, 2*time.Second)
-		r.play(4 * time.Second)
+		r.addOldRequests(oldRequests)
+		r.addNewRequests(perSecond, 2*time.Second)
+		r.run(4 * time.Second)
 		inTime += r.inTime
 		late += r.late
 	}
 	return inTime, late
 }
 
-// Symptom: after a loss of power everywhere requests that could be answered in time
-// are late, and callers of before run into their deadlines.
-// Sequence: everything starts together, its servers cold; new requests alone take
-// three quarters of the slots. The callers of flows that ended come by in the first
-// 0.3 s and repeat.
-// Cause: told at once they come back together and take the room of new requests (2,483
-// of 2,673 in time); not told before their agents know what their servers hold, a
-// third of them is served no more (249 late answers).
+// Guards against two failures after a power loss everywhere, when all servers start cold,
+// new requests use three quarters of the slots, and callers of lost flows send packets
+// within 0.3 s and repeat them. Notified at once, these callers use the capacity of new
+// requests (2,483 of 2,673 in time); notified only once the agents know which flows their
+// servers hold, a third of them is not served (249 late answers).
 func TestLoadAfterStart(t *testing.T) {
 	inTime, late := loadOutcome(t, 150, 330)
 	if inTime < 2550 || late < 300 {
-		t.Errorf("%d answers in time, want 2550; %d late, want 300", inTime, late)
+		t.Errorf("%d answers in time, want at least 2550; %d late, want at least 300", inTime, late)
 	}
 }
 
-// Symptom: requests are late while slots are free.
-// Sequence: everything starts together and there is no other load than the usual one.
-// Cause: a policy for overload acts without one.
+// Guards against late answers while slots are free: all processes start together under
+// their usual load, and the overload policy applies although there is no overload.
 func TestUsualLoadAfterStart(t *testing.T) {
 	if inTime, late := loadOutcome(t, 0, 330); late > 0 {
-		t.Errorf("%d answers in time, %d late", inTime, late)
+		t.Errorf("%d answers in time, %d late, want none late", inTime, late)
 	}
 }
--- a/flow/waiting_callers_test.go
+++ b/flow/waiting_callers_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// askReturn asks a gate for room for a caller and returns the kinds of its answers.
-func askReturn(g *Gate, now time.Time, port uint16, wait time.Duration) []MessageKind {
+// requestReservation requests capacity for a caller from a gate and returns the kinds of its replies.
+func requestReservation(g *Gate, now time.Time, port uint16, wait time.Duration) []MessageKind {
 	key := Key{CallerPort: port}
 	g.FromBalancer(now, balancerA, &Message{Kind: ReserveCapacity, Key: key, Service: listing, Wait: wait}, nil, nil)
-	return answersFor(g, key)
+	return repliesFor(g, key)
 }
 
-// answersFor returns the kinds of the messages about a flow.
-func answersFor(g *Gate, key Key) []MessageKind {
+// repliesFor returns the kinds of the messages that a gate sent about a flow.
+func repliesFor(g *Gate, key Key) []MessageKind {
 	var list []MessageKind
 	for _, e := range g.Effects() {
 		if e.Kind == SendMessage && e.Message.Key == key {
@@ -23,6 +23,7 @@
 	return list
 }
 
+// readyGate returns a gate whose server is ready and has the given number of slots.
 func readyGate(now time.Time, slots int) *Gate {
 	g := NewGate(now, GateConfig{Service: listing}, nil)
 	g.Heartbeat(now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: slots})
@@ -30,48 +31,47 @@
 	return g
 }
 
-// Symptom: callers whose flows ended with their server come back in the same moment,
-// are refused as busy, and have spent their tries a moment later.
-// Sequence: power returns everywhere; all callers' flows are gone.
-// Cause: each was told as soon as it was certain that its flow is gone.
+// Guards against callers that all open new flows at the same moment after a power loss
+// everywhere, are refused as busy and use up their attempts at once. This happens if each
+// caller is notified as soon as its flow is known to be lost.
 func TestCallersComeBackAsThereIsRoom(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 3)
-	told := 0
+	notified := 0
 	for port := range uint16(10) {
-		for _, kind := range askReturn(g, now, port, time.Second) {
+		for _, kind := range requestReservation(g, now, port, time.Second) {
 			if kind == CapacityReserved {
-				told++
+				notified++
 			}
 		}
 	}
-	if want := g.callerCapacity(); told != want {
-		t.Errorf("%d callers told at once, want %d", told, want)
+	if want := g.callerCapacity(); notified != want {
+		t.Errorf("%d callers notified at once, want %d", notified, want)
 	}
 	now = now.Add(reservationTTL)
 	g.Tick(now)
 	for _, e := range g.Effects() {
 		if e.Message.Kind == CapacityReserved {
-			told++
+			notified++
 		}
 	}
-	if want := 2 * g.callerCapacity(); told != want {
-		t.Errorf("%d callers told after the first did not come, want %d", told, want)
+	if want := 2 * g.callerCapacity(); notified != want {
+		t.Errorf("%d callers notified after the first reservations expired, want %d", notified, want)
 	}
 }
 
-// Symptom: a caller waits for its deadline although its request can't be served.
-// Sequence: more callers of ended flows wait for room than there is, for too long.
-// Cause: who waits was only told when there was room.
+// Guards against a caller that waits until its deadline although its request can't be
+// served: more callers of ended flows wait than the server has capacity for. This happens
+// if a waiting caller is notified only once there is capacity.
 func TestCallersWithoutRoomAreTold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 1)
 	full := waitingCallersPerSlot + g.callerCapacity()
 	for port := range uint16(full) {
-		askReturn(g, now, port, 100*time.Millisecond)
+		requestReservation(g, now, port, 100*time.Millisecond)
 	}
-	if got := askReturn(g, now, 5000, time.Second); len(got) != 1 || got[0] != Refused {
-		t.Errorf("answers %v to one too many", got)
+	if got := requestReservation(g, now, 5000, time.Second); len(got) != 1 || got[0] != Refused {
+		t.Errorf("replies %v to a caller beyond the limit, want one refusal", got)
 	}
 	now = now.Add(100 * time.Millisecond)
 	g.Tick(now)
@@ -82,31 +82,30 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("nobody is told when the time to wait is over")
+		t.Error("no caller is refused when its wait expires")
 	}
 }
 
-// Symptom: requests that could be answered in time are late.
-// Sequence: after a loss of power more flows wait than can be served.
-// Cause: what came first went first, also if it was late already.
-func TestWhatCanBeInTimeGoesFirst(t *testing.T) {
+// Guards against late answers to requests that could be answered in time: after a power
+// loss more flows wait than can be served, and strict arrival order serves those first that
+// are already late.
+func TestRequestsThatCanBeInTimeGoFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	old := queueEntry{onTimeUntil: now, expiresAt: now.Add(100 * time.Millisecond)}
-	young := queueEntry{onTimeUntil: now, expiresAt: now.Add(time.Second)}
+	lateFirst := queueEntry{onTimeUntil: now, expiresAt: now.Add(100 * time.Millisecond)}
+	lateSecond := queueEntry{onTimeUntil: now, expiresAt: now.Add(time.Second)}
 	urgent := queueEntry{onTimeUntil: now, expiresAt: now.Add(50 * time.Millisecond), urgent: true}
 	early := queueEntry{onTimeUntil: now.Add(time.Millisecond), expiresAt: now.Add(10 * time.Millisecond)}
-	list := []queueEntry{old, young, urgent, early}
-	for _, want := range []queueEntry{early, urgent, old, young} {
+	list := []queueEntry{lateFirst, lateSecond, urgent, early}
+	for _, want := range []queueEntry{early, urgent, lateFirst, lateSecond} {
 		if got := removeNext(&list, now); got.expiresAt != want.expiresAt {
-			t.Errorf("first until %v, want %v", got.expiresAt.Sub(now), want.expiresAt.Sub(now))
+			t.Errorf("served the entry that expires after %v, want the one after %v", got.expiresAt.Sub(now), want.expiresAt.Sub(now))
 		}
 	}
 }
 
-// Symptom: a server answers first packets that nobody confirms.
-// Sequence: a caller sends the second copy of a first packet; there is no room for the
-// rest of its attempt.
-// Cause: a flow could wait for as long whatever copy it began with.
+// Guards against a server that answers first packets whose flows are never confirmed: a
+// flow that was offered with the second copy of its first packet waits for capacity beyond
+// the end of the caller's attempt, because the wait does not depend on the copy.
 func TestWaitEndsWithTheCallersAttempt(t *testing.T) {
 	r := Route{Target: time.Second, Timeout: 8 * time.Second}
 	for copies, passed := range []time.Duration{0, firstCopy, secondCopy} {
@@ -116,10 +115,8 @@
 	}
 }
 
-// Symptom: a balancer asks for flows by the hundreds, and agents answer for none.
-// Sequence: the question for many flows is answered while one of them is held, one has
-// ended and others are not there.
-// Cause: an answer names only flows that there is something to say of.
+// Guards against lookups of many flows that stay unresolved: a query answer names only the
+// flows that are held or lost, and the balancer has to take all others as not held.
 func TestQueryIsAnsweredForAllFlows(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 3)
@@ -128,11 +125,11 @@
 	g.FromServer(now, Segment{Key: open.Key, Seq: 9, Ack: 2, Syn: true, HasAck: true}, []byte{1})
 	g.addFlow(now, Key{CallerPort: 2}, gateLost)
 	g.Effects()
-	question := make([]byte, numberSize)
+	query := make([]byte, numberSize)
 	for port := range uint16(4) {
-		question = append(Key{CallerPort: port}.Append(question), 10, 0, 0, 0)
+		query = append(Key{CallerPort: port}.Append(query), 10, 0, 0, 0)
 	}
-	g.FromBalancer(now, balancerA, &Message{Kind: Query}, nil, question)
+	g.FromBalancer(now, balancerA, &Message{Kind: Query}, nil, query)
 	for _, e := range g.Effects() {
 		if e.Message.Kind != QueryAnswer {
 			continue
@@ -144,5 +141,5 @@
 		}
 		return
 	}
-	t.Error("no answer")
+	t.Error("the query was not answered")
 }
