--- a/flow/agent_restart_test.go
+++ b/flow/agent_restart_test.go
@@ -17,13 +17,13 @@
 	c.request(balancerA)
 	n := c.holders()[0]
 	holder := w.agents[agentAddr(n)]
-	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
-	w.pass(down / 2)
+	w.drops = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
+	w.advance(down / 2)
 	c.acknowledge(balancerB)
-	w.pass(down / 2)
-	w.cut = nil
+	w.advance(down / 2)
+	w.drops = nil
 	w.restartAgent(n)
-	w.beat(n, holder.server.sequence+1, false)
+	w.heartbeat(n, holder.server.sequence+1, false)
 	before := c.served()
 	for range tries {
 		c.acknowledge(balancerB)
@@ -31,7 +31,7 @@
 		if c.served() > before {
 			return
 		}
-		w.pass(repeat)
+		w.advance(repeat)
 	}
 	t.Errorf("no answer in %d tries, %d resets", tries, len(w.resets))
 }
@@ -57,18 +57,18 @@
 	n := c.holders()[0]
 	holder := w.agents[agentAddr(n)]
 	holder.gate.Close(w.now)
-	w.settle()
-	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
-	w.pass(down / 2)
+	w.deliver()
+	w.drops = func(from, to netip.AddrPort) bool { return from == agentAddr(n) || to == agentAddr(n) }
+	w.advance(down / 2)
 	c.request(balancerB)
-	w.pass(down / 2)
-	w.cut = nil
+	w.advance(down / 2)
+	w.drops = nil
 	w.restartAgent(n)
-	w.beat(n, holder.server.sequence+1, false)
+	w.heartbeat(n, holder.server.sequence+1, false)
 	before := c.served()
 	for range tries {
 		c.request(balancerB)
-		w.pass(repeat)
+		w.advance(repeat)
 	}
 	if len(w.resets) > 0 || c.served() == before {
 		t.Errorf("%d resets, %d answers after the restart", len(w.resets), c.served()-before)
--- a/flow/answer_time_test.go
+++ b/flow/answer_time_test.go
@@ -14,10 +14,9 @@
 	}
 }
 
-// Symptom: a server that answers every request with an error within a
-// millisecond draws most of its service's flows.
-// Sequence: a few of a service's servers fail at once and say that they are well.
-// Cause: what fails at once is always idle, and load alone decides.
+// Guards against a server that answers every request with an error within a millisecond
+// and draws most of its service's flows. Such a server reports that it is ready and
+// always looks idle, so the load alone would prefer it.
 func TestHastyAnswersCountAsLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
@@ -25,16 +24,15 @@
 	idle := g.occupancy(now)
 	answerAll(g, &now, 30, time.Millisecond)
 	if failing := g.occupancy(now); failing < idle+80 {
-		t.Fatalf("occupancy %d while failing, %d before", failing, idle)
+		t.Fatalf("occupancy is %d while the server fails, was %d before", failing, idle)
 	}
 }
 
-// Symptom: a service's servers look busy for good after one of them hung, and
-// flows gather at the others.
-// Sequence: a server hangs for a while, and its answers take seconds; then it is
-// well again.
-// Cause: the answers that hung made its mean so high that every usual answer
-// counted as a hasty one, and hasty ones were left out of the mean.
+// Guards against servers that look busy for good after one hang, so that flows gather
+// at the others. A server hangs for a while, its answers take seconds, then it
+// recovers. If the slow answers raised the mean so far that every usual answer counted
+// as implausibly fast, and implausibly fast answers were left out of the mean, the mean
+// would never recover.
 func TestHangDoesNotMakeUsualAnswersHasty(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
@@ -42,6 +40,6 @@
 	answerAll(g, &now, 20, 3*time.Second)
 	answerAll(g, &now, 200, 40*time.Millisecond)
 	if n := g.Stats().ImplausiblyFast; n > 0 {
-		t.Fatalf("%d usual answers counted as hasty", n)
+		t.Fatalf("%d usual answers counted as implausibly fast", n)
 	}
 }
--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// benchWorld returns a balancer that knows n agents of listing, all ready.
+// benchDirector returns a balancer that knows n agents of listing, all ready.
 func benchDirector(n int) (*Director, time.Time) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
@@ -30,7 +30,7 @@
 	packet := make([]byte, 32)
 	d.FromCaller(now, s, packet)
 	e := d.flows[s.Key]
-	d.placed(e, e.agent)
+	d.setHolder(e, e.agent)
 	s.Syn, s.HasAck = false, true
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,9 +54,9 @@
 				m := Message{Kind: Taken, Key: s.Key, State: ServerReady, Service: listing, ReadAge: ReadUnknown}
 				d.FromAgent(now, e.agent, &m, nil, nil)
 				d.Effects()
-				d.forget(s.Key)
-				for d.queue.len() > 0 {
-					d.queue.pop()
+				d.removeEntry(s.Key)
+				for d.offerTimeouts.len() > 0 {
+					d.offerTimeouts.pop()
 				}
 			}
 		})
@@ -75,9 +75,9 @@
 				s := Segment{Key: benchKey(i), Seq: 1, Ack: 2, HasAck: true, Data: 68}
 				d.FromCaller(now, s, packet)
 				d.Effects()
-				d.forget(s.Key)
-				for d.asking.len() > 0 {
-					d.asking.pop()
+				d.removeEntry(s.Key)
+				for d.lookupRetries.len() > 0 {
+					d.lookupRetries.pop()
 				}
 			}
 		})
@@ -102,26 +102,26 @@
 	}
 }
 
-// A packet of a known flow costs no allocation in a balancer or an agent: the
-// collector would else take the small VMs' processors.
+// A packet of a known flow allocates nothing in a balancer: the garbage collector would
+// otherwise take the small VMs' processors.
 func TestKnownFlowAllocatesNothing(t *testing.T) {
 	d, now := benchDirector(7)
 	s := Segment{Key: benchKey(1), Seq: 1, Syn: true}
 	packet := make([]byte, 32)
 	d.FromCaller(now, s, packet)
 	e := d.flows[s.Key]
-	d.placed(e, e.agent)
+	d.setHolder(e, e.agent)
 	s.Syn, s.HasAck = false, true
 	if n := testing.AllocsPerRun(1000, func() {
 		d.FromCaller(now, s, packet)
 		d.Effects()
 	}); n != 0 {
-		t.Errorf("%v allocations a packet", n)
+		t.Errorf("%v allocations per packet", n)
 	}
 }
 
-// BenchmarkMemory reports the live heap that each remembered flow takes at a
-// balancer and at an agent.
+// BenchmarkMemory reports the live heap per flow in the tables of a balancer and an
+// agent.
 func BenchmarkMemory(b *testing.B) {
 	const flows = 60_000
 	report := func(b *testing.B, fill func() any) {
@@ -143,7 +143,7 @@
 			for i := range flows {
 				if i%1000 == 0 {
 					now = now.Add(2 * DefaultOpenTimeout)
-					d.Tick(now) // drops the timeouts of offers that were answered
+					d.Tick(now) // removes the timeouts of answered offers
 				}
 				s := Segment{Key: benchKey(i), Seq: 1, Syn: true}
 				d.FromCaller(now, s, packet)
@@ -170,10 +170,9 @@
 	})
 }
 
-// Symptom: on a small VM a flood of first packets or of packets of unknown flows
-// takes the processor from open flows.
-// Sequence: each such packet allocates, and the collector runs without end.
-// Cause: memory of flows that ended was not used again.
+// Guards against a flood of first packets or packets of unknown flows that takes a
+// small VM's processor from open flows. If each such packet allocated instead of
+// reusing the memory of ended flows, the garbage collector would run without end.
 func TestPacketsAllocateNothing(t *testing.T) {
 	packet := make([]byte, 100)
 	d, now := benchDirector(47)
@@ -188,18 +187,18 @@
 			key := benchKey(i)
 			d.FromCaller(now, Segment{Key: key, Seq: 1, Syn: true}, packet[:32])
 			d.FromAgent(now, d.flows[key].agent, &Message{Kind: Taken, Key: key, State: ServerReady, Service: listing, ReadAge: ReadUnknown}, nil, nil)
-			d.forget(key)
-			d.queue.pop()
+			d.removeEntry(key)
+			d.offerTimeouts.pop()
 		}},
 		{"unknown flow", func(i int) {
 			d.FromCaller(now, Segment{Key: benchKey(i), Seq: 1, Ack: 2, HasAck: true, Data: 68}, packet)
-			d.forget(benchKey(i))
-			d.asking.pop()
+			d.removeEntry(benchKey(i))
+			d.lookupRetries.pop()
 		}},
 	} {
 		known := benchKey(1)
 		d.FromCaller(now, Segment{Key: known, Seq: 1, Syn: true}, packet[:32])
-		d.placed(d.flows[known], d.flows[known].agent)
+		d.setHolder(d.flows[known], d.flows[known].agent)
 		d.Effects()
 		i := 1
 		run := func() {
@@ -211,12 +210,12 @@
 			run()
 		}
 		if n := testing.AllocsPerRun(1000, run); n != 0 {
-			t.Errorf("%s: %v allocations a packet", c.name, n)
+			t.Errorf("%s: %v allocations per packet", c.name, n)
 		}
 	}
 }
 
-// The same for an agent, where a flow is opened, used and forgotten.
+// The same for an agent, where a flow is opened, used and removed.
 func TestAgentsPacketsAllocateNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
@@ -241,6 +240,6 @@
 		run()
 	}
 	if n := testing.AllocsPerRun(1000, run); n != 0 {
-		t.Errorf("%v allocations a flow", n)
+		t.Errorf("%v allocations per flow", n)
 	}
 }
--- a/flow/director.go
+++ b/flow/director.go
@@ -8,134 +8,134 @@
 )
 
 const (
-	// HelloEvery is the time between two messages that make a balancer known
-	// to an agent.
+	// HelloEvery is the shortest interval between two hello messages to an agent.
 	HelloEvery = time.Second
-	// maxBusy is the number of agents that may refuse a flow as busy: they are
+	// maxBusyRefusals is the number of agents that may refuse a flow as busy. They are
 	// the least loaded ones, so a fourth would refuse it too.
-	maxBusy = 3
-	// maxTried bounds the agents that one flow is offered to.
-	maxTried = 8
-	// lastCopy is the count in the last copy of a first packet that a caller
-	// sends.
-	lastCopy = 2
-	// askFirst is the number of agents that an unknown flow is looked for at
-	// first: a flow is placed among the first seven that were ready in its
-	// rendezvous order, so a few that were not may stand between them.
-	askFirst = 12
-	// askAllUpTo is the number of agents in the fleet up to which all of them
-	// are asked at once.
-	askAllUpTo = 16
-	// absentAfter is the time after which an agent that was introduced and never
-	// heard counts as gone: above the time that a process takes to start.
-	absentAfter = time.Second
-	// askEvery is the time after which agents that have not answered are asked
-	// again, and maxAsked how often.
-	askEvery = 80 * time.Millisecond
-	maxAsked = 3
-	// maxKept is the number of packets kept of a flow that is being looked for.
-	maxKept = 8
-	// pauseAfter is the time between two ticks that means that the process
-	// stood still: the silence of others in that time says nothing.
-	pauseAfter = 400 * time.Millisecond
-	// retransmission is the least time after which a caller repeats a packet.
-	retransmission = 150 * time.Millisecond
+	maxBusyRefusals = 3
+	// maxOffers bounds the agents that one flow is offered to.
+	maxOffers = 8
+	// lastRetransmission is the copy count in the last copy of a first packet that a
+	// caller sends.
+	lastRetransmission = 2
+	// lookupFanout is the number of agents that are queried first for an unknown flow.
+	// A flow is placed among the first seven ready agents in its rendezvous order, and
+	// a few that were not ready may stand between them.
+	lookupFanout = 12
+	// queryAllLimit is the fleet size up to which all agents are queried at once.
+	queryAllLimit = 16
+	// firstContactTimeout is the time after which an agent that was added and never
+	// sent a message counts as failed. It is above the time that a process takes to
+	// start.
+	firstContactTimeout = time.Second
+	// queryRetryInterval is the time after which agents that have not answered are
+	// queried again, and maxQueryAttempts the number of times.
+	queryRetryInterval = 80 * time.Millisecond
+	maxQueryAttempts   = 3
+	// maxBufferedPackets is the number of packets buffered per flow during a lookup.
+	maxBufferedPackets = 8
+	// pauseThreshold is the time between two ticks that shows that this process was
+	// paused, so that messages missing in that time say nothing about their senders.
+	pauseThreshold = 400 * time.Millisecond
+	// minRetransmissionTime is the shortest time after which a caller repeats a packet.
+	minRetransmissionTime = 150 * time.Millisecond
 	// queueTimeout is above the longest time that an agent lets a flow wait.
-	queueTimeout = attemptEnd + 2*DefaultOpenTimeout
-	// sweepEvery is the time between two looks for flows that have ended.
-	sweepEvery = time.Second
-	// synSize bounds the first packets that are kept for another offer, bytes.
-	synSize = 64
+	queueTimeout = attemptTimeout + 2*DefaultOpenTimeout
+	// sweepInterval is the time between two scans for flows that have ended.
+	sweepInterval = time.Second
+	// maxFirstPacketSize bounds the first packets that are kept for another offer, in
+	// bytes.
+	maxFirstPacketSize = 64
 )
 
 // DirectorStats counts what a Director did. All but the gauges only grow.
 type DirectorStats struct {
-	Flows, Opening, Returning, Agents, Ready int // gauges
-	Offered, Taken                           uint64
-	Refusals                                 [Reasons]uint64 // by agents, or for want of their answer
-	Resets                                   [Reasons]uint64 // sent to callers
-	Dropped                                  [Reasons]uint64 // packets
-	Lookups, Found                           uint64          // flows
-	Evicted                                  uint64          // flows forgotten for want of use
+	Flows, Opening, PendingResets, Agents, Ready int // gauges
+	Offered, Taken                               uint64
+	Refusals                                     [Reasons]uint64 // by agents, or because an agent did not answer
+	Resets                                       [Reasons]uint64 // sent to callers
+	Dropped                                      [Reasons]uint64 // packets
+	Lookups, Found                               uint64          // flows
+	Evicted                                      uint64          // flows removed because they were idle or too old
 }
 
-// agent is what a balancer knows about one agent.
+// agent is one agent as a balancer knows it.
 type agent struct {
-	addr        netip.AddrPort
-	service     ServiceID
-	state       ServerState
-	incarnation uint64
-	zone        uint32 // ZoneID of its availability zone; 0: not known
-	local       bool   // in the balancer's own zone
-	introduced  time.Time
-	vouched     bool      // introduced by a balancer that had heard it
-	toldAt      time.Time // when other balancers have heard it, as far as they told
-	heard       time.Time // zero: introduced, never heard
-	silent      bool      // left out of new flows until it answers again
-	empty       bool      // its server held no flow and got none when it was heard last
-	young       bool      // it and its server had just started when they first met
-	silentAt    time.Time // when it was left out
-	absent      bool      // need not answer searches, as of the last look
-	asked       int       // questions of searches since it was heard last
-	askedAt     time.Time // the first of them
-	helloAt     time.Time // when it is greeted next
+	addr              netip.AddrPort
+	service           ServiceID
+	state             ServerState
+	incarnation       uint64
+	zone              uint32 // ZoneID of its availability zone; 0: unknown
+	local             bool   // in the balancer's own zone
+	addedAt           time.Time
+	confirmedByPeer   bool      // named by a balancer that had received messages from it
+	peerReceivedAt    time.Time // when other balancers last received a message from it, as they reported
+	receivedAt        time.Time // last message from it; zero: none yet
+	unresponsive      bool      // gets no new flows until it answers again
+	holdsNoFlows      bool      // at its last message its server held no flow and got none
+	recentlyStarted   bool      // it and its server had recently started when they first made contact
+	unresponsiveSince time.Time // when it became unresponsive
+	answerOptional    bool      // lookups need not wait for its answer, as of the last check
+	unansweredQueries int       // queries sent since its last message
+	firstUnansweredAt time.Time // when the first of them was sent
+	nextHelloAt       time.Time // when the next hello is due
 }
 
-// takesFlows reports whether the agent says that it takes new flows.
-func (a *agent) takesFlows() bool { return a.state == ServerReady && !a.silent }
+// takesFlows reports whether the agent's server accepts new flows, by its last message.
+func (a *agent) takesFlows() bool { return a.state == ServerReady && !a.unresponsive }
 
 // mayOffer reports whether the agent may be offered a new flow.
 func (d *Director) mayOffer(a *agent) bool { return a.takesFlows() && d.inService(a) }
 
-// gone reports whether the agent's server has ended. Such an agent stays known as
-// long as it is heard: removed, it was added again with each of its reports, and
-// named by other balancers it held up searches for the 6 s in which an agent that
-// others hear must be waited for.
-func (a *agent) gone() bool { return a.state == ServerEnded }
+// ended reports whether the agent's server has ended. Such an agent stays in the table
+// as long as it sends messages. If it were removed, each of its reports would add it
+// again; named by other balancers, it would hold up lookups for the 6 s in which an
+// agent that others receive messages from must be waited for.
+func (a *agent) ended() bool { return a.state == ServerEnded }
 
-// service is the agents of one service.
+// service holds the placement tables of one service.
 type service struct {
-	all   *placement.Table // every agent known, for looking flows up
-	ready *placement.Table // those that take new flows
+	all   *placement.Table // every known agent, for lookups
+	ready *placement.Table // those that accept new flows
 }
 
 type entryState uint8
 
 const (
-	entryOpening   entryState = iota // being offered
-	entryPlaced                      // at entry.agent
-	entrySought                      // being looked for
-	entryReturning                   // has ended; its caller is told when there is room for it
+	entryOpening      entryState = iota // being offered
+	entryPlaced                         // at entry.agent
+	entryLookup                         // being looked up
+	entryResetPending                   // has ended; its caller is notified when there is capacity for its next flow
 )
 
-// entry is one flow that a balancer remembers.
+// entry is one flow in a balancer's table.
 type entry struct {
 	state  entryState
-	agent  netip.AddrPort // the agent offered to, or that holds the flow
-	opener uint32         // sequence number of the first packet, if it came by here
+	agent  netip.AddrPort // the agent that the flow is offered to, or that holds it
+	opener uint32         // sequence number of the first packet, if this balancer saw it
 	opened time.Time
 	used   time.Time
-	open   *opening // while entryOpening
-	seek   *seek    // while entrySought
+	open   *opening // set in entryOpening
+	lookup *lookup  // set in entryLookup
 
-	returning *returning // while entryReturning
+	reset *pendingReset // set in entryResetPending
 }
 
 // opening is a flow that is being offered to agents.
 type opening struct {
-	key     Key
-	opener  uint32 // sequence number of the first packet
-	route   Route
-	service ServiceID // of the route, for this flow
-	tried   [maxTried]netip.AddrPort
-	tries   int
-	busy    int  // agents that refused because of load
-	mayWait bool // offered to wait for room
-	copies  uint32
-	serial  uint64 // of the wait for an agent's answer
-	since   time.Time
-	syn     [synSize]byte
-	synLen  int
+	key       Key
+	opener    uint32 // sequence number of the first packet
+	route     Route
+	service   ServiceID // of the route, for this flow
+	tried     [maxOffers]netip.AddrPort
+	tries     int
+	busy      int  // number of agents that refused because of load
+	mayWait   bool // offered with permission to wait for capacity
+	copies    uint32
+	serial    uint64 // of the wait for an agent's answer
+	startedAt time.Time
+	syn       [maxFirstPacketSize]byte
+	synLen    int
 }
 
 func (o *opening) wasTried(a netip.AddrPort) bool {
@@ -147,91 +147,91 @@
 	return false
 }
 
-// seek is a flow that is being looked for.
-type seek struct {
-	serial  uint64
-	asked   []question
-	all     bool // every agent of the fleet was asked
-	begun   time.Time
-	since   time.Time // of the packet that it is looked for with
-	segment Segment
-	packet  []byte
-	unsure  bool     // stands in Director.unsure
-	blocked bool     // stands in Director.blocked
-	again   int      // times that agents were asked again
-	kept    [][]byte // packets that came meanwhile
+// lookup is the lookup of a flow that the balancer does not know.
+type lookup struct {
+	serial        uint64
+	targets       []lookupTarget
+	allQueried    bool // every agent of the fleet was queried
+	startedAt     time.Time
+	lastAttemptAt time.Time // when the packet that is sent with the queries arrived
+	segment       Segment
+	packet        []byte
+	unconfirmed   bool     // listed in Director.unconfirmed
+	blocked       bool     // listed in Director.blockedLookups
+	retries       int      // number of times that agents were queried again
+	buffered      [][]byte // packets that arrived during the lookup
 }
 
-// question is an agent that was asked for a flow.
-type question struct {
-	agent    netip.AddrPort
-	answered bool
-	waits    bool // to be sent
-	unsure   bool // it could not tell
+// lookupTarget is an agent that was queried for a flow.
+type lookupTarget struct {
+	agent        netip.AddrPort
+	answered     bool
+	queryPending bool // not sent yet
+	uncertain    bool // the agent does not know whether its server holds the flow
 }
 
-// question returns the question to an agent, nil if it was not asked.
-func (k *seek) question(agent netip.AddrPort) *question {
-	for i := range k.asked {
-		if k.asked[i].agent == agent {
-			return &k.asked[i]
+// target returns the entry of an agent, nil if it was not queried.
+func (k *lookup) target(agent netip.AddrPort) *lookupTarget {
+	for i := range k.targets {
+		if k.targets[i].agent == agent {
+			return &k.targets[i]
 		}
 	}
 	return nil
 }
 
-// asking is when the agents that have not answered are asked again.
-type asking struct {
-	seekRef
+// lookupRetry is the time at which agents that have not answered are queried again.
+type lookupRetry struct {
+	lookupRef
 	at time.Time
 }
 
 // Director is the state machine of a balancer.
 type Director struct {
-	cfg          DirectorConfig
-	place        placement.Config
-	regions      map[uint32]uint32 // of availability zones, both by ZoneID
-	orders       *Orders
-	lacking      lackingZones
-	newestOrders uint64    // number of the newest orders that anybody spoke of
-	readAt       time.Time // when somebody last read the orders in the store
-	agents       map[netip.AddrPort]*agent
-	services     map[ServiceID]*service
-
-	heardAny        bool                         // some agent was heard in this process
-	missing         map[netip.AddrPort]time.Time // agents that fell silent without a word, and when
-	balancers       map[netip.AddrPort]time.Time // others, and when they were heard; zero: never
-	rosterKnown     bool                         // one of them told its agents
-	othersNew       bool                         // one of them said that it has just started
-	listed          bool                         // the store has named the agents that it knows
-	othersStarted   bool                         // all agents that were heard have just started
-	everyoneStarted bool                         // all agents have
-	rosterAt        time.Time                    // when they are asked next
-	confirm         confirmation                 // that the agents known are all
-	news            []byte                       // agents that others are told of, as in a roster
-	newsAt          time.Time                    // when they are told
-
-	load           *placement.Load
-	flows          map[Key]*entry
-	spare          freeLists
-	queries        queries          // questions of searches
-	serial         uint64           // of the latest wait or seek
-	queue          fifo[due]        // flows offered, in the order of time
-	queued         fifo[due]        // flows that wait for room at an agent, in the order of time
-	returns        fifo[returnDue]  // callers whose agent is asked for room, in the order of time
-	waitingReturns fifo[returnDue]  // callers that wait for room at an agent, in the order of their times
-	asking         fifo[asking]     // flows whose agents are asked again, in the order of time
-	targets        []netip.AddrPort // scratch: agents that are asked next
-	unsure         []*seek          // flows that nobody holds, as far as is known yet
-	blocked        []seekRef        // searches that some agent has not answered
-	fewer          bool             // there are fewer agents to answer than there were
-	started        time.Time
-	now            time.Time // of the call being worked on
-	tickAt         time.Time // last tick
-	sweptAt        time.Time
-	stats          DirectorStats
-	out            []Effect
-	trace          Tracer
+	cfg              DirectorConfig
+	place            placement.Config
+	regions          map[uint32]uint32 // of availability zones, both by ZoneID
+	orders           *Orders
+	unconfirmedZones unconfirmedZones
+	newestOrders     uint64    // number of the newest orders that any process has reported
+	readAt           time.Time // when any process last read the orders from the store
+	agents           map[netip.AddrPort]*agent
+	services         map[ServiceID]*service
+
+	agentReached             bool                         // some agent has sent a message to this process
+	failedAgents             map[netip.AddrPort]time.Time // agents that failed without deregistering, and when
+	balancers                map[netip.AddrPort]time.Time // other balancers, and when each last sent a message; zero: never
+	memberListKnown          bool                         // one of them has sent the agents that it knows
+	peerRecentlyStarted      bool                         // one of them has reported that it has recently started
+	storeListed              bool                         // the store has listed the agents that it knows
+	reportersRecentlyStarted bool                         // all agents that have sent a message have recently started
+	fleetRecentlyStarted     bool                         // all servers of the fleet have recently started
+	nextMemberListRequest    time.Time                    // when their member lists are requested next
+	memberCheck              memberListCheck              // whether other balancers know further agents
+	announcements            []byte                       // agents to announce to other balancers, encoded as in MemberList
+	announceAt               time.Time                    // when they are sent
+
+	load            *placement.Load
+	flows           map[Key]*entry
+	free            freeLists
+	queries         queries            // queries of lookups
+	serial          uint64             // of the latest wait or lookup
+	offerTimeouts   fifo[offerTimeout] // flows being offered, ordered by time
+	queueTimeouts   fifo[offerTimeout] // flows that wait for capacity at an agent, ordered by time
+	reserveTimeouts fifo[resetTimeout] // callers whose agent was asked to reserve capacity, ordered by time
+	queuedResets    fifo[resetTimeout] // callers that wait for capacity at an agent, ordered by time
+	lookupRetries   fifo[lookupRetry]  // lookups whose agents are queried again, ordered by time
+	targetScratch   []netip.AddrPort   // scratch: agents to query next
+	unconfirmed     []*lookup          // lookups that found no holder before all agents were known
+	blockedLookups  []lookupRef        // lookups that wait for some agent's answer
+	recheckBlocked  bool               // some agent's answer is no longer required: blocked lookups are checked again
+	started         time.Time
+	now             time.Time // time of the running call
+	tickAt          time.Time // last tick
+	sweptAt         time.Time
+	stats           DirectorStats
+	out             []Effect
+	trace           Tracer
 }
 
 // NewDirector returns a Director without routes and agents.
@@ -241,21 +241,21 @@
 		tr = noTracer{}
 	}
 	return &Director{
-		cfg:       cfg,
-		place:     placement.Config{Zone: localZone, RemotePenalty: placement.DefaultRemotePenalty},
-		regions:   regionsByID(cfg.Regions),
-		orders:    &Orders{},
-		agents:    make(map[netip.AddrPort]*agent),
-		services:  make(map[ServiceID]*service),
-		missing:   make(map[netip.AddrPort]time.Time),
-		balancers: make(map[netip.AddrPort]time.Time),
-		load:      placement.NewLoad(0, placement.LoadOptions{}),
-		flows:     make(map[Key]*entry),
-		queries:   newQueries(cfg.Link),
-		started:   now,
-		tickAt:    now,
-		sweptAt:   now,
-		trace:     tr,
+		cfg:          cfg,
+		place:        placement.Config{Zone: localZone, RemotePenalty: placement.DefaultRemotePenalty},
+		regions:      regionsByID(cfg.Regions),
+		orders:       &Orders{},
+		agents:       make(map[netip.AddrPort]*agent),
+		services:     make(map[ServiceID]*service),
+		failedAgents: make(map[netip.AddrPort]time.Time),
+		balancers:    make(map[netip.AddrPort]time.Time),
+		load:         placement.NewLoad(0, placement.LoadOptions{}),
+		flows:        make(map[Key]*entry),
+		queries:      newQueries(cfg.Link),
+		started:      now,
+		tickAt:       now,
+		sweptAt:      now,
+		trace:        tr,
 	}
 }
 
@@ -273,50 +273,50 @@
 // mayServe reports whether an agent's server may get requests of a route.
 func (d *Director) mayServe(a *agent, r *Route) bool { return r.allows(d.regions[a.zone]) }
 
-// barredFor returns which agents a flow of the route must not be offered to, besides
-// those that skip names.
-func (d *Director) barredFor(r *Route, skip func(netip.AddrPort) bool) func(netip.AddrPort) bool {
+// excludedFor returns which agents a flow of the route must not be offered to: those
+// that excluded reports, and those in regions that the route does not name.
+func (d *Director) excludedFor(r *Route, excluded func(netip.AddrPort) bool) func(netip.AddrPort) bool {
 	if len(r.Regions) == 0 {
-		return skip
+		return excluded
 	}
 	return func(addr netip.AddrPort) bool {
 		a := d.agents[addr]
-		return skip(addr) || a == nil || !d.mayServe(a, r)
+		return excluded(addr) || a == nil || !d.mayServe(a, r)
 	}
 }
 
-// localZone and otherZone stand for availability zones in placement tables,
-// which only compare them with the balancer's own.
+// localZone and otherZone stand for availability zones in placement tables, which only
+// compare them with the balancer's own zone.
 const (
 	localZone = "local"
 	otherZone = "other"
 )
 
-// StoreRead notes that the store was read at the given time and holds nothing
-// newer than what was handed to SetOrders.
+// StoreRead records that the store was read at the given time and held nothing newer
+// than what was passed to SetOrders.
 func (d *Director) StoreRead(readAt time.Time) {
 	if readAt.After(d.readAt) {
 		d.readAt = readAt
 	}
 }
 
-// ReadAt returns when some process last read the operator's orders in the store, as
-// far as this one has heard. One such read serves all: each tells the others
-// how old it is, and of newer orders that it found.
+// ReadAt returns when any process last read the operator's orders from the store, as
+// far as this one knows. One read serves all processes: each sends the others the age
+// of its latest read and the number of the newest orders.
 func (d *Director) ReadAt() time.Time { return d.readAt }
 
 // Routes returns the configuration in force, or nil.
 func (d *Director) Routes() *Routes { return d.orders.Routes }
 
-// Behind reports whether another process spoke of newer orders than those in force
+// Behind reports whether another process has reported newer orders than those in force
 // here.
 func (d *Director) Behind() bool { return d.orders.Routes == nil || d.newestOrders > d.orders.Number }
 
-// NewestOrders returns the number of the newest orders that anybody spoke of.
+// NewestOrders returns the number of the newest orders that any process has reported.
 func (d *Director) NewestOrders() uint64 { return d.newestOrders }
 
-// Effects returns what is to be done and empties the list. The slice is valid
-// until the next call of any method.
+// Effects returns the pending effects and empties the list. The slice is valid until
+// the next call of any method.
 func (d *Director) Effects() []Effect {
 	out := d.out
 	d.out = d.out[:0]
@@ -326,8 +326,8 @@
 // Stats returns the counters.
 func (d *Director) Stats() DirectorStats {
 	s := d.stats
-	s.Flows, s.Opening, s.Agents = len(d.flows), d.queue.len()+d.queued.len(), len(d.agents)
-	s.Returning = d.returns.len() + d.waitingReturns.len()
+	s.Flows, s.Opening, s.Agents = len(d.flows), d.offerTimeouts.len()+d.queueTimeouts.len(), len(d.agents)
+	s.PendingResets = d.reserveTimeouts.len() + d.queuedResets.len()
 	for _, a := range d.agents {
 		if d.mayOffer(a) {
 			s.Ready++
@@ -336,41 +336,42 @@
 	return s
 }
 
-// FromCaller takes a packet of a caller.
+// FromCaller handles a packet from a caller.
 func (d *Director) FromCaller(now time.Time, s Segment, packet []byte) {
 	d.now = now
 	e := d.flows[s.Key]
 	if s.first() {
-		d.first(now, e, &s, packet)
+		d.onFirstPacket(now, e, &s, packet)
 		return
 	}
 	if e == nil {
-		d.unknown(now, &s, packet)
+		d.onUnknownFlow(now, &s, packet)
 		return
 	}
 	e.used = now
 	switch e.state {
-	case entrySought:
-		d.seekAgain(now, e, &s, packet)
+	case entryLookup:
+		d.continueLookup(now, e, &s, packet)
 		return
-	case entryReturning:
-		d.drop(ReasonResetPending)
+	case entryResetPending:
+		d.countDropped(ReasonResetPending)
 		return
 	}
 	if e.state == entryOpening {
-		// The caller has the server's answer, so the agent's message was lost
-		// or is late. If another agent's server was quicker, this one says so.
-		d.taken(now, e, e.agent)
+		// The caller has received the server's answer, so the agent's message was lost
+		// or is late. If another agent's server answered first, this agent will answer
+		// the packet with NotHeld.
+		d.recordTaken(now, e, e.agent)
 	}
 	if d.agents[e.agent] == nil {
-		// Its server has ended, and the agent with it.
-		d.seek(now, e, &s, packet, false)
+		// The server has ended, and its agent was removed.
+		d.startLookup(now, e, &s, packet, false)
 		return
 	}
-	d.pass(e.agent, packet)
+	d.forward(e.agent, packet)
 }
 
-func (d *Director) pass(to netip.AddrPort, packet []byte) {
+func (d *Director) forward(to netip.AddrPort, packet []byte) {
 	d.send(to, Message{Kind: Pass}, packet)
 }
 
@@ -386,46 +387,47 @@
 	d.out = append(d.out, Effect{Kind: SendMessage, To: to, Message: m, Packet: packet})
 }
 
-func (d *Director) drop(reason Reason) { d.stats.Dropped[reason]++ }
+func (d *Director) countDropped(reason Reason) { d.stats.Dropped[reason]++ }
 
-// reset ends the flow at the caller. seq must lie near what the caller last
-// acknowledged to end an open flow.
+// reset sends a reset of the flow to the caller. To end an open flow, seq must be close
+// to what the caller last acknowledged.
 func (d *Director) reset(now time.Time, key Key, seq uint32, reason Reason) {
 	d.stats.Resets[reason]++
 	d.out = append(d.out, Effect{Kind: SendReset, Message: Message{Key: key}, ResetSeq: seq})
 	d.trace.Reset(now, key, reason)
 }
 
-// placed notes that agent holds the flow.
-func (d *Director) placed(e *entry, agent netip.AddrPort) {
-	d.spare.release(e)
+// setHolder records that agent holds the flow.
+func (d *Director) setHolder(e *entry, agent netip.AddrPort) {
+	d.free.release(e)
 	e.agent = agent
 	e.state = entryPlaced
 }
 
-// forget removes a flow.
-func (d *Director) forget(key Key) {
+// removeEntry removes a flow from the table.
+func (d *Director) removeEntry(key Key) {
 	if e := d.flows[key]; e != nil {
-		d.spare.releaseAll(e)
+		d.free.releaseAll(e)
 		delete(d.flows, key)
 	}
 }
 
-// nextSerial tells one use of an opening or a seek from the next.
+// nextSerial returns a number that distinguishes one use of an opening or a lookup from
+// the next.
 func (d *Director) nextSerial() uint64 {
 	d.serial++
 	return d.serial
 }
 
-// remember returns a new entry, or nil if there is no room.
-func (d *Director) remember(now time.Time, key Key) *entry {
+// addEntry adds a flow to the table, and returns nil if the table is full.
+func (d *Director) addEntry(now time.Time, key Key) *entry {
 	if len(d.flows) >= d.cfg.MaxFlows {
 		d.sweep(now)
 	}
 	if len(d.flows) >= d.cfg.MaxFlows {
 		return nil
 	}
-	e := d.spare.entry()
+	e := d.free.entry()
 	e.opened, e.used = now, now
 	d.flows[key] = e
 	return e
--- a/flow/director_config.go
+++ b/flow/director_config.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// DirectorConfig sets up a Director. A zero duration or bound means its default.
+// DirectorConfig configures a Director. A zero duration or bound means its default.
 type DirectorConfig struct {
 	Zone string // availability zone of the balancer
-	// Regions names the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
 
 	// OpenTimeout is how long an agent may take to answer an offer.
 	OpenTimeout time.Duration
-	// AgentTimeout is the time without a message after which an agent is
-	// offered no new flows.
+	// AgentTimeout is the time without a message after which an agent is offered no new
+	// flows.
 	AgentTimeout time.Duration
-	// AgentExpiry is the time without a message after which an agent is no
-	// longer asked for flows. Its own don't count as lost for MaxAge.
+	// AgentExpiry is the time without a message after which an agent is removed and no
+	// longer queried for flows. For MaxAge after that, flows are not reported as lost,
+	// because the agent may still hold them.
 	AgentExpiry time.Duration
-	// DiscoveryTime is the time from the start until the balancer has heard of all
-	// agents that live; before, no flow counts as held by nobody.
+	// DiscoveryTime is the time from the start until the balancer has received a
+	// message from every live agent. Before, no flow counts as not held by any agent.
 	DiscoveryTime time.Duration
-	// MaxFlows bounds the flows remembered.
+	// MaxFlows bounds the flows in the table.
 	MaxFlows int
 	// MaxOpening bounds the flows that are being offered.
 	MaxOpening int
 	// MaxAge is the age from which a flow may be discarded.
 	MaxAge time.Duration
-	// Link is what the VM's network link carries, in bytes a second.
+	// Link is the capacity of the VM's network link in bytes per second.
 	Link float64
 }
 
 // Defaults of DirectorConfig.
 const (
-	// DefaultOpenTimeout is ten times the longest exchange between zones, and a
+	// DefaultOpenTimeout is ten times the longest round trip between zones, and a
 	// quarter of the time after which a caller repeats its first packet.
 	DefaultOpenTimeout = 50 * time.Millisecond
-	// DefaultAgentTimeout is three reports at their least interval.
-	DefaultAgentTimeout = silentReports * ReportEvery
-	// DefaultAgentExpiry is above the time in which a killed agent is back.
+	// DefaultAgentTimeout is three reports at the shortest interval.
+	DefaultAgentTimeout = missedReports * ReportEvery
+	// DefaultAgentExpiry is above the time in which a killed agent has restarted.
 	DefaultAgentExpiry = 6 * time.Second
-	// DefaultDiscoveryTime is more than two reports: agents know a balancer that
-	// was restarted and go on reporting to it.
+	// DefaultDiscoveryTime is more than two report intervals: agents continue to report
+	// to a balancer that has restarted.
 	DefaultDiscoveryTime = 600 * time.Millisecond
-	// DefaultMaxFlows is four times a balancer's share of the target, in about
-	// 10 MB.
+	// DefaultMaxFlows is four times a balancer's share of the target load, in about 10
+	// MB.
 	DefaultMaxFlows = 1 << 16
-	// DefaultMaxOpening bounds the offers under way, 200 bytes each.
+	// DefaultMaxOpening bounds the offers in progress, 200 bytes each.
 	DefaultMaxOpening = 1 << 12
 	// DefaultLink is a link of 1 Gbit/s.
 	DefaultLink = 125e6
-	// DefaultMaxAge is the age that the platform lets flows reach.
+	// DefaultMaxAge is the greatest flow age that the platform allows.
 	DefaultMaxAge = time.Minute
 )
 
@@ -66,5 +67,5 @@
 	c.Link = cmp.Or(c.Link, DefaultLink)
 }
 
-// SetMaxAge changes the age that flows may reach; 0 is the default.
+// SetMaxAge sets the greatest age of flows; 0 is the default.
 func (d *Director) SetMaxAge(age time.Duration) { d.cfg.MaxAge = cmp.Or(age, DefaultMaxAge) }
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -14,23 +14,23 @@
 	if c.served() != 1 || len(c.holders()) != 1 {
 		t.Fatalf("served %d times, held by %v", c.served(), c.holders())
 	}
-	// Through a balancer that has never seen the flow.
+	// The other balancer has never seen the flow.
 	c.send(balancerB, Segment{Seq: c.seq + 51, Ack: w.toCaller[len(w.toCaller)-1].Seq + 100, HasAck: true, Data: 50})
 	if c.served() != 2 || len(c.holders()) != 1 {
-		t.Fatalf("by another balancer: served %d times, held by %v", c.served(), c.holders())
+		t.Fatalf("through another balancer: served %d times, held by %v", c.served(), c.holders())
 	}
 	if len(w.resets) > 0 {
-		t.Fatalf("%d resets", len(w.resets))
+		t.Fatalf("%d resets, want none", len(w.resets))
 	}
 }
 
-// Symptom: new flows wait for their callers' copies while an agent is dead.
-// Sequence: an agent loses power; the balancer offers it a flow.
-// Cause: nobody answers, and nothing says so.
+// Guards against new flows that wait for their callers' next copy while an agent is
+// down. An agent loses power, the balancer offers it a flow, and no answer or error
+// arrives.
 func TestDeadAgentCostsOneTimeout(t *testing.T) {
 	w := newWorld(t, 2)
-	w.cut = func(_, to netip.AddrPort) bool { return to == agentAddr(0) }
-	w.pass(100 * time.Millisecond)
+	w.drops = func(_, to netip.AddrPort) bool { return to == agentAddr(0) }
+	w.advance(100 * time.Millisecond)
 	for port := uint16(1000); port < 1020; port++ {
 		c := w.caller(port, listingPort)
 		c.open(balancerA, 0)
@@ -41,30 +41,30 @@
 		}
 	}
 	if n := w.balancers[balancerA].Stats().Refusals[ReasonTimeout]; n > 1 {
-		t.Fatalf("%d offers to the dead agent; after the first it is known to be silent", n)
+		t.Fatalf("%d offers to the failed agent timed out; after the first it counts as unresponsive", n)
 	}
 }
 
-// Symptom: an agent that is silent for a moment gets no flows for good.
-// Sequence: a cut between balancer and agent heals.
-// Cause: what is left out has to be heard again by itself.
+// Guards against an agent that was unresponsive for a moment and gets no flows for
+// good. A network failure between balancer and agent ends; an agent that is offered
+// nothing has to become responsive without an offer.
 func TestSilentAgentIsUsedAgain(t *testing.T) {
 	w := newWorld(t, 1)
-	w.cut = func(netip.AddrPort, netip.AddrPort) bool { return true }
-	w.pass(2 * time.Second)
+	w.drops = func(netip.AddrPort, netip.AddrPort) bool { return true }
+	w.advance(2 * time.Second)
 	if n := w.balancers[balancerA].Stats().Ready; n != 0 {
-		t.Fatalf("%d agents ready behind a cut", n)
+		t.Fatalf("%d agents ready while the network is down", n)
 	}
-	w.cut = nil
-	w.pass(2 * HelloEvery)
+	w.drops = nil
+	w.advance(2 * HelloEvery)
 	if n := w.balancers[balancerA].Stats().Ready; n != 1 {
-		t.Fatalf("%d agents ready after the cut", n)
+		t.Fatalf("%d agents ready after the network came back", n)
 	}
 }
 
-// Symptom: a whole fleet of agents is left out at once.
-// Sequence: the balancer's own VM stands still for seconds and goes on.
-// Cause: its own pause looks like everybody's silence.
+// Guards against a balancer that excludes all agents at once after its own VM was
+// paused for seconds: no message arrived in that time because the balancer itself was
+// paused.
 func TestOwnPauseIsNotOthersSilence(t *testing.T) {
 	w := newWorld(t, 3)
 	w.now = w.now.Add(20 * time.Second)
@@ -74,10 +74,9 @@
 	}
 }
 
-// Symptom: a caller whose flows are refused asks three times within 30 ms and
-// gives up, while a slot would have become free in 40 ms.
-// Sequence: more flows come than there is room.
-// Cause: a refusal at once makes callers spend their tries at once.
+// Guards against callers that are refused three times within 30 ms and give up although
+// a slot becomes free after 40 ms. With more flows than capacity an immediate refusal
+// makes callers use up their tries at once, so flows wait instead.
 func TestFlowWaitsWhenAllAreBusy(t *testing.T) {
 	w := newWorld(t, 2)
 	for n := range 2 {
@@ -93,7 +92,7 @@
 	w.now = w.now.Add(confirmTimeout)
 	w.tick()
 	if len(c.holders()) != 1 {
-		t.Fatalf("held by %v once there is room", c.holders())
+		t.Fatalf("held by %v once there is capacity", c.holders())
 	}
 }
 
@@ -104,7 +103,7 @@
 		taken    bool
 	}{{3, true}, {3, false}, {2, false}, {7, true}, {6, false}} {
 		if got := d.SetRoutes(testRoutes(c.revision)); got != c.taken {
-			t.Errorf("revision %d: taken %v, want %v", c.revision, got, c.taken)
+			t.Errorf("revision %d: accepted %v, want %v", c.revision, got, c.taken)
 		}
 	}
 	if got := d.Routes().Revision; got != 7 {
@@ -112,26 +111,26 @@
 	}
 }
 
-// Symptom: a configuration is not in force on one balancer for seconds.
-// Sequence: its watch hears nothing, and looks like one with nothing to tell.
-// Cause: only its own watch would have told it. Whoever has read the store
-// tells all others through the agents how old that is, and of what revision.
+// Guards against a configuration that is not in force on one balancer for seconds
+// because its own watch of the store delivers nothing, like a watch without changes. A
+// process that has read the store reports the age of the read and its revision to all
+// others through the agents.
 func TestReadsOfOthersAreHeardOf(t *testing.T) {
 	w := newWorld(t, 1)
 	a, b := w.balancers[balancerA], w.balancers[balancerB]
 	a.StoreRead(w.now)
 	a.SetRoutes(testRoutes(5))
-	w.pass(HelloEvery + ReportEvery)
+	w.advance(HelloEvery + ReportEvery)
 	if !b.Behind() {
-		t.Fatal("the other balancer has not heard of the newer revision")
+		t.Fatal("the other balancer does not know of the newer revision")
 	}
 	if age := w.now.Sub(b.ReadAt()); age > 2*HelloEvery {
-		t.Fatalf("the read counts as %v old at the other balancer", age)
+		t.Fatalf("the read is %v old for the other balancer", age)
 	}
 }
 
-// A flow in a table full of flows is forwarded or dropped, never remembered
-// beyond the bound.
+// A packet that meets a full flow table is forwarded or dropped; the table never
+// exceeds its bound.
 func TestTablesAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{MaxFlows: 100, MaxOpening: 50}, nil)
@@ -150,7 +149,7 @@
 		t.Fatalf("%d flows, %d of them being offered", s.Flows, s.Opening)
 	}
 	if s.Dropped[ReasonOverflow] == 0 {
-		t.Fatal("nothing counted as dropped")
+		t.Fatal("no packet counted as dropped")
 	}
 	d.Tick(now.Add(time.Hour))
 	if n := d.Stats().Flows; n > 50 {
@@ -158,46 +157,46 @@
 	}
 }
 
-// Symptom: a flow is reset although its server holds it (soak, seed 4).
-// Sequence: the store's keys are taken away; a balancer is killed and starts; an
-// agent stands still and can't report to it. A flow of that agent comes by, and
-// all agents that the balancer knows say that they don't hold it.
-// Cause: the balancer took the agents that the store named for all there are.
+// Guards against the reset of a flow that its server holds (soak, seed 4). The store's
+// keys are removed, a balancer is killed and restarts, and a paused agent can't report
+// to it. If the balancer took the agents listed in the store for all, it would reset a
+// flow of the paused agent, because all agents that it knows answer that they do not
+// hold it.
 func TestStartedBalancerAsksOthersForAgents(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
-	home := agentAddr(c.holders()[0])
+	holder := agentAddr(c.holders()[0])
 	d := w.addBalancer(balancerB)
 	for n := range 3 {
-		if agentAddr(n) != home {
+		if agentAddr(n) != holder {
 			d.AddAgent(w.now, agentAddr(n), listing, "a")
 		}
 	}
-	w.cut = func(from, to netip.AddrPort) bool { return from == home || to == home }
+	w.drops = func(from, to netip.AddrPort) bool { return from == holder || to == holder }
 	d.AddBalancer(balancerA)
 	for range 10 {
-		w.pass(2 * retransmission)
+		w.advance(2 * minRetransmissionTime)
 		c.request(balancerB)
 	}
 	if len(w.resets) > 0 {
-		t.Fatal("flow reset by a balancer that does not know its agent")
+		t.Fatal("flow reset by a balancer that does not know the flow's agent")
 	}
-	w.cut = nil
+	w.drops = nil
 	served := c.served()
-	w.pass(2 * retransmission)
+	w.advance(2 * minRetransmissionTime)
 	c.request(balancerB)
 	if c.served() == served {
-		t.Fatal("the flow is not found once its agent is back")
+		t.Fatal("the flow is not found after its agent can be reached again")
 	}
 }
 
-// Symptom: a flow is reset although its server holds it (soak, seed 4).
-// Sequence: an agent starts while the store names no balancers; one balancer
-// reaches it, another that has been up for long does not know it. The agent's
-// flow comes by the other one.
-// Cause: each balancer learned of agents by the store and by themselves alone.
+// Guards against the reset of a flow that its server holds (soak, seed 4). An agent
+// starts while the store lists no balancers and reaches only one balancer; its flow
+// then arrives at another that has run for long. If balancers learned of agents only
+// from the store and from the agents themselves, the other one would not know this
+// agent.
 func TestBalancersTellOfNewAgents(t *testing.T) {
 	w := newWorld(t, 2)
 	for b, d := range w.balancers {
@@ -212,56 +211,54 @@
 		server: &worldServer{instance: "i-9", seq: 99 << 20, flows: map[Key]*serverFlow{}},
 	}
 	w.agents[agentAddr(2)] = a
-	w.beat(2, 1, false)
+	w.heartbeat(2, 1, false)
 	a.gate.AddBalancer(w.now, balancerA)
-	w.pass(2 * HelloEvery)
+	w.advance(2 * HelloEvery)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
 	c.request(balancerB)
 	if len(w.resets) > 0 || c.served() != 1 {
-		t.Fatalf("%d resets, served %d times by the balancer that was told", len(w.resets), c.served())
+		t.Fatalf("%d resets, served %d times through the balancer that received the announcement", len(w.resets), c.served())
 	}
 }
 
-// Symptom: a flow is reset although its server holds it (soak, seed 2).
-// Sequence: a balancer starts while the store names nobody; one agent reports to
-// it, the flow's own does not yet.
-// Cause: "no other balancer is known" counted as "there is no other balancer".
+// Guards against the reset of a flow that its server holds (soak, seed 2). A balancer
+// starts while the store lists no process; one agent reports to it, the flow's agent
+// not yet. That the balancer knows no other balancer does not mean that there is none.
 func TestStartedBalancerWithoutOthersIsNotSure(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
-	home := c.holders()[0]
+	holder := c.holders()[0]
 	d := w.addBalancer(balancerB)
-	d.AddAgent(w.now, agentAddr(1-home), listing, "a")
-	w.pass(2 * DefaultDiscoveryTime)
+	d.AddAgent(w.now, agentAddr(1-holder), listing, "a")
+	w.advance(2 * DefaultDiscoveryTime)
 	c.request(balancerB)
 	if len(w.resets) > 0 {
 		t.Fatal("flow reset by a balancer that knows no other balancer")
 	}
 }
 
-// Symptom: a flow is reset although its server holds it (soak, seed 1).
-// Sequence: the store's keys are taken away; a balancer is started anew and knows
-// no other. An agent starts and learns of that balancer alone. Its flow comes by
-// a balancer that has been up for long.
-// Cause: the two balancers did not know each other, so the one could not tell the
-// other of the agent.
+// Guards against the reset of a flow that its server holds (soak, seed 1). The store's
+// keys are removed, and a balancer restarts without knowing any other. An agent starts
+// and knows this balancer alone; its flow then arrives at a balancer that has run for
+// long. Unless agents list balancers to each other, the first balancer can't announce
+// the agent to the second.
 func TestAgentsTellBalancersOfEachOther(t *testing.T) {
 	w := newWorld(t, 2)
-	w.pass(aloneAfter)
+	w.advance(maxDiscoveryTime)
 	d := w.addBalancer(balancerA)
 	d.AddAgent(w.now, agentAddr(0), listing, "a")
-	w.pass(2 * HelloEvery)
+	w.advance(2 * HelloEvery)
 	a := &worldAgent{
 		gate:   NewGate(w.now, GateConfig{Zone: "a", Incarnation: 9, Service: records}, nil),
 		server: &worldServer{instance: "i-9", seq: 99 << 20, flows: map[Key]*serverFlow{}},
 	}
 	w.agents[agentAddr(2)] = a
-	w.beat(2, 1, false)
+	w.heartbeat(2, 1, false)
 	a.gate.AddBalancer(w.now, balancerA)
-	w.pass(2 * HelloEvery)
+	w.advance(2 * HelloEvery)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
 	c.request(balancerB)
@@ -270,11 +267,10 @@
 	}
 }
 
-// Symptom: the callers of one balancer time out for as long as a cut lasts, while
-// the other balancers could serve them.
-// Sequence: a balancer that served flows is cut off from every agent, in both
-// directions or in one; the routers go on handing it packets. The cut heals.
-// Cause: a balancer says that it is ready as long as it has a configuration.
+// Guards against callers that time out at one balancer for as long as a network failure
+// lasts although other balancers could serve them. A balancer with open flows is cut
+// off from every agent, in both directions or in one, and routers keep sending it
+// packets while it reports that it is ready. Afterwards the network comes back.
 func TestCutOffBalancerIsNotReady(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -286,40 +282,39 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, 3)
 			if !w.balancers[balancerA].Ready() {
-				t.Fatal("not ready before the cut")
+				t.Fatal("not ready before the network failure")
 			}
-			w.cut = c.cut
+			w.drops = c.cut
 			for port := range uint16(3) {
 				w.caller(port, listingPort).open(balancerA, 0)
 			}
-			w.pass(time.Second)
+			w.advance(time.Second)
 			if w.balancers[balancerA].Ready() {
-				t.Error("ready without an agent that it can reach")
+				t.Error("ready although it can reach no agent")
 			}
 			if !w.balancers[balancerB].Ready() {
 				t.Error("the other balancer is not ready")
 			}
-			w.pass(DefaultAgentExpiry)
+			w.advance(DefaultAgentExpiry)
 			if w.balancers[balancerA].Ready() {
-				t.Error("ready once the agents are forgotten")
+				t.Error("ready after the agents expired")
 			}
-			w.cut = nil
+			w.drops = nil
 			for n := range 3 {
 				w.gate(n).AddBalancer(w.now, balancerA)
 			}
-			w.pass(time.Second)
+			w.advance(time.Second)
 			if !w.balancers[balancerA].Ready() {
-				t.Error("not ready after the cut")
+				t.Error("not ready after the network came back")
 			}
 		})
 	}
 }
 
-// Symptom: a balancer that starts behind a cut takes packets that it can't pass
-// on.
-// Sequence: it starts, learns the configuration and the agents from the store,
-// and no agent answers.
-// Cause: agents that were never heard count like ones that are about to answer.
+// Guards against a balancer that starts while it is cut off from all agents and accepts
+// packets that it can't forward. It gets the configuration and the agents from the
+// store, but no agent answers. Agents that never sent a message count as reachable only
+// for a short time.
 func TestBalancerThatHearsNobodyIsNotReady(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
@@ -328,16 +323,15 @@
 	if !d.Ready() {
 		t.Error("not ready at the start, when agents are about to answer")
 	}
-	d.Tick(now.Add(absentAfter))
+	d.Tick(now.Add(firstContactTimeout))
 	if d.Ready() {
 		t.Error("ready although no agent answers")
 	}
 }
 
-// Symptom: a small VM's balancer spends its processor and its network on reports.
-// Sequence: the fleet grows; every agent reports to every balancer four times a
-// second.
-// Cause: the time between reports did not depend on how many agents report.
+// Guards against a small VM's balancer that spends its processor and network on reports
+// as the fleet grows, when every agent reports to every balancer four times a second
+// whatever the number of agents.
 func TestReportsReceivedDoNotGrowWithAgents(t *testing.T) {
 	for _, c := range []struct {
 		agents int
@@ -356,8 +350,8 @@
 	}
 }
 
-// The other half: an agent reports as often as it is asked to, and a change of its
-// server's state at once.
+// An agent reports at the requested interval, and reports a change of its server's
+// state at once.
 func TestAgentReportsAsAsked(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
@@ -376,15 +370,15 @@
 			}
 		}
 		if want := int(5 * time.Second / every); reports < want-1 || reports > want+1 {
-			t.Errorf("%d reports in 5 s at one every %v", reports, every)
+			t.Errorf("%d reports in 5 s at an interval of %v", reports, every)
 		}
 	}
 	g.Heartbeat(w.now, Heartbeat{Instance: w.server(0).instance, Sequence: g.server.sequence + 1, Service: listing, Slots: 5, Draining: true})
-	told := false
+	reported := false
 	for _, e := range g.Effects() {
-		told = told || e.To == balancerA && e.Message.Kind == Report && e.Message.State == ServerDraining
+		reported = reported || e.To == balancerA && e.Message.Kind == Report && e.Message.State == ServerDraining
 	}
-	if !told {
-		t.Error("a drain is not told at once")
+	if !reported {
+		t.Error("a drain is not reported at once")
 	}
 }
--- a/flow/example_test.go
+++ b/flow/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// A balancer offers a new flow to the agent that it has heard of. The caller of
-// the package sends what the effects say.
+// A balancer offers a new flow to an agent that has reported to it. The caller of the
+// package carries out the effects.
 func Example() {
 	now := time.Now()
 	service := netip.MustParseAddrPort("198.18.0.1:443")
--- a/flow/explore_test.go
+++ b/flow/explore_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// exploreDepth is the number of events in the orders that TestEveryOrder plays:
-// 4 take seconds, 5 half a minute, 6 ten minutes of eight processors.
-var exploreDepth = flag.Int("flow.depth", 3, "events in the orders that TestEveryOrder plays")
+// exploreDepth is the number of events in the sequences that TestEveryOrder runs: 4
+// take seconds, 5 half a minute, 6 ten minutes on eight processors.
+var exploreDepth = flag.Int("flow.depth", 3, "number of events in the sequences that TestEveryOrder runs")
 
-// event is one thing that happens in the small world.
+// event is one event of a sequence.
 type event struct {
 	name string
 	do   func(x *explored)
 }
 
-// events are what the orders are made of. A flow opened at the start is held by
-// one of three servers; which one is decided by its port, so that events speak of
-// the holder, of another agent and of the third.
+// events are the events that sequences consist of. A flow opened at the start is held
+// by one of three servers. Its port determines which one, so events refer to the
+// holder, to another agent and to the third.
 var events = []event{
 	{"use A", func(x *explored) { x.use(balancerA) }},
 	{"use B", func(x *explored) { x.use(balancerB) }},
@@ -37,17 +37,17 @@
 	{"A restarts", func(x *explored) { x.restartBalancer(balancerA) }},
 	{"B restarts", func(x *explored) { x.restartBalancer(balancerB) }},
 	{"holder is cut off from B", func(x *explored) { x.cutPair(agentAddr(x.holder), balancerB) }},
-	{"what holder sends to A is cut", func(x *explored) { x.cutWay(agentAddr(x.holder), balancerA) }},
+	{"what holder sends to A is cut", func(x *explored) { x.cutOneWay(agentAddr(x.holder), balancerA) }},
 	{"holder is cut off", func(x *explored) { x.cutAll(agentAddr(x.holder)) }},
-	{"cuts heal", func(x *explored) { x.w.cut = nil }},
-	{"another server is mute", func(x *explored) { x.w.server(x.other()).mute = true }},
+	{"cuts heal", func(x *explored) { x.w.drops = nil }},
+	{"another server is mute", func(x *explored) { x.w.server(x.other()).unresponsive = true }},
 	{"A gets a newer configuration, B an older one", func(x *explored) { x.configure() }},
-	{"100 ms", func(x *explored) { x.w.pass(100 * time.Millisecond) }},
-	{"1 s", func(x *explored) { x.w.pass(time.Second) }},
-	{"7 s", func(x *explored) { x.w.pass(7 * time.Second) }},
+	{"100 ms", func(x *explored) { x.w.advance(100 * time.Millisecond) }},
+	{"1 s", func(x *explored) { x.w.advance(time.Second) }},
+	{"7 s", func(x *explored) { x.w.advance(7 * time.Second) }},
 }
 
-// explored is one order being played.
+// explored is the run of one sequence.
 type explored struct {
 	w         *world
 	callers   []*testCaller
@@ -55,13 +55,13 @@
 	draining  [3]bool
 	instances int
 	revision  uint64
-	seen      [3]int // packets that each server was handed up to the last check
+	checked   [3]int // number of packets that each server had received at the last check
 	usedAt    time.Time
-	idled     bool   // flows were idle for so long once that they may have been discarded
-	wrong     string // the first broken promise
+	idled     bool   // flows were once idle for so long that they may have been discarded
+	violation string // the first violation
 }
 
-func newExplored(t failer) *explored {
+func newExplored(t fataler) *explored {
 	x := &explored{w: newWorld(t, 3), revision: 1}
 	x.w.balancers[balancerA].AddBalancer(balancerB)
 	x.w.balancers[balancerB].AddBalancer(balancerA)
@@ -91,11 +91,11 @@
 	}
 }
 
-func (x *explored) beat(n int) { x.w.beat(n, x.w.server(n).sequence+1, x.draining[n]) }
+func (x *explored) heartbeat(n int) { x.w.heartbeat(n, x.w.server(n).sequence+1, x.draining[n]) }
 
 func (x *explored) drain(n int) {
 	x.draining[n] = true
-	x.beat(n)
+	x.heartbeat(n)
 }
 
 func (x *explored) crash(n int) {
@@ -104,19 +104,19 @@
 	v.instance = fmt.Sprintf("i-new-%d", x.instances)
 	v.flows = map[Key]*serverFlow{}
 	v.seq += 1 << 20
-	v.mute = false
+	v.unresponsive = false
 	x.draining[n] = false
-	x.w.beat(n, 1, false)
+	x.w.heartbeat(n, 1, false)
 }
 
 func (x *explored) restartAgent(n int) {
 	g := x.w.restartAgent(n)
 	v := x.w.server(n)
-	if v.mute {
+	if v.unresponsive {
 		return
 	}
 	g.StatusCheck(x.w.now, StatusCheckResult{Answered: true})
-	x.beat(n)
+	x.heartbeat(n)
 }
 
 func (x *explored) restartBalancer(addr netip.AddrPort) {
@@ -132,16 +132,16 @@
 	}
 }
 
-func (x *explored) cutWay(a, b netip.AddrPort) {
-	x.w.cut = func(from, to netip.AddrPort) bool { return from == a && to == b }
+func (x *explored) cutOneWay(a, b netip.AddrPort) {
+	x.w.drops = func(from, to netip.AddrPort) bool { return from == a && to == b }
 }
 
 func (x *explored) cutPair(a, b netip.AddrPort) {
-	x.w.cut = func(from, to netip.AddrPort) bool { return from == a && to == b || from == b && to == a }
+	x.w.drops = func(from, to netip.AddrPort) bool { return from == a && to == b || from == b && to == a }
 }
 
 func (x *explored) cutAll(a netip.AddrPort) {
-	x.w.cut = func(from, to netip.AddrPort) bool { return from == a || to == a }
+	x.w.drops = func(from, to netip.AddrPort) bool { return from == a || to == a }
 }
 
 func (x *explored) configure() {
@@ -150,51 +150,52 @@
 	before := x.w.balancers[balancerB].Routes().Revision
 	x.w.balancers[balancerB].SetRoutes(testRoutes(x.revision - 2))
 	if after := x.w.balancers[balancerB].Routes().Revision; after < before {
-		x.fail("configuration %d went back to %d", before, after)
+		x.fail("configuration went from revision %d back to %d", before, after)
 	}
 }
 
 func (x *explored) fail(format string, args ...any) {
-	if x.wrong == "" {
-		x.wrong = fmt.Sprintf(format, args...)
+	if x.violation == "" {
+		x.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// check looks for broken promises since the last check.
+// check looks for violations since the last check.
 func (x *explored) check() {
 	for n := range 3 {
 		v := x.w.server(n)
-		for _, s := range v.got[x.seen[n]:] {
+		for _, s := range v.received[x.checked[n]:] {
 			if s.first() && x.draining[n] && v.flows[s.Key] == nil {
-				x.fail("a first packet at the draining server %d", n)
+				x.fail("the draining server %d received a first packet", n)
 			}
 		}
-		x.seen[n] = len(v.got)
+		x.checked[n] = len(v.received)
 	}
 	for _, r := range x.w.resets {
 		for n := range 3 {
 			f := x.w.server(n).flows[r.Message.Key]
-			if f != nil && f.open && r.ResetSeq-f.first < 1<<16 && x.w.cut == nil && !x.idled {
-				x.fail("a flow was reset while server %d holds it", n)
+			if f != nil && f.open && r.ResetSeq-f.first < 1<<16 && x.w.drops == nil && !x.idled {
+				x.fail("a flow was reset although server %d holds it", n)
 			}
 		}
 	}
 	x.w.resets = nil
 }
 
-// end lets a second pass: every search has ended then.
+// end advances the time by a second, within which every lookup ends.
 func (x *explored) end() {
-	x.w.pass(time.Second)
+	x.w.advance(time.Second)
 	for _, d := range x.w.balancers {
-		if n := d.asking.len(); n > 0 {
-			x.fail("%d searches go on a second after the last packet", n)
+		if n := d.lookupRetries.len(); n > 0 {
+			x.fail("%d lookups still run a second after the last packet", n)
 		}
 	}
 	x.check()
 }
 
-// playOrder plays the order with the given number and returns what was broken.
-func playOrder(t failer, order, depth int) (names []string, wrong string) {
+// playOrder runs the sequence with the given number and returns its events and the
+// first violation.
+func playOrder(t fataler, order, depth int) (names []string, wrong string) {
 	x := newExplored(t)
 	for range depth {
 		e := events[order%len(events)]
@@ -204,13 +205,13 @@
 		x.check()
 	}
 	x.end()
-	return names, x.wrong
+	return names, x.violation
 }
 
-// TestEveryOrder plays every order of a few events in a world of two balancers,
-// three agents and a flow that one of the servers holds. No flow is reset that a
-// server holds, no first packet passes a drain, no search goes on without end, no
-// configuration goes back.
+// TestEveryOrder runs every sequence of a few events in a world of two balancers, three
+// agents and a flow that one of the servers holds. No flow is reset while a server
+// holds it, no first packet reaches a draining server, every lookup ends, and no
+// balancer returns to an older configuration.
 func TestEveryOrder(t *testing.T) {
 	total := 1
 	for range *exploreDepth {
--- a/flow/fifo.go
+++ b/flow/fifo.go
@@ -1,10 +1,9 @@
 package flow
 
-// fifo is a queue that reuses its memory: what waits for a time is put in and
-// taken out with every flow.
+// fifo is a queue that reuses its memory, because every flow adds and removes timeouts.
 type fifo[T any] struct {
 	items []T
-	head  int // index of the first item that is still in the queue
+	head  int // index of the oldest item in the queue
 }
 
 func (f *fifo[T]) len() int { return len(f.items) - f.head }
@@ -20,7 +19,7 @@
 	f.items = append(f.items, v)
 }
 
-// pop takes the oldest item out; the queue must not be empty.
+// pop removes and returns the oldest item; the queue must not be empty.
 func (f *fifo[T]) pop() T {
 	v := f.items[f.head]
 	var none T
@@ -32,7 +31,7 @@
 	return v
 }
 
-// all calls use for every item, the oldest first.
+// all calls use for every item, oldest first.
 func (f *fifo[T]) all(use func(*T)) {
 	for i := f.head; i < len(f.items); i++ {
 		use(&f.items[i])
--- a/flow/fleet_start.go
+++ b/flow/fleet_start.go
@@ -3,69 +3,71 @@
 import "time"
 
 const (
-	// startSpan is the time from its own start in which a balancer looks whether the
-	// whole fleet has started with it, and in which an agent says that it has.
-	startSpan = 10 * time.Second
-	// meetTime is the least time that a balancer listens before it takes the agents
-	// that the store names, and that it hears, for all. While the store has not
-	// answered it is DirectorConfig.DiscoveryTime.
-	meetTime = 100 * time.Millisecond
-	// lookEvery is the time between two looks in the first moments.
-	lookEvery = 25 * time.Millisecond
+	// fleetStartWindow is the time after its own start in which a balancer checks
+	// whether the whole fleet has started with it, and in which an agent reports a
+	// recent start.
+	fleetStartWindow = 10 * time.Second
+	// minDiscoveryTime is the shortest time after which a balancer assumes that the
+	// agents that the store lists, and those that sent messages, are all. Until the
+	// store has answered it is DirectorConfig.DiscoveryTime.
+	minDiscoveryTime = 100 * time.Millisecond
+	// fleetStartCheckInterval is the time between two checks shortly after the start.
+	fleetStartCheckInterval = 25 * time.Millisecond
 )
 
-// lookForStart finds out whether all servers of the fleet have just started, as
-// after a loss of power everywhere. Then no flow of before lives, and what an agent
-// has not seen its server does not hold.
+// detectFleetStart detects that all servers of the fleet have recently started, as
+// after a power loss of the whole fleet. Then no flow from before is open, and a server
+// holds no flow that its agent has not seen.
 //
-// Without this each agent that starts a little after its server can't tell what the
-// server holds until it has passed a packet on; on 65 machines the packets of dead
-// flows to every agent took a link of 10 Mbit/s for 15 s, and resets came 4 to 10 s
-// after their searches began. A single agent's word would not do: its process may
-// have started anew beside a server that is a second old. Only if every agent that
-// is known says the same is it taken for a start of everything. Whether it knows all
-// agents a balancer learns as after any start, but sooner if the other balancers have
-// just started too.
-func (d *Director) lookForStart(now time.Time) {
-	before := d.everyoneStarted
-	d.othersStarted, d.everyoneStarted = false, false
-	if now.Sub(d.started) >= startSpan {
+// Without this, an agent that starts a little after its server doesn't know whether the
+// server holds a flow until it has passed on one of its packets. On 65 machines the
+// packets of ended flows to every agent took a 10 Mbit/s link for 15 s, and resets came
+// 4 to 10 s after their lookups began.
+//
+// The report of a single agent is not enough: its process may have restarted beside a
+// server that is a second old. Only if every known agent reports a recent start has the
+// whole fleet started. Whether it knows all agents a balancer determines as after any
+// start, but sooner if the other balancers have recently started too.
+func (d *Director) detectFleetStart(now time.Time) {
+	before := d.fleetRecentlyStarted
+	d.reportersRecentlyStarted, d.fleetRecentlyStarted = false, false
+	if now.Sub(d.started) >= fleetStartWindow {
 		return
 	}
-	heard, missing := 0, 0
+	reported, notReported := 0, 0
 	for _, a := range d.agents {
 		switch {
-		case a.heard.IsZero():
-			missing++
-		case a.young || a.empty || a.gone():
-			heard++
+		case a.receivedAt.IsZero():
+			notReported++
+		case a.recentlyStarted || a.holdsNoFlows || a.ended():
+			reported++
 		default:
 			return
 		}
 	}
-	d.othersStarted = heard > missing
+	d.reportersRecentlyStarted = reported > notReported
 	least := d.cfg.DiscoveryTime
-	if d.listed {
-		least = meetTime
+	if d.storeListed {
+		least = minDiscoveryTime
 	}
-	if !d.othersStarted || now.Sub(d.started) < least {
+	if !d.reportersRecentlyStarted || now.Sub(d.started) < least {
 		return
 	}
 	for _, a := range d.agents {
-		if a.heard.IsZero() && !d.absent(now, a) {
+		if a.receivedAt.IsZero() && !d.answerOptional(now, a) {
 			return
 		}
 	}
-	d.everyoneStarted = true
-	d.fewer = d.fewer || !before
+	d.fleetRecentlyStarted = true
+	d.recheckBlocked = d.recheckBlocked || !before
 }
 
-// startUndecided reports whether the next looks may yet find that everything has
-// just started. Packets that agents would need otherwise are not sent until then.
-func (d *Director) startUndecided(now time.Time) bool {
-	return d.othersStarted && !d.everyoneStarted && now.Sub(d.started) < d.cfg.DiscoveryTime
+// fleetStartPending reports whether the next checks may still detect a start of the
+// whole fleet. Packets that agents would otherwise need are not sent until then.
+func (d *Director) fleetStartPending(now time.Time) bool {
+	return d.reportersRecentlyStarted && !d.fleetRecentlyStarted && now.Sub(d.started) < d.cfg.DiscoveryTime
 }
 
-// StoreListed notes that the store has named the agents that it knows, all of which were
-// introduced.
-func (d *Director) StoreListed() { d.listed = true }
+// StoreListed records that the store has listed the agents that it knows, all of which
+// were added.
+func (d *Director) StoreListed() { d.storeListed = true }
--- a/flow/fleet_start_test.go
+++ b/flow/fleet_start_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// startAll replaces all balancers, agents and servers at once, as a return of power
-// does. Each agent has its server's status at once and takes as the server's first
-// heartbeat the one with the given number: the ones before found no agent.
+// startAll replaces all balancers, agents and servers at once, as after a power loss.
+// Each agent checks its server's status at once, and the first heartbeat that it
+// receives has the given number, because the agent was not running for those before.
 func (w *world) startAll(sequence uint64) {
 	for _, b := range inOrder(w.balancers) {
 		w.addBalancer(b)
@@ -33,19 +33,19 @@
 		}
 		d.StoreListed()
 	}
-	w.settle()
-	w.pass(40 * time.Millisecond)
+	w.deliver()
+	w.advance(40 * time.Millisecond)
 	for n := range len(w.agents) {
-		w.beat(n, sequence, false)
+		w.heartbeat(n, sequence, false)
 	}
 }
 
-// Symptom: for many seconds after power was lost everywhere callers wait for their
-// deadlines; balancers on small links send callers' packets to every agent.
-// Sequence: balancers, agents and servers start together; each agent hears its server
-// after a few heartbeats that found nobody. Callers go on with their flows.
-// Cause: an agent that has not heard its server's first heartbeat could not tell what
-// the server holds, and every flow had to be tried at every server.
+// Guards against callers that wait for their deadlines for many seconds after a power
+// loss of the whole fleet, while balancers on small links send callers' packets to
+// every agent. Balancers, agents and servers start together, and each agent misses the
+// first few heartbeats of its server. Such an agent does not know whether its server
+// holds a flow, so without the detection of a fleet start every flow has to be tried at
+// every server.
 func TestStartOfEverythingIsSeen(t *testing.T) {
 	w := newWorld(t, 20)
 	var callers []*testCaller
@@ -56,35 +56,35 @@
 		callers = append(callers, c)
 	}
 	w.startAll(3)
-	got := 0
+	before := 0
 	for n := range len(w.agents) {
-		got += len(w.server(n).got)
+		before += len(w.server(n).received)
 	}
 	for _, c := range callers {
 		c.request(balancerA)
 	}
-	w.pass(400 * time.Millisecond)
+	w.advance(400 * time.Millisecond)
 	if n := len(w.resets); n != len(callers) {
-		t.Errorf("%d of %d callers were told", n, len(callers))
+		t.Errorf("%d of %d callers were notified", n, len(callers))
 	}
-	tried := -got
+	tried := -before
 	for n := range len(w.agents) {
-		tried += len(w.server(n).got)
+		tried += len(w.server(n).received)
 	}
-	if limit := 6 * askFirst; tried > limit {
-		// A few searches go with their packets at once.
+	if limit := 6 * lookupFanout; tried > limit {
+		// A few lookups send their packets at once.
 		t.Errorf("%d packets of ended flows were tried at servers, want %d at most", tried, limit)
 	}
 }
 
-// Symptom: an open flow is reset while its server holds it.
-// Sequence: shortly after a start of everything one balancer starts again, hears some
-// of the agents and is not told of the others; the flow is at one of these.
-// Cause: agents that have all just started were taken for all that there are.
+// Guards against the reset of an open flow. Shortly after a start of the whole fleet
+// one balancer restarts, receives messages from some of the agents and no member list;
+// the flow is at another agent. Agents that have all recently started are not
+// necessarily all agents.
 func TestBalancerThatStartsAloneIsNotSure(t *testing.T) {
 	w := newWorld(t, 2)
 	w.startAll(3)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
@@ -95,23 +95,23 @@
 	}
 	d.AddAgent(w.now, agentAddr(other), listing, "a")
 	d.StoreListed()
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	c.request(balancerB)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	if len(w.resets) > 0 {
-		t.Error("reset while the server holds the flow")
+		t.Error("reset although the server holds the flow")
 	}
 }
 
-// Symptom: an open flow is reset while its server holds it.
-// Sequence: all processes are killed and start again; the servers live on.
-// Cause: processes that have just started were taken for servers that have.
+// Guards against the reset of an open flow when all processes are killed and restart
+// while the servers keep running: recently started processes do not mean recently
+// started servers.
 func TestStartOfAllProcessesIsNoStartOfServers(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
-	w.pass(10 * time.Second)
+	w.advance(10 * time.Second)
 	for _, b := range inOrder(w.balancers) {
 		w.addBalancer(b)
 	}
@@ -124,92 +124,89 @@
 		}
 		d.StoreListed()
 	}
-	w.pass(2 * time.Second)
+	w.advance(2 * time.Second)
 	c.request(balancerB)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	if len(w.resets) > 0 || c.served() != 2 {
 		t.Errorf("%d resets, served %d times", len(w.resets), c.served())
 	}
 }
 
-// Symptom: callers of dead flows wait for seconds after a server was taken away.
-// Sequence: an agent whose server is gone goes on reporting, and other balancers name
-// it; then its process is away. Flows come by that nobody holds.
-// Cause: the agent was forgotten with its server and introduced again by others, as one
-// that another balancer hears and that has to be waited for.
+// Guards against callers of ended flows that wait for seconds after a server was
+// removed. An agent whose server has ended goes on reporting, and other balancers name
+// it; then its process ends. If the agent were removed with its server, others would
+// add it again as an agent that another balancer receives messages from and that has to
+// be waited for.
 func TestAgentOfGoneServerHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
-	w.pass(2 * time.Second)
+	w.advance(2 * time.Second)
 	w.gate(2).Deregister(w.now, w.server(2).instance, 0)
-	w.server(2).mute = true
-	w.settle()
-	w.pass(time.Second)
+	w.server(2).unresponsive = true
+	w.deliver()
+	w.advance(time.Second)
 	delete(w.agents, agentAddr(2))
 	w.caller(1, listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
 }
 
-// Symptom: a search goes on until its caller's next packet, up to 1.6 s later.
-// Sequence: a flow is looked for while the store names an agent that is not there; no
-// further packet comes.
-// Cause: nothing looked at the search again when the agent counted as absent.
+// Guards against a lookup that continues until its caller's next packet, up to 1.6 s
+// later. A flow is looked up while the store lists an agent that does not exist, and no
+// further packet arrives. The lookup has to be checked again when the agent's answer is
+// no longer required.
 func TestSearchEndsWhenAnAgentCountsAsAbsent(t *testing.T) {
 	w := newWorld(t, 2)
-	w.pass(startSpan)
+	w.advance(fleetStartWindow)
 	w.balancers[balancerA].AddAgent(w.now, agentAddr(9), listing, "a")
 	w.caller(1, listingPort).send(balancerA, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
-	w.pass(absentAfter - 100*time.Millisecond)
+	w.advance(firstContactTimeout - 100*time.Millisecond)
 	if len(w.resets) > 0 {
-		t.Error("reset before the agent counts as absent")
+		t.Error("reset before the wait for the agent's first message ended")
 	}
-	w.pass(200 * time.Millisecond)
+	w.advance(200 * time.Millisecond)
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
 }
 
-// Symptom: an open flow is reset although its server lives (soak, seed 2).
-// Sequence: shortly after a start of everything one balancer starts again and is told
-// nothing by others; an agent that the store names stands still for most of a second. A
-// flow of its server comes by.
-// Cause: an agent that is not heard counted as absent sooner if all others had just
-// started.
+// Guards against the reset of an open flow (soak, seed 2). Shortly after a start of the
+// whole fleet one balancer restarts and gets no member list; an agent that the store
+// lists is paused for most of a second, and a flow of its server arrives. The agent has
+// to be waited for as long as usual even if all others have recently started.
 func TestAgentThatStandsStillAfterAStartIsWaitedFor(t *testing.T) {
 	w := newWorld(t, 3)
 	w.startAll(3)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
-	still := agentAddr(c.holders()[0])
+	paused := agentAddr(c.holders()[0])
 	delete(w.balancers, balancerA)
 	d := w.addBalancer(balancerB)
-	w.cut = func(from, to netip.AddrPort) bool {
-		return from == still && to == balancerB || from == balancerB && to == still
+	w.drops = func(from, to netip.AddrPort) bool {
+		return from == paused && to == balancerB || from == balancerB && to == paused
 	}
 	for n := range len(w.agents) {
 		d.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
 	d.StoreListed()
-	d.othersNew = true
+	d.peerRecentlyStarted = true
 	c.request(balancerB)
-	w.pass(absentAfter - 100*time.Millisecond)
+	w.advance(firstContactTimeout - 100*time.Millisecond)
 	if len(w.resets) > 0 {
-		t.Error("reset while the agent stands still")
+		t.Error("reset while the agent is paused")
 	}
 }
 
-// Symptom: after a loss of power everywhere the callers of dead flows are told half a
-// second later than could be; or a balancer that starts takes the few agents that it
-// was told of for all, and resets a flow that another one's server holds.
-// Sequence: two balancers start together; one hears agents for the first time and tells
-// the other before that one has asked for a roster.
-// Cause: news of a few agents counted as the roster of a balancer that knows all.
+// Guards against callers of ended flows that are notified half a second late after a
+// power loss, and against the reset of a flow that another agent's server holds. Two
+// balancers start together; one receives the first messages of some agents and
+// announces them before the other has requested a member list. An announcement of a few
+// agents must not count as the member list of a balancer that knows all.
 func TestNewsOfAgentsIsNoRoster(t *testing.T) {
 	w := newWorld(t, 3)
 	a, b := w.addBalancer(balancerA), w.addBalancer(balancerB)
@@ -220,34 +217,33 @@
 	}
 	for range 2 {
 		a.Tick(w.now)
-		w.settle()
-		w.now = w.now.Add(announceEvery)
+		w.deliver()
+		w.now = w.now.Add(announceInterval)
 	}
 	if len(b.agents) != len(w.agents) {
-		t.Fatalf("%d agents known, want all of which it was told", len(b.agents))
+		t.Fatalf("%d agents known, want all that were announced", len(b.agents))
 	}
 	b.Tick(w.now)
-	asked := false
+	requested := false
 	for _, e := range clone(b.Effects()) {
-		asked = asked || e.Message.Kind == MemberListRequest
+		requested = requested || e.Message.Kind == MemberListRequest
 	}
-	if !asked {
-		t.Error("no roster is asked for")
+	if !requested {
+		t.Error("no member list is requested")
 	}
 }
 
-// Symptom: after a loss of power everywhere a balancer that starts a little later than
-// the others tells the callers of dead flows half a second late.
-// Sequence: the others have found out that everything has just started and answer the
-// late one's question with their rosters.
-// Cause: only a balancer whose others did not know yet was sure before 0.6 s.
+// Guards against callers of ended flows that are notified half a second late by a
+// balancer that starts a little later than the others after a power loss of the whole
+// fleet. The others have detected the fleet start and answer with their complete member
+// lists. The late one must not wait 0.6 s because of that.
 func TestLateBalancerSeesStartOfEverything(t *testing.T) {
 	w := newWorld(t, 20)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	w.startAll(3)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	d := w.addBalancer(balancerB)
 	d.AddBalancer(balancerA)
 	for n := range len(w.agents) {
@@ -255,59 +251,57 @@
 	}
 	d.StoreListed()
 	c.request(balancerB)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
 }
 
-// Symptom: callers of dead flows wait for six seconds at a balancer that starts shortly
-// after an agent has vanished.
-// Sequence: the agent's server held nothing; it vanishes without a farewell; a balancer
-// starts, and another one names the agent to it as heard a moment ago.
-// Cause: an agent that others have heard was waited for whatever its server held.
+// Guards against callers of ended flows that wait for six seconds at a balancer that
+// starts shortly after an agent has failed. The agent's server held no flows, the agent
+// fails without deregistering, and another balancer lists it to the new one with a
+// recent message. An agent without flows need not be waited for as long as others.
 func TestVanishedEmptyAgentThatOthersNameHoldsNothingUp(t *testing.T) {
 	w := newWorld(t, 3)
 	w.restartAgent(2)
 	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
-	w.pass(time.Second)
+	w.advance(time.Second)
 	delete(w.agents, agentAddr(2))
 	d := w.addBalancer(balancerB)
 	d.AddBalancer(balancerA)
 	for n := range 2 {
 		d.AddAgent(w.now, agentAddr(n), listing, "a")
 	}
-	w.pass(100 * time.Millisecond)
+	w.advance(100 * time.Millisecond)
 	if d.agents[agentAddr(2)] == nil {
-		t.Fatal("the vanished agent was not named")
+		t.Fatal("the failed agent was not listed")
 	}
 	w.caller(1, listingPort).send(balancerB, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
-	w.pass(time.Second)
+	w.advance(time.Second)
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
 }
 
-// Symptom: after an agent has said farewell and ended, callers of dead flows wait for
-// half a second and more at every balancer.
-// Sequence: one balancer misses the farewell and goes on naming the agent; the others ask
-// it for its roster before they tell a caller that its flow has ended.
-// Cause: any roster that named an agent which had said that its server is gone brought
-// it back, also one that had heard it before it said so.
+// Guards against callers of ended flows that wait for half a second and more at every
+// balancer after an agent has deregistered and ended. One balancer misses the
+// deregistration and goes on listing the agent; the others request its member list
+// before they reset a flow. A list whose last message from the agent is older than the
+// deregistration must not bring the agent back.
 func TestRosterFromBeforeFarewellBringsNobodyBack(t *testing.T) {
 	w := newWorld(t, 3)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
-	w.pass(2 * time.Second)
-	w.cut = func(from, to netip.AddrPort) bool { return from == agentAddr(2) && to == balancerA }
+	w.advance(2 * time.Second)
+	w.drops = func(from, to netip.AddrPort) bool { return from == agentAddr(2) && to == balancerA }
 	w.gate(2).Deregister(w.now, w.server(2).instance, 0)
-	w.settle()
+	w.deliver()
 	delete(w.agents, agentAddr(2))
 	w.now = w.now.Add(20 * time.Millisecond)
 	w.caller(1, listingPort).send(balancerB, Segment{Seq: 5, Ack: 77, HasAck: true, Data: 10})
 	w.now = w.now.Add(20 * time.Millisecond)
 	w.balancers[balancerB].Tick(w.now)
-	w.settle()
+	w.deliver()
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
--- a/flow/freelist.go
+++ b/flow/freelist.go
@@ -7,8 +7,8 @@
 type freeLists struct {
 	entries  []*entry
 	openings []*opening
-	seeks    []*seek
-	returns  []*returning
+	seeks    []*lookup
+	returns  []*pendingReset
 }
 
 // take removes and returns the last object of a list, or a new one if the list is empty.
@@ -35,9 +35,9 @@
 }
 
 // seek returns a lookup that reuses the slices of an earlier one.
-func (p *freeLists) seek() *seek {
+func (p *freeLists) seek() *lookup {
 	k := take(&p.seeks)
-	*k = seek{asked: k.asked[:0], packet: k.packet[:0], kept: k.kept[:0]}
+	*k = lookup{targets: k.targets[:0], packet: k.packet[:0], buffered: k.buffered[:0]}
 	return k
 }
 
@@ -48,15 +48,15 @@
 		p.openings = append(p.openings, e.open)
 		e.open = nil
 	}
-	if e.seek != nil {
-		e.seek.serial = 0
-		p.seeks = append(p.seeks, e.seek)
-		e.seek = nil
+	if e.lookup != nil {
+		e.lookup.serial = 0
+		p.seeks = append(p.seeks, e.lookup)
+		e.lookup = nil
 	}
-	if e.returning != nil {
-		e.returning.serial = 0
-		p.returns = append(p.returns, e.returning)
-		e.returning = nil
+	if e.reset != nil {
+		e.reset.serial = 0
+		p.returns = append(p.returns, e.reset)
+		e.reset = nil
 	}
 }
 
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -135,7 +135,7 @@
 	newestOrders    uint64    // number of the newest orders that any process has reported
 	readAt          time.Time // time of the latest known read of the orders in the store
 	orders          receivedOrders
-	restored        restored
+	restored        storeRestore
 	server          server
 	flows           map[Key]*gateFlow
 	freeFlows       []*gateFlow       // removed flows, kept for reuse
@@ -206,7 +206,7 @@
 		b.reportInterval = max(m.Wait, ReportEvery)
 		g.reply(now, from, Message{Kind: Report}, nil)
 		if m.Reason == ReasonState {
-			g.tellBalancers(now, from)
+			g.sendBalancers(now, from)
 		}
 		return
 	}
@@ -272,7 +272,7 @@
 		switch {
 		case g.holdsNoFlows(now):
 			m.Reason = ReasonNotHeld
-		case g.server.recentlyStarted && now.Sub(g.started) < startSpan:
+		case g.server.recentlyStarted && now.Sub(g.started) < fleetStartWindow:
 			m.Reason = ReasonStarted
 		}
 		m.Zone = ZoneID(g.cfg.Zone)
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -14,7 +14,7 @@
 	if m := w.offerTo(0, listing, 1000); m.Kind != Taken {
 		t.Fatalf("offer to a ready server: %v, %v", m.Kind, m.Reason)
 	}
-	w.beat(0, 50, true)
+	w.heartbeat(0, 50, true)
 	if m := w.offerTo(0, listing, 1001); m.Kind != Refused || m.Reason != ReasonState {
 		t.Fatalf("offer to a draining server: %v, %v", m.Kind, m.Reason)
 	}
@@ -26,7 +26,7 @@
 	if m := w.offerTo(0, listing, 1003); m.Kind != Refused {
 		t.Fatalf("offer to a draining server that answers a status check: %v", m.Kind)
 	}
-	w.beat(0, 51, true)
+	w.heartbeat(0, 51, true)
 	if m := w.offerTo(0, listing, 1004); m.Kind != Refused {
 		t.Fatalf("offer to a draining server after another heartbeat: %v", m.Kind)
 	}
@@ -40,8 +40,8 @@
 	if m := w.offerTo(0, records, 1000); m.Kind != Refused || m.Reason != ReasonService {
 		t.Fatalf("offer of a records flow to a listing server: %v, %v", m.Kind, m.Reason)
 	}
-	w.server(0).mute = true // sends no more heartbeats
-	w.pass(DefaultHeartbeatTTL)
+	w.server(0).unresponsive = true // sends no more heartbeats
+	w.advance(DefaultHeartbeatTTL)
 	if m := w.offerTo(0, listing, 1001); m.Kind != Refused || m.Reason != ReasonState {
 		t.Fatalf("offer to a server without a heartbeat for DefaultHeartbeatTTL: %v, %v", m.Kind, m.Reason)
 	}
@@ -124,27 +124,27 @@
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
 	for n := range 2 {
-		w.server(n).mute = true
+		w.server(n).unresponsive = true
 	}
 	c.open(balancerA, 0)
 	slow := 0
-	if len(w.server(1).got) > 0 {
+	if len(w.server(1).received) > 0 {
 		slow = 1
 	}
-	w.server(1 - slow).mute = false
+	w.server(1 - slow).unresponsive = false
 	w.now = w.now.Add(DefaultAnswerTimeout)
 	w.tick()
 	if got := c.holders(); len(got) != 1 || got[0] != 1-slow {
 		t.Fatalf("held by %v, want by the server that answers", got)
 	}
 	// The slow server processes the first packet now.
-	w.server(slow).mute = false
-	w.server(slow).take(Segment{Key: c.key, Seq: c.seq, Syn: true})
-	before := len(w.server(slow).got)
+	w.server(slow).unresponsive = false
+	w.server(slow).receive(Segment{Key: c.key, Seq: c.seq, Syn: true})
+	before := len(w.server(slow).received)
 	for range 3 {
 		c.request(balancerB)
 	}
-	if got := w.server(slow).got[before:]; len(got) > 0 {
+	if got := w.server(slow).received[before:]; len(got) > 0 {
 		t.Fatalf("the slow server received %d packets of the flow", len(got))
 	}
 	if c.served() == 0 {
@@ -160,11 +160,11 @@
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
-	w.beat(0, 50, true)
-	before := len(w.server(0).got)
+	w.heartbeat(0, 50, true)
+	before := len(w.server(0).received)
 	c.seq += 12345
 	c.open(balancerA, 0)
-	if got := w.server(0).got[before:]; len(got) > 0 {
+	if got := w.server(0).received[before:]; len(got) > 0 {
 		t.Fatalf("draining server received %+v", got)
 	}
 }
@@ -179,9 +179,9 @@
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	a, _ := c.answer()
-	before := len(w.server(0).got)
+	before := len(w.server(0).received)
 	c.send(balancerB, Segment{Seq: c.seq + 999, Ack: a.Seq + 5000, HasAck: true, Data: 10})
-	if got := w.server(0).got[before:]; len(got) > 0 {
+	if got := w.server(0).received[before:]; len(got) > 0 {
 		t.Fatalf("the old flow's server received %+v", got)
 	}
 }
@@ -222,16 +222,16 @@
 		s := Segment{Key: c.key, Seq: c.seq, Syn: true}
 		m := Message{Kind: Open, Service: listing, Priority: priority, OnTime: onTime, Wait: time.Second}
 		g.FromBalancer(w.now, balancerA, &m, &s, w.packet(s))
-		w.settle()
+		w.deliver()
 		return c.key
 	}
 	late := wait(3000, 2, 0)
 	plain := wait(3001, 2, 300*time.Millisecond)
 	urgent := wait(3002, 1, 300*time.Millisecond)
-	before := len(w.server(0).got)
+	before := len(w.server(0).received)
 	w.now = w.now.Add(confirmTimeout) // the flows that fill the capacity are not confirmed
 	w.tick()
-	got := w.server(0).got[before:]
+	got := w.server(0).received[before:]
 	want := []Key{urgent, plain, late}
 	if len(got) != len(want) {
 		t.Fatalf("%d flows reached the server, want %d", len(got), len(want))
@@ -254,12 +254,12 @@
 	c := w.caller(3000, listingPort)
 	s := Segment{Key: c.key, Seq: c.seq, Syn: true}
 	g.FromBalancer(w.now, balancerA, &Message{Kind: Open, Service: listing, OnTime: time.Second, Wait: time.Second}, &s, w.packet(s))
-	w.settle()
-	before := len(w.server(0).got)
-	w.beat(0, 50, true)
+	w.deliver()
+	before := len(w.server(0).received)
+	w.heartbeat(0, 50, true)
 	w.now = w.now.Add(confirmTimeout)
 	w.tick()
-	if got := w.server(0).got[before:]; len(got) > 0 {
+	if got := w.server(0).received[before:]; len(got) > 0 {
 		t.Fatalf("draining server received %+v", got)
 	}
 	if n := len(g.queue); n > 0 {
@@ -274,12 +274,12 @@
 func TestAgentRestartedEarlyIsNotSure(t *testing.T) {
 	w := newWorld(t, 1)
 	w.server(0).instance = "i-new"
-	w.beat(0, 1, false)
+	w.heartbeat(0, 1, false)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	w.restartAgent(0)
-	w.beat(0, 2, false)
+	w.heartbeat(0, 2, false)
 	c.request(balancerA)
 	if len(w.resets) > 0 || c.served() != 2 {
 		t.Fatalf("%d resets, served %d times", len(w.resets), c.served())
@@ -316,17 +316,17 @@
 	c.request(balancerA)
 	holder := agentAddr(c.holders()[0])
 	other := (c.holders()[0] + 1) % 3
-	w.cut = func(from, to netip.AddrPort) bool { return from == holder && to == balancerB }
+	w.drops = func(from, to netip.AddrPort) bool { return from == holder && to == balancerB }
 	g := w.restartAgent(other)
-	w.server(other).mute = true
+	w.server(other).unresponsive = true
 	g.StatusCheck(w.now, StatusCheckResult{Answered: true, Instance: w.server(other).instance})
 	c.request(balancerB)
-	w.pass(200 * time.Millisecond)
-	w.server(other).mute = false
+	w.advance(200 * time.Millisecond)
+	w.server(other).unresponsive = false
 	w.server(other).instance = "i-new"
-	w.beat(other, 1, false)
+	w.heartbeat(other, 1, false)
 	c.request(balancerB)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	if len(w.resets) > 0 {
 		t.Errorf("reset with sequence number %d while server %d holds the flow", w.resets[0].ResetSeq, c.holders()[0])
 	}
--- a/flow/held.go
+++ b/flow/held.go
@@ -247,7 +247,7 @@
 
 // Tick expires timeouts, serves the queue and sends the reports that are due.
 func (g *Gate) Tick(now time.Time) {
-	paused := now.Sub(g.lastTickAt) >= pauseAfter
+	paused := now.Sub(g.lastTickAt) >= pauseThreshold
 	g.lastTickAt = now
 	if paused {
 		g.restartAnswerTimeouts(now)
@@ -258,7 +258,7 @@
 	if !now.Before(g.reportAt) {
 		g.report(now, false)
 	}
-	if now.Sub(g.lastSweepAt) >= sweepEvery {
+	if now.Sub(g.lastSweepAt) >= sweepInterval {
 		g.sweep(now)
 	}
 }
--- a/flow/lab/bound.go
+++ b/flow/lab/bound.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// step is the grain in which the bound hands out slots.
+// step is the time step in which the bound assigns slots.
 const step = 5 * time.Millisecond
 
-// bound returns the worth that each of the callers' requests could have brought: in
-// each step the slots' time goes to requests that can still be in time, then to late
-// ones, those that came first before others: with equal work and equal time to spare
-// that serves most. No exchange takes time, and a slot may change its request at any
-// moment. slots returns how much work of a warm server is done a second.
+// bound returns an upper bound of the credit for each of the callers' requests. In each
+// step the slots' time goes first to requests that can still be in time, then to late
+// ones, each in order of arrival; with equal work and equal slack this serves the most
+// requests. Network delays are zero, and a slot may switch requests at any moment.
+// slots returns the work of a warm server that is done per second.
 func bound(all []*request, work, extra time.Duration, end time.Time, slots func(time.Time) float64) map[*request]float64 {
 	worth := map[*request]float64{}
 	if len(all) == 0 {
@@ -29,7 +29,7 @@
 			for i := 0; i < len(open) && budget > 0; i++ {
 				q := open[i]
 				passed := now.Sub(q.sent)
-				if left[q] <= 0 || passed >= deadline || (passed+extra <= target) != onTime {
+				if left[q] <= 0 || passed >= deadline || (passed+extra <= latencyTarget) != onTime {
 					continue
 				}
 				part := min(budget, left[q])
@@ -38,7 +38,7 @@
 				if left[q] > 0 {
 					continue
 				}
-				worth[q] = lateness
+				worth[q] = lateCredit
 				if onTime {
 					worth[q] = 1
 				}
--- a/flow/lab/caller.go
+++ b/flow/lab/caller.go
@@ -8,26 +8,26 @@
 
 // callers send requests and keep some of their flows open.
 type callers struct {
-	f     *fleet
-	flows map[flow.Key]*callerFlow
-	idle  []*callerFlow // open, without a request
-	kept  int           // long flows, with a request or without
-	users int           // callers that keep a flow open; each sends about a request a second
-	port  uint32
-	all   []*request
+	f         *fleet
+	flows     map[flow.Key]*callerFlow
+	idle      []*callerFlow // open flows without a request
+	longFlows int           // number of long flows, with or without a request
+	users     int           // number of callers that keep a flow open; each sends about one request per second
+	port      uint32
+	all       []*request
 }
 
-// request is what a caller wants, with its repeats.
+// request is a request of a caller, with its retries.
 type request struct {
-	sent  time.Time // the first attempt
+	sent  time.Time // time of the first attempt
 	tries int
-	long  bool // goes on a flow that is kept open
+	long  bool // sent on a flow that is kept open
 	flow  *callerFlow
-	took  time.Duration // until the answer; 0: none yet
+	took  time.Duration // time until the answer; 0: none yet
 }
 
-// over reports whether the caller waits no more.
-func (q *request) over(now time.Time) bool { return q.took > 0 || now.Sub(q.sent) >= deadline }
+// over reports whether the caller no longer waits.
+func (q *request) done(now time.Time) bool { return q.took > 0 || now.Sub(q.sent) >= deadline }
 
 type callerFlow struct {
 	key      flow.Key
@@ -41,7 +41,7 @@
 
 func (c *callers) init(f *fleet) { c.f, c.flows = f, map[flow.Key]*callerFlow{} }
 
-// arrive lets requests come at rate a second for d.
+// arrive generates requests at a rate per second for d.
 func (c *callers) arrive(rate float64, d time.Duration) {
 	end := c.f.Now().Add(d)
 	var next func()
@@ -49,7 +49,7 @@
 		if c.f.Now().After(end) {
 			return
 		}
-		q := &request{sent: c.f.Now(), long: c.f.rng.Float64() < longPart}
+		q := &request{sent: c.f.Now(), long: c.f.rng.Float64() < longFlowShare}
 		c.all = append(c.all, q)
 		c.attempt(q)
 		c.f.After(time.Duration(c.f.rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -59,11 +59,11 @@
 
 // attempt sends a request on an idle flow, or on a new one.
 func (c *callers) attempt(q *request) {
-	if q.over(c.f.Now()) || q.tries == tries {
+	if q.done(c.f.Now()) || q.tries == maxTries {
 		return
 	}
 	q.tries++
-	if n := len(c.idle); q.long && n > 0 && c.kept >= c.users {
+	if n := len(c.idle); q.long && n > 0 && c.longFlows >= c.users {
 		i := c.f.rng.IntN(n)
 		x := c.idle[i]
 		c.idle[i] = c.idle[n-1]
@@ -76,7 +76,7 @@
 	x := &callerFlow{key: key, seq: c.f.rng.Uint32(), request: q, long: q.long}
 	c.flows[key] = x
 	if x.long {
-		c.kept++
+		c.longFlows++
 	}
 	q.flow = x
 	for copies, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
@@ -86,24 +86,24 @@
 			}
 		})
 	}
-	c.f.After(attempt, func() {
+	c.f.After(attemptTimeout, func() {
 		if c.flows[key] == x && !x.open {
 			c.failed(x)
 		}
 	})
 }
 
-// forget ends a flow at its caller.
-func (c *callers) forget(x *callerFlow) {
+// forget removes a flow of a caller.
+func (c *callers) remove(x *callerFlow) {
 	delete(c.flows, x.key)
 	if x.long {
-		c.kept--
+		c.longFlows--
 	}
 }
 
-// failed ends a flow; its request is tried again.
+// failed ends a flow; its request is retried.
 func (c *callers) failed(x *callerFlow) {
-	c.forget(x)
+	c.remove(x)
 	q := x.request
 	x.request = nil
 	if q != nil {
@@ -111,28 +111,28 @@
 	}
 }
 
-// sendOn sends a request on an open flow, again until there is an answer.
+// sendOn sends a request on an open flow and repeats it until there is an answer.
 func (c *callers) sendOn(x *callerFlow, q *request) {
 	x.request, q.flow = q, x
 	pause := 200 * time.Millisecond
 	var send func()
 	send = func() {
-		if x.request != q || c.flows[x.key] != x || q.over(c.f.Now()) {
+		if x.request != q || c.flows[x.key] != x || q.done(c.f.Now()) {
 			return
 		}
 		c.f.fromCaller(flow.Segment{Key: x.key, Seq: x.seq, Ack: x.ack, HasAck: true, Data: requestSize})
 		c.f.After(pause, send)
-		pause = min(2*pause, pauseMax)
+		pause = min(2*pause, maxRepeatPause)
 	}
 	send()
 	c.f.After(deadline-c.f.Now().Sub(q.sent), func() {
 		if x.request == q && c.flows[x.key] == x {
-			c.forget(x)
+			c.remove(x)
 		}
 	})
 }
 
-// packet takes what a server sent.
+// packet handles a packet from a server.
 func (c *callers) packet(s flow.Segment) {
 	x := c.flows[s.Key]
 	if x == nil {
@@ -153,18 +153,18 @@
 		x.seq += requestSize
 		q := x.request
 		x.request = nil
-		if !q.over(c.f.Now()) {
+		if !q.done(c.f.Now()) {
 			q.took = max(c.f.Now().Sub(q.sent), 1)
 		}
 		if x.long {
 			c.idle = append(c.idle, x)
 		} else {
-			c.forget(x)
+			c.remove(x)
 		}
 	}
 }
 
-// reset takes a reset of the system's own.
+// reset handles a reset sent by a balancer.
 func (c *callers) reset(key flow.Key) {
 	if x := c.flows[key]; x != nil {
 		c.failed(x)
--- a/flow/lab/config.go
+++ b/flow/lab/config.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Config sets up the modelled deployment.
+// Config configures the modelled deployment.
 type Config struct {
 	Seed      uint64
-	Seeds     int // runs that a figure is the mean of
+	Seeds     int // number of runs that a figure is the mean of
 	Balancers int
 	Agents    int
-	Slots     int           // of each server
-	Work      time.Duration // mean work of a request at a warm server
-	Load      float64       // new requests as a share of what warm servers work off
-	Link      float64       // of each balancer, bytes a second
-	Outage    time.Duration // how long everything is down
+	Slots     int           // per server
+	Work      time.Duration // mean work of a request on a warm server
+	Load      float64       // rate of new requests as a share of the capacity of warm servers
+	Link      float64       // of each balancer, bytes per second
+	Outage    time.Duration // how long all processes and servers are down
 }
 
-// DefaultConfig is a small deployment with ample links.
+// DefaultConfig returns a small deployment with ample links.
 func DefaultConfig() Config {
 	return Config{Seed: 1, Seeds: 3, Balancers: 5, Agents: 7, Slots: 3, Work: 24 * time.Millisecond, Load: 0.46, Link: 125e6, Outage: 1300 * time.Millisecond}
 }
 
-// ConfigError reports a config that can't be used.
+// ConfigError reports a configuration value that can't be used.
 type ConfigError struct{ Field, Remedy string }
 
 func (e *ConfigError) Error() string {
@@ -45,31 +45,31 @@
 	case c.Load <= 0 || c.Load > 2:
 		return &ConfigError{"load", "above 0 to 2"}
 	case c.Link < 1e4:
-		return &ConfigError{"link", "10000 bytes a second or more"}
+		return &ConfigError{"link", "10000 bytes per second or more"}
 	case c.Outage < 0 || c.Outage > 10*time.Second:
 		return &ConfigError{"outage", "0s to 10s"}
 	}
 	return nil
 }
 
-// What callers want, and how they behave.
+// Callers' requirements and the timing of the model.
 const (
-	target      = 150 * time.Millisecond
-	deadline    = 2 * time.Second
-	lateness    = 0.5 // worth of a late answer
-	tries       = 3
-	way         = 3 * time.Millisecond    // between a caller and the VMs
-	hop         = 700 * time.Microsecond  // between two VMs
-	attempt     = 1400 * time.Millisecond // until a caller gives up an attempt
-	pauseMax    = 1600 * time.Millisecond // longest time between two copies of a request
-	longPart    = 0.7                     // of requests that go on a flow kept open
-	headers     = 28 + 54                 // bytes of a message besides its packet
-	queueMax    = 60 * time.Millisecond   // of a link; what comes beyond is lost
-	coldFor     = 2 * time.Second         // a server is slow after its start
-	coldTime    = 1.6                     // times as long
-	beat        = 770 * time.Millisecond  // between heartbeats
-	beatAgain   = 50 * time.Millisecond   // after one that found nobody
-	startMin    = 60 * time.Millisecond   // from power to a process's first instruction
-	startVar    = 300 * time.Millisecond  // and up to so much later
-	serverQueue = 12
+	latencyTarget     = 150 * time.Millisecond
+	deadline          = 2 * time.Second
+	lateCredit        = 0.5 // credit of a late answer
+	maxTries          = 3
+	callerDelay       = 3 * time.Millisecond    // between a caller and the VMs, one way
+	vmDelay           = 700 * time.Microsecond  // between two VMs, one way
+	attemptTimeout    = 1400 * time.Millisecond // after which a caller gives up an attempt
+	maxRepeatPause    = 1600 * time.Millisecond // longest time between two copies of a request
+	longFlowShare     = 0.7                     // share of requests sent on a flow that is kept open
+	headerSize        = 28 + 54                 // bytes of a message besides its payload
+	maxLinkQueue      = 60 * time.Millisecond   // of a link; further packets are lost
+	coldDuration      = 2 * time.Second         // how long a server is slow after its start
+	coldSlowdown      = 1.6                     // factor by which a cold server is slower
+	heartbeatInterval = 770 * time.Millisecond  // between heartbeats
+	heartbeatRetry    = 50 * time.Millisecond   // after a heartbeat that reached no agent
+	minStartTime      = 60 * time.Millisecond   // from power-on to a process's first instruction
+	startTimeSpread   = 300 * time.Millisecond  // random time added to it
+	serverQueue       = 12
 )
--- a/flow/lab/experiment.go
+++ b/flow/lab/experiment.go
@@ -7,13 +7,13 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// Experiments are the loads that are replayed. Their Run returns a ConfigError for a
-// config that can't be used.
+// Experiments are the replayed loads. Their Run returns a ConfigError for a
+// configuration that can't be used.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "power", Run: checked(power), Tell: "credit by windows of two seconds after everything has lost power"},
-	{Name: "kill", Run: checked(kill), Tell: "the same after all processes were killed; the servers and their flows live on"},
-	{Name: "burst", Run: checked(burst), Tell: "the same from the beginning of two seconds at 1.3 times what servers work off"},
-	{Name: "slow", Run: checked(slow), Tell: "the same from the moment when one server begins to take five times as long"},
+	{Name: "power", Run: checked(power), Tell: "credit per window of two seconds after a power loss of the whole fleet"},
+	{Name: "kill", Run: checked(kill), Tell: "the same after a kill of all processes; the servers and their flows keep running"},
+	{Name: "burst", Run: checked(burst), Tell: "the same from the start of two seconds of load at 1.3 times the servers' capacity"},
+	{Name: "slow", Run: checked(slow), Tell: "the same from the moment when one server becomes five times slower"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
@@ -21,22 +21,22 @@
 }
 
 const (
-	settle = 5 * time.Second // of usual load before the event
-	after  = 10 * time.Second
-	window = 2 * time.Second
-	// exchanges is what an answer takes besides the work, at the least.
-	exchanges = 6 * way
+	warmUp   = 5 * time.Second // of usual load before the event
+	measured = 10 * time.Second
+	window   = 2 * time.Second
+	// exchanges is the shortest time of an answer besides the work.
+	networkTime = 6 * callerDelay
 )
 
 func (c Config) capacity() float64 { return float64(c.Agents*c.Slots) / c.Work.Seconds() }
 
-// scenario is an event, and the work of warm servers that is done a second from it on.
+// scenario is an event, and the work of warm servers done per second from then on.
 type scenario struct {
 	event func(f *fleet)
 	slots func(c Config, since time.Duration) float64
 }
 
-func full(c Config) float64 { return float64(c.Agents * c.Slots) }
+func warmSlots(c Config) float64 { return float64(c.Agents * c.Slots) }
 
 func power(c Config) []figure.Figure {
 	return c.replay(scenario{
@@ -46,12 +46,12 @@
 		},
 		slots: func(c Config, since time.Duration) float64 {
 			switch {
-			case since < c.Outage+startMin:
+			case since < c.Outage+minStartTime:
 				return 0
-			case since < c.Outage+startMin+coldFor:
-				return full(c) / coldTime
+			case since < c.Outage+minStartTime+coldDuration:
+				return warmSlots(c) / coldSlowdown
 			}
-			return full(c)
+			return warmSlots(c)
 		},
 	})
 }
@@ -63,10 +63,10 @@
 			f.After(c.Outage, func() { f.start(false) })
 		},
 		slots: func(c Config, since time.Duration) float64 {
-			if since < c.Outage+startMin {
+			if since < c.Outage+minStartTime {
 				return 0
 			}
-			return full(c)
+			return warmSlots(c)
 		},
 	})
 }
@@ -75,7 +75,7 @@
 	const times, span = 1.3, 2 * time.Second
 	return c.replay(scenario{
 		event: func(f *fleet) { f.callers.arrive(max(0, times-c.Load)*c.capacity(), span) },
-		slots: func(c Config, _ time.Duration) float64 { return full(c) },
+		slots: func(c Config, _ time.Duration) float64 { return warmSlots(c) },
 	})
 }
 
@@ -84,7 +84,7 @@
 	return c.replay(scenario{
 		event: func(f *fleet) { f.agents[0].server.slowness = times },
 		slots: func(c Config, _ time.Duration) float64 {
-			return full(c) - float64(c.Slots)*(1-1.0/times)
+			return warmSlots(c) - float64(c.Slots)*(1-1.0/times)
 		},
 	})
 }
@@ -92,21 +92,21 @@
 // replay runs a scenario with each seed and returns the credit of each window beside
 // the bound.
 func (c Config) replay(s scenario) (list []figure.Figure) {
-	windows := int(after / window)
+	windows := int(measured / window)
 	got, could := make([]float64, windows), make([]float64, windows)
 	asked := make([]int, windows)
 	for n := range uint64(c.Seeds) {
 		f := newFleet(c, c.Seed+n)
 		f.Run(2*time.Second, nil)
-		f.callers.users = int(longPart * c.Load * c.capacity())
-		f.callers.arrive(c.Load*c.capacity(), settle+after)
-		f.Run(settle, nil)
+		f.callers.users = int(longFlowShare * c.Load * c.capacity())
+		f.callers.arrive(c.Load*c.capacity(), warmUp+measured)
+		f.Run(warmUp, nil)
 		begin := f.Now()
 		s.event(f)
-		f.Run(after+deadline, nil)
-		best := bound(f.callers.all, c.Work, exchanges, f.Now(), func(at time.Time) float64 {
+		f.Run(measured+deadline, nil)
+		best := bound(f.callers.all, c.Work, networkTime, f.Now(), func(at time.Time) float64 {
 			if at.Before(begin) {
-				return full(c)
+				return warmSlots(c)
 			}
 			return s.slots(c, at.Sub(begin))
 		})
@@ -116,7 +116,7 @@
 				continue
 			}
 			asked[i]++
-			got[i] += q.worth()
+			got[i] += q.credit()
 			could[i] += best[q]
 		}
 	}
@@ -129,13 +129,13 @@
 	return list
 }
 
-// worth is what the caller got, of 1.
-func (q *request) worth() float64 {
+// worth returns the credit of the request, from 0 to 1.
+func (q *request) credit() float64 {
 	switch {
 	case q.took == 0:
 		return 0
-	case q.took <= target:
+	case q.took <= latencyTarget:
 		return 1
 	}
-	return lateness
+	return lateCredit
 }
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -12,20 +12,20 @@
 
 var service = flow.IDOf("register")
 
-// fleet is one run.
+// fleet is one run of the model.
 type fleet struct {
 	*simtime.Clock
-	c         Config
-	rng       *rand.Rand
-	routes    *flow.Routes
-	balancers []*balancer
-	byAddr    map[netip.AddrPort]*balancer
-	agents    []*agent
-	atAgent   map[netip.AddrPort]*agent
-	callers   callers
+	c              Config
+	rng            *rand.Rand
+	routes         *flow.Routes
+	balancers      []*balancer
+	balancerByAddr map[netip.AddrPort]*balancer
+	agents         []*agent
+	agentByAddr    map[netip.AddrPort]*agent
+	callers        callers
 }
 
-// balancer is an entry VM.
+// balancer is the VM of a balancer.
 type balancer struct {
 	addr   netip.AddrPort
 	in     link
@@ -34,7 +34,7 @@
 	tickAt time.Time
 }
 
-// agent is a VM of a backend server.
+// agent is the VM of an agent and its backend server.
 type agent struct {
 	addr     netip.AddrPort
 	g        *flow.Gate // nil while the process is down
@@ -43,7 +43,7 @@
 	instance int
 }
 
-func vm(kind, n byte) netip.AddrPort {
+func vmAddr(kind, n byte) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, kind, 0, n}), 7700)
 }
 
@@ -52,28 +52,28 @@
 func newFleet(c Config, seed uint64) *fleet {
 	f := &fleet{
 		Clock: simtime.New(), c: c, rng: rand.New(rand.NewPCG(seed, 11)),
-		byAddr: map[netip.AddrPort]*balancer{}, atAgent: map[netip.AddrPort]*agent{},
+		balancerByAddr: map[netip.AddrPort]*balancer{}, agentByAddr: map[netip.AddrPort]*agent{},
 		routes: flow.NewRoutes(1, 15000, map[netip.AddrPort]flow.Route{
-			serviceAddr: {Name: "feed", Service: service, Priority: 2, Target: target, Timeout: deadline},
+			serviceAddr: {Name: "feed", Service: service, Priority: 2, Target: latencyTarget, Timeout: deadline},
 		}),
 	}
 	for n := range c.Balancers {
-		b := &balancer{addr: vm(1, byte(n+1)), in: link{rate: c.Link}, out: link{rate: c.Link}}
+		b := &balancer{addr: vmAddr(1, byte(n+1)), in: link{rate: c.Link}, out: link{rate: c.Link}}
 		f.balancers = append(f.balancers, b)
-		f.byAddr[b.addr] = b
+		f.balancerByAddr[b.addr] = b
 	}
 	for n := range c.Agents {
-		a := &agent{addr: vm(2, byte(n+1))}
+		a := &agent{addr: vmAddr(2, byte(n+1))}
 		f.agents = append(f.agents, a)
-		f.atAgent[a.addr] = a
+		f.agentByAddr[a.addr] = a
 	}
 	f.callers.init(f)
 	f.start(true)
 	return f
 }
 
-// start starts all processes, each a little later than the others, and the servers
-// as well after a loss of power.
+// start starts all processes at slightly different times, and the servers as well after
+// a power loss.
 func (f *fleet) start(servers bool) {
 	for _, b := range f.balancers {
 		f.After(f.startTime(), func() { f.startBalancer(b) })
@@ -88,7 +88,7 @@
 }
 
 func (f *fleet) startTime() time.Duration {
-	return startMin + time.Duration(f.rng.Int64N(int64(startVar)))
+	return minStartTime + time.Duration(f.rng.Int64N(int64(startTimeSpread)))
 }
 
 func (f *fleet) startBalancer(b *balancer) {
@@ -103,7 +103,7 @@
 		b.d.AddAgent(f.Now(), a.addr, service, "a")
 	}
 	b.d.StoreListed()
-	f.balancerDid(b)
+	f.runBalancer(b)
 }
 
 func (f *fleet) startAgent(a *agent) {
@@ -114,10 +114,10 @@
 	if a.server != nil {
 		a.g.StatusCheck(f.Now(), flow.StatusCheckResult{Answered: true, Instance: a.server.instance})
 	}
-	f.agentDid(a)
+	f.runAgent(a)
 }
 
-// stop ends all processes, and the servers with their flows in a loss of power.
+// stop ends all processes, and in a power loss also the servers with their flows.
 func (f *fleet) stop(servers bool) {
 	for _, b := range f.balancers {
 		b.d = nil
@@ -130,8 +130,7 @@
 	}
 }
 
-// fromCaller carries a caller's packet to a balancer: to the same one as long as it
-// is up.
+// fromCaller carries a caller's packet to a balancer, the same one as long as it is up.
 func (f *fleet) fromCaller(s flow.Segment) {
 	b := f.route(s.Key)
 	if b == nil {
@@ -142,10 +141,10 @@
 	if !ok {
 		return
 	}
-	f.After(way+at.Sub(f.Now()), func() {
+	f.After(callerDelay+at.Sub(f.Now()), func() {
 		if b.d != nil {
 			b.d.FromCaller(f.Now(), s, packet)
-			f.balancerDid(b)
+			f.runBalancer(b)
 		}
 	})
 }
@@ -168,9 +167,8 @@
 	return best
 }
 
-// balancerDid carries out what a balancer has decided, and has it ticked when that
-// is due.
-func (f *fleet) balancerDid(b *balancer) {
+// runBalancer carries out a balancer's effects and schedules its next tick.
+func (f *fleet) runBalancer(b *balancer) {
 	now := f.Now()
 	for _, e := range b.d.Effects() {
 		packet := bytes.Clone(e.Packet)
@@ -181,9 +179,9 @@
 		m, to := e.Message, e.To
 		switch e.Kind {
 		case flow.SendReset:
-			f.After(way+at.Sub(now), func() { f.callers.reset(m.Key) })
+			f.After(callerDelay+at.Sub(now), func() { f.callers.reset(m.Key) })
 		case flow.SendMessage:
-			f.After(hop+at.Sub(now), func() { f.toVM(b.addr, to, m, packet) })
+			f.After(vmDelay+at.Sub(now), func() { f.toVM(b.addr, to, m, packet) })
 		}
 	}
 	if next := b.d.NextTick(now); b.tickAt.Before(now) || next.Before(b.tickAt) {
@@ -192,7 +190,7 @@
 		f.After(max(next.Sub(now), time.Millisecond), func() {
 			if b.d == d && !f.Now().Before(b.tickAt) {
 				d.Tick(f.Now())
-				f.balancerDid(b)
+				f.runBalancer(b)
 			}
 		})
 	}
@@ -200,22 +198,22 @@
 
 // toVM delivers a message of a balancer.
 func (f *fleet) toVM(from, to netip.AddrPort, m flow.Message, packet []byte) {
-	if a := f.atAgent[to]; a != nil && a.g != nil {
+	if a := f.agentByAddr[to]; a != nil && a.g != nil {
 		var s *flow.Segment
 		if m.Kind.CarriesPacket() {
 			s = decode(packet)
 		}
 		a.g.FromBalancer(f.Now(), from, &m, s, packet)
-		f.agentDid(a)
+		f.runAgent(a)
 	}
-	if b := f.byAddr[to]; b != nil && b.d != nil {
+	if b := f.balancerByAddr[to]; b != nil && b.d != nil {
 		b.d.FromBalancer(f.Now(), from, &m, packet)
-		f.balancerDid(b)
+		f.runBalancer(b)
 	}
 }
 
-// agentDid carries out what an agent has decided.
-func (f *fleet) agentDid(a *agent) {
+// runAgent carries out an agent's effects and schedules its next tick.
+func (f *fleet) runAgent(a *agent) {
 	now := f.Now()
 	for _, e := range a.g.Effects() {
 		packet := bytes.Clone(e.Packet)
@@ -224,10 +222,10 @@
 		case flow.SendServer:
 			if a.server != nil {
 				v := a.server
-				f.After(100*time.Microsecond, func() { v.take(*decode(packet)) })
+				f.After(100*time.Microsecond, func() { v.receive(*decode(packet)) })
 			}
 		case flow.SendCaller:
-			f.After(way, func() { f.callers.packet(*decode(packet)) })
+			f.After(callerDelay, func() { f.callers.packet(*decode(packet)) })
 		case flow.SendMessage:
 			f.toBalancer(a.addr, to, m, packet)
 		}
@@ -238,14 +236,14 @@
 		f.After(max(next.Sub(now), time.Millisecond), func() {
 			if a.g == g && !f.Now().Before(a.tickAt) {
 				g.Tick(f.Now())
-				f.agentDid(a)
+				f.runAgent(a)
 			}
 		})
 	}
 }
 
 func (f *fleet) toBalancer(from, to netip.AddrPort, m flow.Message, packet []byte) {
-	b := f.byAddr[to]
+	b := f.balancerByAddr[to]
 	if b == nil {
 		return
 	}
@@ -253,7 +251,7 @@
 	if !ok {
 		return
 	}
-	f.After(hop+at.Sub(f.Now()), func() {
+	f.After(vmDelay+at.Sub(f.Now()), func() {
 		if b.d == nil {
 			return
 		}
@@ -262,6 +260,6 @@
 			s = decode(packet)
 		}
 		b.d.FromAgent(f.Now(), from, &m, s, packet)
-		f.balancerDid(b)
+		f.runBalancer(b)
 	})
 }
--- a/flow/lab/lab_test.go
+++ b/flow/lab/lab_test.go
@@ -25,31 +25,30 @@
 	return got, most
 }
 
-// Symptom: seconds after power is back everywhere a third of the requests is late or
-// fails, for as long as one looks.
-// Sequence: power goes for 1.3 s. Balancers have links of 5 Mbit/s, which carry the
-// usual load with ease; callers go on with flows that ended.
-// Cause: an overload that feeds itself: what balancers do about dead flows keeps them
-// from new ones, whose callers come back. With the caller's packet to every agent for
-// each dead flow credit is 0.83 in the second two seconds.
+// Guards against an overload that sustains itself after a power loss of 1.3 s of the
+// whole fleet, so that a third of the requests is late or fails for good. Balancers
+// have links of 5 Mbit/s, which carry the usual load easily, and callers continue on
+// ended flows. The lookups of ended flows must not delay new flows, whose callers then
+// retry: with the caller's packet sent to every agent for each ended flow, credit in
+// the second two seconds is 0.83.
 func TestOverloadEndsByItself(t *testing.T) {
 	c := DefaultConfig()
 	c.Seeds, c.Balancers, c.Agents, c.Slots, c.Link = 2, 10, 48, 2, 0.6e6
 	got, _ := credits(t, "power", c)
 	if got[1] < 0.87 || got[2] < 0.97 || got[3] < 0.99 {
-		t.Errorf("credit by two seconds %.3f", got)
+		t.Errorf("credit per window of two seconds: %.3f", got)
 	}
 }
 
-// Symptom: all flows are lost with the processes that forward them.
-// Sequence: all processes are killed and start again; the servers live on.
-// Cause: flows that nobody remembers count as gone.
+// Guards against the loss of all flows with the processes that forward them. All
+// processes are killed and restart while the servers keep running; flows that no
+// process remembers must not count as ended.
 func TestFlowsOutliveAllProcesses(t *testing.T) {
 	c := DefaultConfig()
 	c.Seeds = 1
 	got, _ := credits(t, "kill", c)
 	if got[1] < 0.95 || got[2] < 0.99 {
-		t.Errorf("credit by two seconds %.3f", got)
+		t.Errorf("credit per window of two seconds: %.3f", got)
 	}
 }
 
@@ -63,9 +62,9 @@
 			sumGot += got[i]
 			sumMost += most[i]
 		}
-		// Work is drawn at random and the bound takes its mean.
+		// The work of each request is random, and the bound uses its mean.
 		if sumGot > 1.02*sumMost {
-			t.Errorf("%s: %.3f in all, at most %.3f", x.Name, sumGot, sumMost)
+			t.Errorf("%s: total credit %.3f, bound %.3f", x.Name, sumGot, sumMost)
 		}
 	}
 }
--- a/flow/lab/packet.go
+++ b/flow/lab/packet.go
@@ -6,10 +6,10 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// packetSize is the length of an encoded segment; its data is not written out.
+// packetSize is the length of an encoded segment; its data is not included.
 const packetSize = flow.KeySize + 11
 
-// encode writes a segment so that whoever gets the packet back can read it.
+// encode encodes a segment so that decode can read it.
 func encode(s flow.Segment) []byte {
 	b := s.Key.Append(nil)
 	b = binary.LittleEndian.AppendUint32(b, s.Seq)
@@ -38,9 +38,9 @@
 	}
 }
 
-// size returns what a message takes on a link.
+// size returns the bytes that a message takes on a link.
 func size(packet []byte) int {
-	n := headers + len(packet)
+	n := headerSize + len(packet)
 	if s := decode(packet); s != nil {
 		n += s.Data
 	}
--- a/flow/lab/server.go
+++ b/flow/lab/server.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// server is a backend server: so many slots, a short queue, slow after its start.
+// server is a backend server with slots and a short queue that is slow after its start.
 type server struct {
 	f        *fleet
 	a        *agent
@@ -19,12 +19,12 @@
 	flows    map[flow.Key]*serverFlow
 	busy     int
 	waiting  []flow.Segment
-	slowness float64 // times as long as usual
+	slowness float64 // factor by which it is slower than usual
 }
 
 type serverFlow struct {
 	first, sent uint32
-	got         uint32 // end of what the caller sent; what it repeats is not run again
+	callerEnd   uint32 // end of what the caller has sent; repeats are not run again
 }
 
 func (f *fleet) startServer(a *agent) {
@@ -34,34 +34,34 @@
 	v.heartbeat()
 }
 
-// heartbeat tells the agent of the server, again soon if nobody is there.
+// heartbeat sends a heartbeat to the agent, again soon if the agent is down.
 func (v *server) heartbeat() {
 	if v.a.server != v {
 		return
 	}
 	v.sequence++
-	wait := beatAgain
+	wait := heartbeatRetry
 	if g := v.a.g; g != nil {
-		cold := max(0, coldFor-v.f.Now().Sub(v.started))
+		cold := max(0, coldDuration-v.f.Now().Sub(v.started))
 		g.Heartbeat(v.f.Now(), flow.Heartbeat{Instance: v.instance, Sequence: v.sequence, Service: service, Slots: v.f.c.Slots, ColdFor: cold})
-		v.f.agentDid(v.a)
-		wait = beat
+		v.f.runAgent(v.a)
+		wait = heartbeatInterval
 	}
 	v.f.After(wait, v.heartbeat)
 }
 
-// alive reports whether the server and its agent are there.
+// alive reports whether the server and its agent are running.
 func (v *server) alive() bool { return v.a.server == v && v.a.g != nil }
 
 func (v *server) send(s flow.Segment) {
 	if v.alive() {
 		v.a.g.FromServer(v.f.Now(), s, encode(s))
-		v.f.agentDid(v.a)
+		v.f.runAgent(v.a)
 	}
 }
 
-// take handles a packet that the agent passes on.
-func (v *server) take(s flow.Segment) {
+// take handles a packet that the agent forwards.
+func (v *server) receive(s flow.Segment) {
 	if !v.alive() {
 		return
 	}
@@ -70,20 +70,20 @@
 	case s.Syn && !s.HasAck:
 		if x == nil {
 			v.next += 100_003
-			x = &serverFlow{first: v.next, sent: v.next + 1, got: s.Seq + 1}
+			x = &serverFlow{first: v.next, sent: v.next + 1, callerEnd: s.Seq + 1}
 			v.flows[s.Key] = x
 		}
 		v.send(flow.Segment{Key: s.Key, Seq: x.first, Ack: s.Seq + 1, Syn: true, HasAck: true})
 	case x == nil:
 		s.Bounced = true
 		v.send(s)
-	case s.Data > 0 && int32(s.Seq+uint32(s.Data)-x.got) > 0:
-		x.got = s.Seq + uint32(s.Data)
+	case s.Data > 0 && int32(s.Seq+uint32(s.Data)-x.callerEnd) > 0:
+		x.callerEnd = s.Seq + uint32(s.Data)
 		v.work(s)
 	}
 }
 
-// work puts a request on a slot, or into the queue.
+// work runs a request on a slot, or puts it into the queue.
 func (v *server) work(s flow.Segment) {
 	if v.busy == v.f.c.Slots {
 		if len(v.waiting) == serverQueue {
@@ -109,8 +109,8 @@
 func (v *server) workTime() time.Duration {
 	const spread = 0.5
 	mean := float64(v.f.c.Work) * v.slowness
-	if v.f.Now().Sub(v.started) < coldFor {
-		mean *= coldTime
+	if v.f.Now().Sub(v.started) < coldDuration {
+		mean *= coldSlowdown
 	}
 	return time.Duration(mean * math.Exp(spread*v.f.rng.NormFloat64()-spread*spread/2))
 }
--- a/flow/load_test.go
+++ b/flow/load_test.go
@@ -67,10 +67,10 @@
 	for n := range agents {
 		s := &loadServer{n: n}
 		r.servers = append(r.servers, s)
-		w.server(n).hold = func(q Segment) { r.startWork(s, q) }
+		w.server(n).deferRequest = func(q Segment) { r.startWork(s, q) }
 		w.gate(n).Heartbeat(w.now, Heartbeat{Instance: w.server(n).instance, Sequence: 4, Service: listing, Slots: loadSlots})
 	}
-	w.settle()
+	w.deliver()
 	return r
 }
 
@@ -141,7 +141,7 @@
 	}
 	a := Segment{Key: q.Key, Seq: f.first + 1, Ack: q.Seq + uint32(q.Data), HasAck: true, Data: 100}
 	r.w.gate(s.n).FromServer(r.w.now, a, r.w.packet(a))
-	r.w.settle()
+	r.w.deliver()
 }
 
 // processResults processes the packets and resets that callers received in this
@@ -233,7 +233,7 @@
 		for _, n := range r.servers {
 			v := r.w.server(n.n)
 			if r.ms%700 == 0 {
-				r.w.beat(n.n, v.sequence+1, false)
+				r.w.heartbeat(n.n, v.sequence+1, false)
 			}
 		}
 		r.w.tick()
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -5,143 +5,144 @@
 	"time"
 )
 
-// unknown takes a packet of a flow that this balancer does not know: routers
-// have just begun to hand it the flow, or it has started.
-func (d *Director) unknown(now time.Time, s *Segment, packet []byte) {
+// onUnknownFlow handles a packet of a flow that this balancer does not know, because
+// routers have recently moved the flow here or the balancer has restarted.
+func (d *Director) onUnknownFlow(now time.Time, s *Segment, packet []byte) {
 	if s.Rst {
-		d.drop(ReasonNotHeld)
+		d.countDropped(ReasonNotHeld)
 		return
 	}
-	e := d.remember(now, s.Key)
+	e := d.addEntry(now, s.Key)
 	if e == nil {
-		d.drop(ReasonOverflow)
+		d.countDropped(ReasonOverflow)
 		return
 	}
 	d.stats.Lookups++
-	d.seek(now, e, s, packet, false)
+	d.startLookup(now, e, s, packet, false)
 }
 
-// seek sends the packet to the agents that may hold the flow: those that it was
-// placed among, or all of the fleet. The one that holds it passes the packet on
-// at once, so a flow that is found loses no time.
-func (d *Director) seek(now time.Time, e *entry, s *Segment, packet []byte, all bool) {
-	d.spare.release(e)
-	k := d.spare.seek()
-	k.serial, k.begun, k.all, k.since, k.segment = d.nextSerial(), now, all, now, *s
+// startLookup queries the agents that may hold the flow: those among which it was
+// placed, or all of the fleet. The query carries the packet if possible, and the agent
+// that holds the flow forwards it at once, so a flow that is found is not delayed.
+func (d *Director) startLookup(now time.Time, e *entry, s *Segment, packet []byte, all bool) {
+	d.free.release(e)
+	k := d.free.seek()
+	k.serial, k.startedAt, k.allQueried, k.lastAttemptAt, k.segment = d.nextSerial(), now, all, now, *s
 	k.packet = append(k.packet, packet...)
-	e.state = entrySought
-	e.seek = k
+	e.state = entryLookup
+	e.lookup = k
 	var targets []netip.AddrPort
-	if v := d.serviceOf(s.Key); !all && v != nil && len(d.agents) > askAllUpTo {
-		targets = v.all.AppendRanked(s.Key.hash(), askFirst, d.targets[:0])
-		d.targets = targets
+	if v := d.serviceOf(s.Key); !all && v != nil && len(d.agents) > queryAllLimit {
+		targets = v.all.AppendRanked(s.Key.hash(), lookupFanout, d.targetScratch[:0])
+		d.targetScratch = targets
 	} else {
-		k.all = true
-		targets = d.notAsked(k)
+		k.allQueried = true
+		targets = d.agentsNotQueried(k)
 	}
-	d.trace.LookupStarted(now, s.Key, len(targets), k.all)
+	d.trace.LookupStarted(now, s.Key, len(targets), k.allQueried)
 	if len(targets) == 0 {
-		d.drop(ReasonNoAgent)
-		d.forget(s.Key)
+		d.countDropped(ReasonNoAgent)
+		d.removeEntry(s.Key)
 		return
 	}
-	d.ask(k, targets)
-	d.askLater(now, k)
+	d.queryAgents(k, targets)
+	d.scheduleRetry(now, k)
 }
 
-// askLater has the agents that do not answer asked again: of some dozens of
-// questions and answers one is easily lost, and one that is missing leaves the
-// caller of a dead flow waiting for its deadline.
-func (d *Director) askLater(now time.Time, k *seek) {
-	if k.again < maxAsked {
-		d.asking.push(asking{seekRef{k, k.serial}, now.Add(askEvery)})
+// scheduleRetry schedules another query to the agents that do not answer. One of some
+// dozens of queries and answers is easily lost, and a missing one leaves the caller of
+// an ended flow waiting for its deadline.
+func (d *Director) scheduleRetry(now time.Time, k *lookup) {
+	if k.retries < maxQueryAttempts {
+		d.lookupRetries.push(lookupRetry{lookupRef{k, k.serial}, now.Add(queryRetryInterval)})
 	}
 }
 
-// block has a search looked at again once there are fewer agents to wait for.
-func (d *Director) block(k *seek) {
+// blockLookup has a lookup checked again once fewer agents have to answer.
+func (d *Director) blockLookup(k *lookup) {
 	if !k.blocked {
 		k.blocked = true
-		d.blocked = append(d.blocked, seekRef{k, k.serial})
+		d.blockedLookups = append(d.blockedLookups, lookupRef{k, k.serial})
 	}
 }
 
-// concludeBlocked comes back to the searches that waited for an agent's answer,
-// once an agent need not answer any more. Their callers' packets come at intervals
-// that grow to 1.6 s: of 623 flows that ended in a loss of power 377 ran into
-// their callers' deadline of 2 s when only those packets woke their searches up.
-func (d *Director) concludeBlocked(now time.Time) {
-	if !d.fewer {
+// resumeBlocked continues the lookups that waited for an agent's answer once that
+// answer is no longer required. Callers' packets come at intervals that grow to 1.6 s:
+// when lookups resumed only with those packets, 377 of 623 flows that ended in a power
+// loss ran into their callers' deadline of 2 s.
+func (d *Director) resumeBlocked(now time.Time) {
+	if !d.recheckBlocked {
 		return
 	}
-	d.fewer = false
-	blocked := d.blocked
-	d.blocked = nil
+	d.recheckBlocked = false
+	blocked := d.blockedLookups
+	d.blockedLookups = nil
 	for _, ref := range blocked {
-		if !ref.ends() {
+		if !ref.ended() {
 			ref.k.blocked = false
 			d.conclude(now, ref.k)
 		}
 	}
 }
 
-// askAgain asks the agents that have not answered in time.
-func (d *Director) askAgain(now time.Time) {
-	for d.asking.len() > 0 && !d.asking.first().at.After(now) {
-		a := d.asking.pop()
+// retryLookups queries the agents that have not answered in time again.
+func (d *Director) retryLookups(now time.Time) {
+	for d.lookupRetries.len() > 0 && !d.lookupRetries.first().at.After(now) {
+		a := d.lookupRetries.pop()
 		k := a.k
-		if a.ends() {
+		if a.ended() {
 			continue
 		}
-		if !k.waits() {
-			k.again++
-			d.ask(k, d.unanswering(k))
+		if !k.hasPendingQuery() {
+			k.retries++
+			d.queryAgents(k, d.unansweredTargets(k))
 		}
-		d.askLater(now, k)
+		d.scheduleRetry(now, k)
 	}
 }
 
-// waits reports whether some agent has not been asked yet: its turn comes late on a
-// slow link, and asking the others again would only put it off.
-func (k *seek) waits() bool {
-	for i := range k.asked {
-		if k.asked[i].waits {
+// hasPendingQuery reports whether the query to some agent has not been sent yet. On a
+// slow link it is sent late, and querying the others again would delay it further.
+func (k *lookup) hasPendingQuery() bool {
+	for i := range k.targets {
+		if k.targets[i].queryPending {
 			return true
 		}
 	}
 	return false
 }
 
-// unanswering returns the agents that were asked and have not answered.
-func (d *Director) unanswering(k *seek) []netip.AddrPort {
-	list := d.targets[:0]
-	for i := range k.asked {
-		if q := &k.asked[i]; !q.answered && !q.waits && d.agents[q.agent] != nil {
+// unansweredTargets returns the agents that were queried and have not answered.
+func (d *Director) unansweredTargets(k *lookup) []netip.AddrPort {
+	list := d.targetScratch[:0]
+	for i := range k.targets {
+		if q := &k.targets[i]; !q.answered && !q.queryPending && d.agents[q.agent] != nil {
 			list = append(list, q.agent)
 		}
 	}
-	d.targets = list
+	d.targetScratch = list
 	return list
 }
 
-// ask asks agents for a flow: with its packet if no search went before it lately,
-// so that a flow that is found loses no time, else when it is their turn.
-func (d *Director) ask(k *seek, targets []netip.AddrPort) {
+// queryAgents queries agents for a flow. If no other lookup was sent recently, the
+// query carries the flow's packet and is sent at once, so that a flow that is found is
+// not delayed; otherwise it waits for its place in the queue.
+func (d *Director) queryAgents(k *lookup, targets []netip.AddrPort) {
 	if len(targets) == 0 {
 		return
 	}
-	atOnce := d.queries.idle(d.now) && len(targets) <= askAllUpTo
+	atOnce := d.queries.idle(d.now) && len(targets) <= queryAllLimit
 	for _, addr := range targets {
-		q := k.question(addr)
+		q := k.target(addr)
 		if q == nil {
-			k.asked = append(k.asked, question{agent: addr})
-			q = &k.asked[len(k.asked)-1]
+			k.targets = append(k.targets, lookupTarget{agent: addr})
+			q = &k.targets[len(k.targets)-1]
 		}
 		if atOnce {
-			d.question(addr, Message{Kind: Lookup}, k.packet)
+			d.sendRequest(addr, Message{Kind: Lookup}, k.packet)
 			continue
 		}
-		q.waits = true
+		q.queryPending = true
 		d.queries.add(addr, k)
 	}
 	if atOnce {
@@ -149,27 +150,27 @@
 	}
 }
 
-// question sends a message that an agent has to answer.
-func (d *Director) question(to netip.AddrPort, m Message, packet []byte) {
+// sendRequest sends a message that an agent has to answer.
+func (d *Director) sendRequest(to netip.AddrPort, m Message, packet []byte) {
 	if a := d.agents[to]; a != nil {
-		a.noteQuestion(d.now)
+		a.recordQuery(d.now)
 	}
 	d.send(to, m, packet)
 }
 
-// notAsked returns the agents that a sought flow was not looked for at.
-func (d *Director) notAsked(k *seek) []netip.AddrPort {
-	list := d.targets[:0]
+// agentsNotQueried returns the agents that were not queried for a flow.
+func (d *Director) agentsNotQueried(k *lookup) []netip.AddrPort {
+	list := d.targetScratch[:0]
 	for addr, a := range d.agents {
-		if !a.gone() && k.question(addr) == nil {
+		if !a.ended() && k.target(addr) == nil {
 			list = append(list, addr)
 		}
 	}
-	d.targets = list
+	d.targetScratch = list
 	return list
 }
 
-// serviceOf returns the service that a flow's route leads to, nil if none does.
+// serviceOf returns the service of a flow's route, nil if there is none.
 func (d *Director) serviceOf(key Key) *service {
 	if d.orders.Routes == nil {
 		return nil
@@ -181,182 +182,185 @@
 	return d.services[route.ServiceFor(key)]
 }
 
-// seekAgain takes a further packet of a flow that is being looked for. It is
-// kept until an agent says that it holds the flow: asking all with each packet
-// of a download would take a small VM's whole processor. A packet that comes
-// after a caller's retransmission time is another try at those that have not
-// answered, and so is the first one with data: an agent that has restarted learns from
-// its server's reaction whether the server holds the flow, and a server does not react to
-// a packet without data. What the others have said holds.
-func (d *Director) seekAgain(now time.Time, e *entry, s *Segment, packet []byte) {
-	k := e.seek
+// continueLookup handles a further packet of a flow that is being looked up. It is
+// buffered until an agent answers that it holds the flow: sending each packet of a
+// download to all agents would take a small VM's whole processor. A packet that arrives
+// after a caller's retransmission time triggers another query to the agents that have
+// not answered, and so does the first one with data: an agent that has restarted learns
+// whether its server holds the flow from the server's reaction, and a server does not
+// react to a packet without data. Answers received before remain valid.
+func (d *Director) continueLookup(now time.Time, e *entry, s *Segment, packet []byte) {
+	k := e.lookup
 	first := s.Data > 0 && k.segment.Data == 0
-	due := now.Sub(k.since) >= retransmission
+	due := now.Sub(k.lastAttemptAt) >= minRetransmissionTime
 	if replaces := s.Data > 0 || k.segment.Data == 0; replaces && (first || due) {
 		k.segment = *s
 		k.packet = append(k.packet[:0], packet...)
-	} else if !k.keep(packet) {
-		d.drop(ReasonOverflow)
+	} else if !k.buffer(packet) {
+		d.countDropped(ReasonOverflow)
 	}
 	if !first && !due {
 		return
 	}
-	k.since = now
-	d.ask(k, d.unanswering(k))
+	k.lastAttemptAt = now
+	d.queryAgents(k, d.unansweredTargets(k))
 	d.conclude(now, k)
 }
 
-// keep copies a packet for whoever holds the flow, into memory of an earlier
-// one if there is some. It reports whether there was room.
-func (k *seek) keep(packet []byte) bool {
-	n := len(k.kept)
-	if n == maxKept {
+// buffer copies a packet for the agent that holds the flow, reusing the memory of an
+// earlier one if possible. It reports whether there was space.
+func (k *lookup) buffer(packet []byte) bool {
+	n := len(k.buffered)
+	if n == maxBufferedPackets {
 		return false
 	}
-	if n == cap(k.kept) {
-		k.kept = append(k.kept, nil)
+	if n == cap(k.buffered) {
+		k.buffered = append(k.buffered, nil)
 	} else {
-		k.kept = k.kept[:n+1]
+		k.buffered = k.buffered[:n+1]
 	}
-	k.kept[n] = append(k.kept[n][:0], packet...)
+	k.buffered[n] = append(k.buffered[n][:0], packet...)
 	return true
 }
 
-// onHeld takes an agent's word that it holds a flow that was looked for.
+// onHeld handles an agent's answer that its server holds a flow that was looked up.
 func (d *Director) onHeld(now time.Time, from netip.AddrPort, m *Message) {
-	if e := d.flows[m.Key]; e != nil && e.state == entrySought {
-		d.found(now, e, from, false)
+	if e := d.flows[m.Key]; e != nil && e.state == entryLookup {
+		d.completeLookup(now, e, from, false)
 	}
 }
 
-// found ends a search. The agent gets the packets that were kept, and the one
-// that began the search if it was asked without it.
-func (d *Director) found(now time.Time, e *entry, at netip.AddrPort, withFirst bool) {
-	k := e.seek
+// completeLookup ends a lookup. The agent gets the buffered packets, and the one that
+// started the lookup if it was queried without it.
+func (d *Director) completeLookup(now time.Time, e *entry, at netip.AddrPort, withFirst bool) {
+	k := e.lookup
 	d.stats.Found++
-	d.trace.Found(now, k.segment.Key, at, now.Sub(k.since))
-	d.placed(e, at)
+	d.trace.Found(now, k.segment.Key, at, now.Sub(k.lastAttemptAt))
+	d.setHolder(e, at)
 	if withFirst {
-		d.pass(at, k.packet)
+		d.forward(at, k.packet)
 	}
-	for _, packet := range k.kept {
-		d.pass(at, packet)
+	for _, packet := range k.buffered {
+		d.forward(at, packet)
 	}
 }
 
-// onNotHeld takes an agent's word that it does not hold a flow. s is the header
-// of the packet if the agent sent it back, as it does with one that was passed
-// to it as the flow's holder.
+// onNotHeld handles an agent's answer that its server does not hold a flow. s is the
+// header of the packet if the agent returned it, as it does with a packet that was
+// forwarded to it as the flow's holder.
 func (d *Director) onNotHeld(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
 	e := d.flows[m.Key]
 	if e == nil {
 		return
 	}
 	switch {
-	case m.Reason == ReasonLost && e.state == entrySought:
-		d.lost(now, e, &e.seek.segment, ReasonLost)
+	case m.Reason == ReasonLost && e.state == entryLookup:
+		d.endFlow(now, e, &e.lookup.segment, ReasonLost)
 	case m.Reason == ReasonLost && e.agent == from && s != nil:
-		d.lost(now, e, s, ReasonLost)
+		d.endFlow(now, e, s, ReasonLost)
 	case e.state == entryPlaced && e.agent == from && s != nil:
-		d.seek(now, e, s, packet, false)
-		if e.seek != nil && e.seek.question(from) == nil {
-			e.seek.asked = append(e.seek.asked, question{agent: from})
+		d.startLookup(now, e, s, packet, false)
+		if e.lookup != nil && e.lookup.target(from) == nil {
+			e.lookup.targets = append(e.lookup.targets, lookupTarget{agent: from})
 		}
-		d.answered(now, e, from)
-	case e.state == entrySought:
-		d.answered(now, e, from)
+		d.recordNotHeld(now, e, from)
+	case e.state == entryLookup:
+		d.recordNotHeld(now, e, from)
 	}
 }
 
-// answered notes that an agent does not hold a flow that is being looked for.
-func (d *Director) answered(now time.Time, e *entry, from netip.AddrPort) {
-	if e.seek == nil {
+// recordNotHeld records that an agent's server does not hold a flow that is being
+// looked up.
+func (d *Director) recordNotHeld(now time.Time, e *entry, from netip.AddrPort) {
+	if e.lookup == nil {
 		return
 	}
-	q := e.seek.question(from)
+	q := e.lookup.target(from)
 	if q == nil {
-		// The answer to a question for an earlier flow from the same port.
+		// This answers a query for an earlier flow from the same port.
 		return
 	}
 	q.answered = true
-	d.conclude(now, e.seek)
+	d.conclude(now, e.lookup)
 }
 
-// conclude goes on with a flow that those asked so far do not hold: it asks the
-// others, and resets the flow when nobody is left. Until all have answered, and
-// until this balancer knows all of them, it does not: a reset to a flow that
-// lives breaks it.
-func (d *Director) conclude(now time.Time, k *seek) {
-	for i := range k.asked {
-		q := &k.asked[i]
-		told := q.answered || q.unsure && d.everyoneStarted
-		if a := d.agents[q.agent]; !told && a != nil && !d.absent(now, a) {
-			d.block(k)
+// conclude continues the lookup of a flow that the agents queried so far do not hold:
+// it queries the others, and resets the flow when none is left. It does not reset
+// before all agents have answered and this balancer knows all agents, because a reset
+// breaks a flow that is still open.
+func (d *Director) conclude(now time.Time, k *lookup) {
+	for i := range k.targets {
+		q := &k.targets[i]
+		done := q.answered || q.uncertain && d.fleetRecentlyStarted
+		if a := d.agents[q.agent]; !done && a != nil && !d.answerOptional(now, a) {
+			d.blockLookup(k)
 			return
 		}
 	}
-	if others := d.notAsked(k); len(others) > 0 {
-		k.all = true
-		d.ask(k, others)
+	if others := d.agentsNotQueried(k); len(others) > 0 {
+		k.allQueried = true
+		d.queryAgents(k, others)
 		return
 	}
-	if !d.complete(now) || !d.confirmed(now, k) {
-		if !k.unsure {
-			k.unsure = true
-			d.unsure = append(d.unsure, k)
+	if !d.knowsAllAgents(now) || !d.membersConfirmed(now, k) {
+		if !k.unconfirmed {
+			k.unconfirmed = true
+			d.unconfirmed = append(d.unconfirmed, k)
 		}
 		return
 	}
 	if e := d.flows[k.segment.Key]; e != nil {
-		d.lost(now, e, &k.segment, ReasonNotHeld)
+		d.endFlow(now, e, &k.segment, ReasonNotHeld)
 	}
 }
 
-// complete reports whether every agent that may hold a flow is known and was not
-// lost from sight: behind a cut, an agent and its flows live on.
-func (d *Director) complete(now time.Time) bool {
-	return d.sure(now) && len(d.missing) == 0
+// knowsAllAgents reports whether every agent that may hold a flow is known and none has
+// failed: behind a network failure, an agent and its flows live on.
+func (d *Director) knowsAllAgents(now time.Time) bool {
+	return d.discoveryDone(now) && len(d.failedAgents) == 0
 }
 
-// concludeUnsure comes back to the flows that nobody held when this balancer had
-// just started, had lost agents from sight, or waited for others to confirm its
-// roster. Their callers repeat their packets at growing intervals; waiting for the
-// next one would take seconds.
-func (d *Director) concludeUnsure(now time.Time) {
-	if len(d.unsure) == 0 || !d.complete(now) {
+// resumeUnconfirmed continues the lookups that found no holder while this balancer had
+// recently started, some agents had failed, or other balancers had not confirmed its
+// member list. Waiting for the callers' next packets, which come at growing intervals,
+// would take seconds.
+func (d *Director) resumeUnconfirmed(now time.Time) {
+	if len(d.unconfirmed) == 0 || !d.knowsAllAgents(now) {
 		return
 	}
-	unsure := d.unsure
-	d.unsure = nil
-	for _, k := range unsure {
-		k.unsure = false
-		if e := d.flows[k.segment.Key]; e != nil && e.seek == k {
+	lookups := d.unconfirmed
+	d.unconfirmed = nil
+	for _, k := range lookups {
+		k.unconfirmed = false
+		if e := d.flows[k.segment.Key]; e != nil && e.lookup == k {
 			d.conclude(now, k)
 		}
 	}
 }
 
-// absent reports whether an agent need not answer: it has fallen silent, and its
-// server held no flow before; or it was introduced and never heard since, long
-// enough for it to have answered: a key of the store outlives its process. One
-// that another balancer has heard may stand still for a while, with its server's flows.
-func (d *Director) absent(now time.Time, a *agent) bool {
+// answerOptional reports whether lookups need not wait for an agent's answer: it is
+// unresponsive and its server held no flow before; or it was added and has sent no
+// message in a time long enough to answer, since a key of the store outlives its
+// process. An agent that another balancer has received messages from may be paused for
+// a while, and its server may hold flows.
+func (d *Director) answerOptional(now time.Time, a *agent) bool {
 	switch {
-	case a.gone() || a.silent && a.empty:
+	case a.ended() || a.unresponsive && a.holdsNoFlows:
 		return true
-	case a.empty && a.asked >= maxAsked && now.Sub(a.askedAt) >= maxAsked*askEvery:
-		// Its server held no flow, and it has left every question unanswered. After a
-		// loss of power VMs whose servers had left start once more and are taken away;
-		// waited for as long as for others, each held up all searches for half a second.
+	case a.holdsNoFlows && a.unansweredQueries >= maxQueryAttempts && now.Sub(a.firstUnansweredAt) >= maxQueryAttempts*queryRetryInterval:
+		// Its server held no flow, and it has left every query unanswered. After a
+		// power loss VMs whose servers had deregistered start once more and are then
+		// removed; if they were waited for as long as others, each would hold up all
+		// lookups for half a second.
 		return true
-	case !a.heard.IsZero():
+	case !a.receivedAt.IsZero():
 		return false
-	case a.empty && a.unanswering(now):
+	case a.holdsNoFlows && a.ignoresQueries(now):
 		return true
 	}
-	limit := absentAfter
-	if a.vouched && !a.empty {
+	limit := firstContactTimeout
+	if a.confirmedByPeer && !a.holdsNoFlows {
 		limit = d.cfg.AgentExpiry
 	}
-	return now.Sub(a.introduced) >= limit
+	return now.Sub(a.addedAt) >= limit
 }
--- a/flow/lookup_result.go
+++ b/flow/lookup_result.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// LookupResult is what an agent says of a flow that it was asked for.
+// LookupResult is an agent's answer about a flow that a balancer looks up.
 type LookupResult uint8
 
-// The findings. FlowNotHeld is not written: all flows of a Query that its answer does
-// not name are not at the server.
+// The results. FlowNotHeld is not encoded: the server holds none of the flows of a
+// Query that the answer does not name.
 const (
 	FlowNotHeld     LookupResult = iota
 	FlowHeld                     // the server holds it
-	FlowLost                     // the server held it and has lost it
-	FlowNeedsPacket              // only the server can tell, and only from a packet
-	FlowUnknown                  // not even that there is a server is known yet
+	FlowLost                     // the server held it and lost it
+	FlowNeedsPacket              // only the server's reaction to a packet shows whether it holds the flow
+	FlowUnknown                  // the agent does not know yet whether there is a server
 
 	lastLookupResult = FlowUnknown
 )
 
-// resultFor returns what an answer says of a flow.
+// resultFor returns the result for a flow in an answer.
 func resultFor(key Key, answer []byte) LookupResult {
-	for ; len(answer) >= answerSize; answer = answer[answerSize:] {
+	for ; len(answer) >= resultSize; answer = answer[resultSize:] {
 		if k, _ := DecodeKey(answer); k == key && answer[KeySize] <= byte(lastLookupResult) {
 			return LookupResult(answer[KeySize])
 		}
@@ -31,7 +31,7 @@
 	return FlowNotHeld
 }
 
-// onQuery answers a balancer's question for flows.
+// onQuery answers a balancer's Query.
 func (g *Gate) onQuery(now time.Time, from netip.AddrPort, b []byte) {
 	if len(b) < numberSize {
 		return
@@ -47,7 +47,7 @@
 	g.reply(now, from, Message{Kind: QueryAnswer}, g.queryAnswer)
 }
 
-// lookup returns what is known of the flow that a packet belongs to.
+// lookup returns whether the server holds the flow that a packet belongs to.
 func (g *Gate) lookup(now time.Time, s *Segment) LookupResult {
 	f := g.flows[s.Key]
 	switch {
--- a/flow/main_test.go
+++ b/flow/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run is the same;
-// -rapid.seed on the command line goes before it.
+// TestMain fixes the seed of the property tests, so that every run is the same;
+// -rapid.seed on the command line takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/flow/member_check.go
+++ b/flow/member_check.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// confirmation is how far other balancers have confirmed that this one knows
-// all agents. It is told of a new agent by a single message, and if that gets lost
-// it would take the agent's flows for lost: callers see resets of flows that their
-// servers hold.
-type confirmation struct {
-	question uint64    // number of the latest one
-	askedAt  time.Time // when it was asked
-	tries    int       // questions in a row that nobody has answered
-	upTo     time.Time // agents that others knew at this time are known here
+// memberListCheck tracks whether other balancers confirm that this one knows all
+// agents. A new agent is announced by a single message. If that gets lost, this
+// balancer would take the agent's flows for lost, and callers would see resets of flows
+// that their servers hold.
+type memberListCheck struct {
+	request     uint64    // number of the latest request
+	requestedAt time.Time // when it was sent
+	tries       int       // requests in a row without an answer
+	confirmedAt time.Time // every agent that others knew at this time is known here
 }
 
-// due returns when a question has waited for long enough.
-func (c *confirmation) due() (at time.Time, ok bool) {
-	return c.askedAt.Add(askEvery), c.tries > 0
+// due returns when the wait for an answer ends; ok is false if there is none.
+func (c *memberListCheck) due() (at time.Time, ok bool) {
+	return c.requestedAt.Add(queryRetryInterval), c.tries > 0
 }
 
-// confirmed reports whether others have confirmed the roster since a search
-// began, and asks them if not. The flow was opened before, so that whoever opened
-// it knew the agent that holds it. If nobody answers, what is known here counts:
-// the others are gone.
-func (d *Director) confirmed(now time.Time, k *seek) bool {
-	c := &d.confirm
-	if len(d.balancers) == 0 || !c.upTo.Before(k.begun) {
+// membersConfirmed reports whether others have confirmed the member list since a lookup
+// began, and asks them if not. The flow was opened before the lookup, so the balancer
+// that opened it knew the agent that holds it. If no balancer answers, the others have
+// failed and the list known here counts as complete.
+func (d *Director) membersConfirmed(now time.Time, k *lookup) bool {
+	c := &d.memberCheck
+	if len(d.balancers) == 0 || !c.confirmedAt.Before(k.startedAt) {
 		return true
 	}
 	if at, waiting := c.due(); waiting && now.Before(at) {
 		return false
 	}
-	if c.tries == maxAsked {
-		c.upTo, c.tries = now, 0
+	if c.tries == maxQueryAttempts {
+		c.confirmedAt, c.tries = now, 0
 		return true
 	}
-	c.question, c.askedAt = d.nextSerial(), now
+	c.request, c.requestedAt = d.nextSerial(), now
 	c.tries++
-	d.askBalancers(Message{Kind: MemberListRequest, Incarnation: c.question})
+	d.sendToPeers(Message{Kind: MemberListRequest, Incarnation: c.request})
 	return false
 }
 
-// onConfirmed takes the last message of a roster that was asked for. One of a
-// balancer that has just started confirms nothing.
-func (d *Director) onConfirmed(now time.Time, m *Message) {
-	c := &d.confirm
-	if c.tries == 0 || m.Incarnation != c.question || m.Reason == ReasonState || m.Priority > 0 {
+// onMemberListAnswer handles the last message of a member list that was requested. The
+// list of a recently started balancer confirms nothing.
+func (d *Director) onMemberListAnswer(now time.Time, m *Message) {
+	c := &d.memberCheck
+	if c.tries == 0 || m.Incarnation != c.request || m.Reason == ReasonState || m.Priority > 0 {
 		return
 	}
-	c.upTo, c.tries = c.askedAt, 0
-	d.concludeUnsure(now)
+	c.confirmedAt, c.tries = c.requestedAt, 0
+	d.resumeUnconfirmed(now)
 }
 
-// askBalancers sends a question to some of the other balancers.
-func (d *Director) askBalancers(m Message) {
-	for _, addr := range d.SampleBalancers(d.now, askRosters) {
+// sendToPeers sends a message to some of the other balancers.
+func (d *Director) sendToPeers(m Message) {
+	for _, addr := range d.SampleBalancers(d.now, memberListPeers) {
 		d.send(addr, m, nil)
 	}
 }
--- a/flow/members.go
+++ b/flow/members.go
@@ -9,50 +9,53 @@
 )
 
 const (
-	// rosterEntry is the length of one agent in a roster, in bytes: address, port,
-	// service, and how long ago the teller heard it, in units of rosterAge up to
-	// rosterMaxAge, with rosterEmpty added if its server held no flow then. An agent
-	// that is not heard for as long is forgotten.
-	rosterEntry  = 15
-	rosterAge    = 50 * time.Millisecond
-	rosterMaxAge = 0x7f
-	rosterEmpty  = 0x80
-	// lateNews is how much later than it was a roster may say that an agent was heard:
-	// by what ages are rounded by, what news are collected for, and the way.
-	lateNews = rosterAge + announceEvery + 20*time.Millisecond
-	// rosterPart is the number of agents in one message, so that it stays below
+	// memberSize is the length of one agent in a member list, in bytes: address, port,
+	// service, and the time since the sender last received a message from it, in units
+	// of memberAgeUnit up to maxMemberAge. memberHoldsNoFlows is added if the agent's
+	// server held no flow then. An agent without a message for maxMemberAge units is
+	// removed.
+	memberSize         = 15
+	memberAgeUnit      = 50 * time.Millisecond
+	maxMemberAge       = 0x7f
+	memberHoldsNoFlows = 0x80
+	// memberAgeSlack is by how much a member list may exceed the time of an agent's
+	// last message: the rounding of ages, the time for which announcements are
+	// collected, and the network delay.
+	memberAgeSlack = memberAgeUnit + announceInterval + 20*time.Millisecond
+	// membersPerMessage is the number of agents in one message, so that it stays below
 	// the smallest MTU in use.
-	rosterPart = 75
-	// askRosterEvery is the time between two questions for a roster, askRosters
-	// the number of balancers asked at once.
-	askRosterEvery = 100 * time.Millisecond
-	askRosters     = 3
-	// aloneAfter is the time from which a balancer that got no roster takes the
-	// agents that it knows for all there are: other balancers are gone too, and
-	// agents that live have reported many times.
-	aloneAfter = 3 * time.Second
+	membersPerMessage = 75
+	// memberListRetryInterval is the time between two requests for a member list,
+	// memberListPeers the number of balancers that each is sent to.
+	memberListRetryInterval = 100 * time.Millisecond
+	memberListPeers         = 3
+	// maxDiscoveryTime is the time after which a balancer that received no member list
+	// assumes that it knows all agents: the other balancers have failed too, and live
+	// agents have reported many times.
+	maxDiscoveryTime = 3 * time.Second
 )
 
-// AddBalancer makes another balancer known. A balancer that has started
-// asks others for the agents that they know: the store may name too few, since
-// keys can be taken away, and an agent that stands still can't report.
+// AddBalancer adds another balancer. A balancer that has started asks others for the
+// agents that they know: the store may list too few, because keys can be removed, and a
+// paused agent can't report.
 func (d *Director) AddBalancer(addr netip.AddrPort) {
 	if _, known := d.balancers[addr]; !known {
 		d.balancers[addr] = time.Time{}
 	}
 }
 
-// livelyFor is how long a balancer that was heard counts as one that lives. Each hears
-// a few others a second.
-const livelyFor = 3 * time.Second
+// balancerTimeout is how long a balancer counts as live after its last message. Each
+// one receives messages from a few others per second.
+const balancerTimeout = 3 * time.Second
 
-// SampleBalancers returns up to n other balancers, in no order: all but one among those
-// heard lately if there are as many, since of all that are known half may be gone, and
-// one among all, so that those who are heard by nobody are spoken to as well.
+// SampleBalancers returns up to n other balancers in random order. All but one are
+// among those that sent a message recently, if there are enough, since half of all
+// known balancers may have failed. One is among all, so that balancers from which no
+// process has received a message are contacted as well.
 func (d *Director) SampleBalancers(now time.Time, n int) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, n)
-	for addr, heard := range d.balancers {
-		if len(list) < n-1 && !heard.IsZero() && now.Sub(heard) < livelyFor {
+	for addr, receivedAt := range d.balancers {
+		if len(list) < n-1 && !receivedAt.IsZero() && now.Sub(receivedAt) < balancerTimeout {
 			list = append(list, addr)
 		}
 	}
@@ -67,20 +70,20 @@
 	return list
 }
 
-// balancersPart is the number of balancers that an agent tells of, and
-// balancerEntry the length of one in bytes.
+// balancersPerMessage is the number of balancers that an agent lists in one message,
+// and balancerSize the length of one in bytes.
 const (
-	balancersPart = 64
-	balancerEntry = 6
+	balancersPerMessage = 64
+	balancerSize        = 6
 )
 
-// tellBalancers tells a balancer that has just started of the others that this
-// agent reports to. The store may name none, and only a balancer that the others
-// know hears of agents that they hear.
-func (g *Gate) tellBalancers(now time.Time, to netip.AddrPort) {
+// sendBalancers sends a recently started balancer the other balancers that this agent
+// reports to. The store may list none, and other balancers announce agents only to
+// balancers that they know.
+func (g *Gate) sendBalancers(now time.Time, to netip.AddrPort) {
 	var b []byte
 	for addr := range g.balancers {
-		if addr == to || len(b) == balancersPart*balancerEntry {
+		if addr == to || len(b) == balancersPerMessage*balancerSize {
 			continue
 		}
 		ip := addr.Addr().As4()
@@ -92,161 +95,164 @@
 	}
 }
 
-// takeBalancers introduces the balancers that an agent knows.
-func (d *Director) takeBalancers(b []byte) {
-	for ; len(b) >= balancerEntry; b = b[balancerEntry:] {
+// addBalancers adds the balancers that an agent listed.
+func (d *Director) addBalancers(b []byte) {
+	for ; len(b) >= balancerSize; b = b[balancerSize:] {
 		d.AddBalancer(netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.LittleEndian.Uint16(b[4:])))
 	}
 }
 
-// askRoster asks some balancers for the agents that they know, until one has
+// requestMemberList asks some balancers for the agents that they know, until one has
 // answered.
-func (d *Director) askRoster(now time.Time) {
-	if d.rosterKnown || now.Before(d.rosterAt) || now.Sub(d.started) >= aloneAfter {
+func (d *Director) requestMemberList(now time.Time) {
+	if d.memberListKnown || now.Before(d.nextMemberListRequest) || now.Sub(d.started) >= maxDiscoveryTime {
 		return
 	}
-	d.rosterAt = now.Add(askRosterEvery)
-	d.askBalancers(Message{Kind: MemberListRequest})
+	d.nextMemberListRequest = now.Add(memberListRetryInterval)
+	d.sendToPeers(Message{Kind: MemberListRequest})
 }
 
-// sure reports whether this balancer knows all agents that may hold a flow: one
-// that was there before has told its agents, or those that answered have just
-// started like this one; and the agents have had the time to report, or all say that
-// everything has just started, as after a loss of power.
-func (d *Director) sure(now time.Time) bool {
+// discoveryDone reports whether this balancer knows all agents that may hold a flow.
+// For that a balancer that started earlier has sent its member list, or those that
+// answered have recently started like this one; and the agents have had time to report,
+// or all of them report that the whole fleet has recently started, as after a power
+// loss.
+func (d *Director) discoveryDone(now time.Time) bool {
 	up := now.Sub(d.started)
-	told := d.rosterKnown || d.othersNew
-	return up >= aloneAfter || told && (d.everyoneStarted || up >= d.cfg.DiscoveryTime)
+	answered := d.memberListKnown || d.peerRecentlyStarted
+	return up >= maxDiscoveryTime || answered && (d.fleetRecentlyStarted || up >= d.cfg.DiscoveryTime)
 }
 
-// FromBalancer takes a message of another balancer, and what follows it.
-func (d *Director) FromBalancer(now time.Time, from netip.AddrPort, m *Message, roster []byte) {
+// FromBalancer handles a message from another balancer, and its payload.
+func (d *Director) FromBalancer(now time.Time, from netip.AddrPort, m *Message, members []byte) {
 	d.now = now
 	d.newestOrders = max(d.newestOrders, m.Revision)
 	d.StoreRead(ReadAt(now, m.ReadAge))
 	d.balancers[from] = now
 	switch m.Kind {
 	case MemberListRequest:
-		d.sendRoster(now, from, m.Incarnation)
+		d.sendMemberList(now, from, m.Incarnation)
 		return
 	case Configured:
 		return
 	case Announce:
-		d.takeRoster(now, roster)
+		d.mergeMemberList(now, members)
 		return
 	}
-	d.takeRoster(now, roster)
-	defer d.onConfirmed(now, m)
+	d.mergeMemberList(now, members)
+	defer d.onMemberListAnswer(now, m)
 	if m.Reason == ReasonState {
-		d.othersNew = true
-	} else if len(roster) > 0 {
-		d.rosterKnown = true
+		d.peerRecentlyStarted = true
+	} else if len(members) > 0 {
+		d.memberListKnown = true
 	}
 }
 
-// sendRoster tells the agents that were heard by this balancer itself, in answer
-// to a question. One that has just started says so: the few that it knows would
-// pass for all.
-func (d *Director) sendRoster(now time.Time, to netip.AddrPort, question uint64) {
-	m := Message{Kind: MemberList, Incarnation: question}
-	if !d.sure(now) {
+// sendMemberList answers a request with the agents that this balancer itself has
+// received messages from. A recently started balancer says so: otherwise the few agents
+// that it knows would be taken for all.
+func (d *Director) sendMemberList(now time.Time, to netip.AddrPort, request uint64) {
+	m := Message{Kind: MemberList, Incarnation: request}
+	if !d.discoveryDone(now) {
 		m.Reason = ReasonState
 	}
-	var heard []*agent
+	var contacted []*agent
 	for _, a := range d.agents {
-		if !a.heard.IsZero() && !a.gone() {
-			heard = append(heard, a)
+		if !a.receivedAt.IsZero() && !a.ended() {
+			contacted = append(contacted, a)
 		}
 	}
-	parts := max(1, (len(heard)+rosterPart-1)/rosterPart)
+	parts := max(1, (len(contacted)+membersPerMessage-1)/membersPerMessage)
 	for left := parts - 1; left >= 0; left-- {
 		m.Priority = uint8(min(left, math.MaxUint8))
 		var b []byte
-		n := min(len(heard), rosterPart)
-		for _, a := range heard[:n] {
-			b = a.appendRoster(b, now)
+		n := min(len(contacted), membersPerMessage)
+		for _, a := range contacted[:n] {
+			b = a.appendMember(b, now)
 		}
-		heard = heard[n:]
+		contacted = contacted[n:]
 		d.send(to, m, b)
 	}
 }
 
-func (a *agent) appendRoster(b []byte, now time.Time) []byte {
+func (a *agent) appendMember(b []byte, now time.Time) []byte {
 	ip := a.addr.Addr().As4()
 	b = append(b, ip[:]...)
 	b = binary.LittleEndian.AppendUint16(b, a.addr.Port())
 	b = binary.LittleEndian.AppendUint64(b, uint64(a.service))
-	last := byte(min(now.Sub(a.heard)/rosterAge, rosterMaxAge))
-	if a.empty {
-		last |= rosterEmpty
+	last := byte(min(now.Sub(a.receivedAt)/memberAgeUnit, maxMemberAge))
+	if a.holdsNoFlows {
+		last |= memberHoldsNoFlows
 	}
 	return append(b, last)
 }
 
-// announceEvery is how long agents that were heard for the first time are
-// collected before the other balancers are told: after a loss of power everywhere
-// each of 17 balancers hears 65 agents at once, and told one by one that was 100 KB
-// in and out of each.
-const announceEvery = 10 * time.Millisecond
-
-// announceTo is the number of balancers that are told. Each of them greets the agent,
-// and when it hears it tells as many others in turn: four reach 98 in 100 balancers, and
-// the agent itself reports to those that the store names. Told by each to all, 204
-// agents that start together are 300 KB out of and into each of 91 balancers: worked
-// out, 0.12 s of a link of 20 Mbit/s, in which new flows wait.
-const announceTo = 4
-
-// announce has the other balancers told of an agent that was heard for the first
-// time. An agent that starts while the store is away may reach only some of the
-// balancers, and the others must not take its flows for lost.
-func (d *Director) announce(now time.Time, a *agent) {
-	if len(d.news) == 0 {
-		d.newsAt = now.Add(announceEvery)
-	}
-	d.news = a.appendRoster(d.news, now)
-	if len(d.news) >= rosterPart*rosterEntry {
-		d.newsAt = now
+// announceInterval is how long newly discovered agents are collected before they are
+// announced to other balancers. After a power loss of the whole fleet each of 17
+// balancers discovers 65 agents at once; announced one by one they took 100 KB in and
+// out of each balancer.
+const announceInterval = 10 * time.Millisecond
+
+// announceFanout is the number of balancers that an announcement is sent to. Each sends
+// the agent a hello message, and on the first answer announces it to as many others:
+// four reach 98 of 100 balancers, and the agent itself reports to those that the store
+// lists. If each balancer announced to all, 204 agents that start together would cost
+// 300 KB out of and into each of 91 balancers: by calculation 0.12 s of a 20 Mbit/s
+// link, for which new flows would wait.
+const announceFanout = 4
+
+// queueAnnouncement schedules the announcement of an agent that has sent its first
+// message. An agent that starts while the store is unavailable may reach only some of
+// the balancers, and the others must not take its flows for lost.
+func (d *Director) queueAnnouncement(now time.Time, a *agent) {
+	if len(d.announcements) == 0 {
+		d.announceAt = now.Add(announceInterval)
+	}
+	d.announcements = a.appendMember(d.announcements, now)
+	if len(d.announcements) >= membersPerMessage*memberSize {
+		d.announceAt = now
 	}
 }
 
-// announceNew tells the other balancers of new agents when that is due.
-func (d *Director) announceNew(now time.Time) {
-	if len(d.news) == 0 || now.Before(d.newsAt) {
+// sendAnnouncements announces new agents to other balancers when that is due.
+func (d *Director) sendAnnouncements(now time.Time) {
+	if len(d.announcements) == 0 || now.Before(d.announceAt) {
 		return
 	}
-	for _, addr := range d.SampleBalancers(now, announceTo) {
-		d.send(addr, Message{Kind: Announce}, d.news)
+	for _, addr := range d.SampleBalancers(now, announceFanout) {
+		d.send(addr, Message{Kind: Announce}, d.announcements)
 	}
-	d.news = nil
+	d.announcements = nil
 }
 
-// takeRoster introduces the agents that another balancer knows.
-func (d *Director) takeRoster(now time.Time, roster []byte) {
-	for ; len(roster) >= rosterEntry; roster = roster[rosterEntry:] {
-		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(roster[:4])), binary.LittleEndian.Uint16(roster[4:]))
-		d.AddAgent(now, addr, ServiceID(binary.LittleEndian.Uint64(roster[6:])), "")
+// mergeMemberList adds the agents that another balancer knows.
+func (d *Director) mergeMemberList(now time.Time, members []byte) {
+	for ; len(members) >= memberSize; members = members[memberSize:] {
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(members[:4])), binary.LittleEndian.Uint16(members[4:]))
+		d.AddAgent(now, addr, ServiceID(binary.LittleEndian.Uint64(members[6:])), "")
 		a := d.agents[addr]
-		a.vouched = true
-		last := roster[rosterEntry-1]
-		heard := now.Add(-time.Duration(last&rosterMaxAge) * rosterAge)
-		if a.gone() && heard.After(a.heard.Add(lateNews)) {
-			// Others hear a new agent there, beside a new server. The flow that is
-			// looked for may be at it.
+		a.confirmedByPeer = true
+		last := members[memberSize-1]
+		receivedAt := now.Add(-time.Duration(last&maxMemberAge) * memberAgeUnit)
+		if a.ended() && receivedAt.After(a.receivedAt.Add(memberAgeSlack)) {
+			// The other balancer has received a message from a new agent at that
+			// address, beside a new server, which may hold the flow that is being
+			// looked up.
 			a.state = ServerUnknown
-			d.retable(a.service)
+			d.rebuildTables(a.service)
 		}
-		a.toldOf(heard, last&rosterEmpty != 0, 2*d.reportEvery())
+		a.recordPeerContact(receivedAt, last&memberHoldsNoFlows != 0, 2*d.reportEvery())
 	}
 }
 
-// toldOf takes another balancer's word that it heard the agent at the given time, and
-// whether its server held no flow then. It counts if that is later than what this
-// balancer knows by more than slack: of an agent that is gone others have heard no later
-// than by one report, and by what ages are rounded by.
-func (a *agent) toldOf(heard time.Time, empty bool, slack time.Duration) {
-	if !heard.After(a.toldAt) || !a.heard.IsZero() && !heard.After(a.heard.Add(slack)) {
+// recordPeerContact records when another balancer last received a message from the
+// agent, and whether the agent's server held no flow then. The report counts only if it
+// is later than this balancer's own last message by more than slack: of a failed agent
+// other balancers have received at most one further report, and ages are rounded.
+func (a *agent) recordPeerContact(receivedAt time.Time, holdsNoFlows bool, slack time.Duration) {
+	if !receivedAt.After(a.peerReceivedAt) || !a.receivedAt.IsZero() && !receivedAt.After(a.receivedAt.Add(slack)) {
 		return
 	}
-	a.toldAt = heard
-	a.empty = empty
+	a.peerReceivedAt = receivedAt
+	a.holdsNoFlows = holdsNoFlows
 }
--- a/flow/message.go
+++ b/flow/message.go
@@ -12,51 +12,54 @@
 
 // The messages between balancers and agents.
 const (
-	// Open offers a new flow: a caller's first packet follows. To an agent.
+	// Open offers a new flow to an agent. The caller's first packet follows.
 	Open MessageKind = 1 + iota
-	// Pass brings a packet of a flow that the agent should hold. To an agent.
+	// Pass forwards a packet of a flow to the agent that should hold it.
 	Pass
-	// Lookup brings a packet of a flow that the balancer does not know. Whoever
-	// holds the flow passes the packet on; all answer. To an agent.
+	// Lookup carries a packet of a flow that the balancer does not know to an agent.
+	// All agents answer; the one that holds the flow also forwards the packet to its
+	// server.
 	Lookup
-	// Taken answers Open: the server answered the caller.
+	// Taken answers Open: the server accepted the flow and answered the caller.
 	Taken
-	// Refused answers Open: the flow is not with this agent.
+	// Refused answers Open or ReserveCapacity: the agent does not accept the flow.
 	Refused
-	// Queued answers Open: the flow waits for room at the server. Taken or
-	// Refused follows.
+	// Queued answers Open or ReserveCapacity: the flow waits at the agent for capacity
+	// of the server. Taken, CapacityReserved or Refused follows.
 	Queued
-	// Held answers Seek.
+	// Held answers Lookup: the server holds the flow.
 	Held
-	// NotHeld answers Seek, and Pass if the flow is not there. With ReasonLost
-	// the flow is nowhere any more.
+	// NotHeld answers Lookup, and Pass if the server does not hold the flow. With
+	// ReasonLost the server held the flow and lost it, so no server holds it any more.
 	NotHeld
-	// Hello makes a balancer known to an agent.
+	// Hello registers a balancer with an agent, which then sends it reports.
 	Hello
-	// Report tells an agent's state and load.
+	// Report carries an agent's state and load.
 	Report
 	// MemberListRequest asks another balancer for the agents that it knows.
 	MemberListRequest
-	// MemberList answers MemberListRequest; the agents follow, in several messages if need be.
+	// MemberList answers MemberListRequest. The agents follow, in several messages if
+	// necessary.
 	MemberList
-	// Balancers tells a balancer that has just started of others; their
-	// addresses follow. From an agent.
+	// Balancers lists other balancers for one that has recently started. It comes from
+	// an agent; the addresses follow.
 	Balancers
-	// Query asks whether the server holds some flows; they follow. To an agent.
+	// Query asks an agent whether its server holds some flows; their keys follow.
 	Query
-	// QueryAnswer answers Query; what there is to say of the flows follows.
+	// QueryAnswer answers Query; the results follow.
 	QueryAnswer
-	// ReserveCapacity asks for room for the caller of a flow that has ended, before the
-	// caller is told to open a new one. To an agent, which answers with Queued
-	// and then with Room, or with Refused.
+	// ReserveCapacity asks an agent to reserve capacity for the next flow of a caller
+	// whose flow has ended, before the caller is notified that it has to open a new
+	// one. The agent answers with Queued and then CapacityReserved, or with Refused.
 	ReserveCapacity
-	// CapacityReserved answers Return: the server has room for the caller's new flow.
+	// CapacityReserved answers ReserveCapacity: the server has capacity for the
+	// caller's new flow.
 	CapacityReserved
-	// Configured tells another balancer of the configuration in force at the sender,
+	// Configured informs another balancer of the configuration in force at the sender,
 	// and of the latest read of the store, whose number follows.
 	Configured
-	// Announce tells another balancer of agents that were heard for the first time;
-	// they follow as in Roster.
+	// Announce informs another balancer of agents that the sender has received a
+	// message from for the first time. They follow as in MemberList.
 	Announce
 
 	lastKind = Announce
@@ -77,49 +80,48 @@
 	return k == MemberListRequest || k == MemberList || k == Configured || k == Announce
 }
 
-// CarriesPacket reports whether what follows a message of this kind, if anything
-// does, is a packet of a flow.
+// CarriesPacket reports whether the payload of a message of this kind, if it has one,
+// is a packet of a flow.
 func (k MessageKind) CarriesPacket() bool {
 	return k == Open || k == Pass || k == Lookup || k == NotHeld
 }
 
-// CarriesOrders reports whether a message of this kind tells an agent the operator's order
-// for its availability zone. Those that bring packets of open flows do not: they are
-// most of all messages, and nothing that they ask for depends on it.
+// CarriesOrders reports whether a message of this kind carries the operator's order for
+// the agent's availability zone. Those that carry packets of open flows do not: they
+// are the bulk of all messages, and their handling does not depend on the order.
 func (k MessageKind) CarriesOrders() bool { return k == Open || k == Hello || k == ReserveCapacity }
 
 // Valid reports whether k is one of the kinds.
 func (k MessageKind) Valid() bool { return k >= Open && k <= lastKind }
 
-// Message is one message between processes. Which fields count
-// depends on Kind; Revision does in all of them.
+// Message is one message between processes. Kind determines which fields are used;
+// Revision is used in all kinds.
 type Message struct {
 	Kind         MessageKind
-	Reason       Reason              // Refused, NotHeld; ReasonState in Hello, MemberList: the sender has just started; in Report, ReasonNotHeld: the server holds no flow and gets none, ReasonStarted: it and the sender have just started
+	Reason       Reason              // Refused, NotHeld; ReasonState in Hello, MemberList: the sender has recently started; in Report, ReasonNotHeld: the server holds no flows and gets none, ReasonStarted: server and sender have recently started
 	State        ServerState         // sent by agents
-	Priority     uint8               // Open, Return: of the route, 0 is the most urgent; MemberList: messages of it that follow
-	OnTime       time.Duration       // Open, Return: how long it may wait and still be answered in time
-	Wait         time.Duration       // Open, Return: how long it may wait for room at all, 0 for not; Hello: time between the agent's reports
+	Priority     uint8               // Open, ReserveCapacity: of the route, 0 is the most urgent; MemberList: number of messages of the list that follow
+	OnTime       time.Duration       // Open, ReserveCapacity: how long the flow may wait for its request to be answered within the latency objective
+	Wait         time.Duration       // Open, ReserveCapacity: how long the flow may wait for capacity at all, 0 for not at all; Hello: interval between the agent's reports
 	Occupancy    placement.Occupancy // sent by agents
-	Service      ServiceID           // Open, Return: the route's; Hello: the receiver's, as far as known; sent by agents: their server's
-	Revision     uint64              // number of the operator's orders in force at the sender; sent by agents: the newest that a balancer had in force
-	ColdRate     ColdRate            // Open, Hello, Return: of the service named, by the orders of that number
-	ZoneOrder    ZoneOrder           // Open, Hello, Return: for the receiver's availability zone, by the orders of that number
-	LastReceived time.Duration       // Report: since the sender last heard the receiver
+	Service      ServiceID           // Open, ReserveCapacity: the route's; Hello: the receiver's, if known; sent by agents: their server's
+	Revision     uint64              // number of the operator's orders in force at the sender; sent by agents: the newest that they received from a balancer
+	ColdRate     ColdRate            // Open, Hello, ReserveCapacity: of the service named, by the orders of that number
+	ZoneOrder    ZoneOrder           // Open, Hello, ReserveCapacity: for the receiver's availability zone, by the orders of that number
+	LastReceived time.Duration       // Report: time since the sender last received a message from the receiver
 	ReadAge      ReadAge             // of the latest read of the configuration that the sender knows of
 	Incarnation  uint64              // sent by agents: drawn at the start of the process; MemberListRequest, MemberList: number of the request; Configured: drawn by the process that read the store
-	Key          Key                 // Taken, Refused, Queued, Held, NotHeld, Return, Room
+	Key          Key                 // Taken, Refused, Queued, Held, NotHeld, ReserveCapacity, CapacityReserved
 	Zone         uint32              // Report: hash of the sender's availability zone
 }
 
-// ReadAge is the age of a read of the configuration in the store, in
-// milliseconds.
+// ReadAge is the age of a read of the configuration from the store, in milliseconds.
 type ReadAge uint16
 
-// ReadUnknown stands for an age that is unknown, or too high to tell.
+// ReadUnknown stands for an age that is unknown or too high to encode.
 const ReadUnknown ReadAge = 1<<16 - 1
 
-// AgeOf returns the age at now of a read that was made at the given time.
+// AgeOf returns the age at now of a read made at the given time.
 func AgeOf(now, at time.Time) ReadAge {
 	if at.IsZero() {
 		return ReadUnknown
@@ -128,7 +130,7 @@
 	return ReadAge(min(ms, int64(ReadUnknown)))
 }
 
-// ReadAt returns when a read of the given age was made, zero if unknown.
+// ReadAt returns the time of a read of the given age, zero if unknown.
 func ReadAt(now time.Time, age ReadAge) time.Time {
 	if age == ReadUnknown {
 		return time.Time{}
@@ -151,8 +153,9 @@
 	SendReset
 )
 
-// Effect is one thing to do. Packet is the packet of the call that produced the
-// effect, or one that the state machine kept; it is valid until the next call.
+// Effect is one action for the caller of the package to carry out. Packet is the packet
+// passed to the call that produced the effect, or one that the state machine kept; it
+// is valid until the next call.
 type Effect struct {
 	Kind     EffectKind
 	To       netip.AddrPort
--- a/flow/offer.go
+++ b/flow/offer.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// first takes a first packet, or a copy of one.
-func (d *Director) first(now time.Time, e *entry, s *Segment, packet []byte) {
+// onFirstPacket handles a first packet, or a copy of one.
+func (d *Director) onFirstPacket(now time.Time, e *entry, s *Segment, packet []byte) {
 	routes := d.orders.Routes
 	if routes == nil {
-		d.drop(ReasonNoRoute)
+		d.countDropped(ReasonNoRoute)
 		return
 	}
-	// Callers use their ports again: another sequence number is a new flow.
+	// Callers reuse their ports: another sequence number means a new flow.
 	if e != nil && (e.state == entryOpening || e.state == entryPlaced) && e.opener == s.Seq {
 		e.used = now
 		if e.state == entryOpening {
 			e.open.copies = max(e.open.copies, s.Ack)
-			return // an offer is under way; its timeout leads on
+			return // the offer in progress continues at its timeout
 		}
-		if a := d.agents[e.agent]; a != nil && !a.silent {
-			// The server's answer was lost: the same server answers again.
+		if a := d.agents[e.agent]; a != nil && !a.unresponsive {
+			// The server's answer was lost; the same server answers again.
 			route, _ := routes.Lookup(s.Key.ServiceAddr())
 			d.send(e.agent, Message{Kind: Open, Service: route.ServiceFor(s.Key), Priority: route.Priority}, packet)
 			return
 		}
 	}
-	d.forget(s.Key)
+	d.removeEntry(s.Key)
 	route, ok := routes.Lookup(s.Key.ServiceAddr())
 	if !ok {
-		d.reset(now, s.Key, s.Key.strangeSeq(), ReasonNoRoute)
+		d.reset(now, s.Key, s.Key.mismatchedSeq(), ReasonNoRoute)
 		return
 	}
-	d.open(now, route, s, packet)
+	d.startOffer(now, route, s, packet)
 }
 
-// strangeSeq returns a sequence number for a reset that must end a flow only if
-// it is not open: a copy of a first packet may be late, and its flow open by
-// now. An open flow takes a reset only near the number that its server drew, so
-// a number drawn otherwise misses it but for 4 in 100,000.
-func (k Key) strangeSeq() uint32 { return uint32(k.hash() >> 32) }
+// mismatchedSeq returns a sequence number for a reset that must end a flow only if it
+// is not open: a copy of a first packet may arrive late, when its flow is already open.
+// An open flow accepts a reset only near the sequence number that its server drew, so
+// this number misses it with all but 4 in 100,000 probability.
+func (k Key) mismatchedSeq() uint32 { return uint32(k.hash() >> 32) }
 
-// open begins to offer a flow.
-func (d *Director) open(now time.Time, route Route, s *Segment, packet []byte) {
-	if len(packet) > synSize || d.queue.len() >= d.cfg.MaxOpening {
-		d.drop(ReasonOverflow)
+// startOffer adds a flow and offers it to the first agent.
+func (d *Director) startOffer(now time.Time, route Route, s *Segment, packet []byte) {
+	if len(packet) > maxFirstPacketSize || d.offerTimeouts.len() >= d.cfg.MaxOpening {
+		d.countDropped(ReasonOverflow)
 		return
 	}
-	e := d.remember(now, s.Key)
+	e := d.addEntry(now, s.Key)
 	if e == nil {
-		d.drop(ReasonOverflow)
+		d.countDropped(ReasonOverflow)
 		return
 	}
-	o := d.spare.opening()
-	o.key, o.opener, o.route, o.service, o.since, o.copies = s.Key, s.Seq, route, route.ServiceFor(s.Key), now, s.Ack
+	o := d.free.opening()
+	o.key, o.opener, o.route, o.service, o.startedAt, o.copies = s.Key, s.Seq, route, route.ServiceFor(s.Key), now, s.Ack
 	o.synLen = copy(o.syn[:], packet)
 	e.state = entryOpening
 	e.opener = s.Seq
@@ -71,7 +71,7 @@
 			d.offerToWait(now, e)
 			return
 		}
-		d.giveUp(now, o, ReasonNoAgent)
+		d.abandon(now, o, ReasonNoAgent)
 		return
 	}
 	o.tried[o.tries] = to
@@ -79,19 +79,19 @@
 	d.sendOffer(now, e, to)
 }
 
-// offerToWait lets the flow wait at the least loaded agent, after the best ones
-// had no room. A caller that is refused asks again at once, and after a few
-// refusals not at all: a short wait serves it instead.
+// offerToWait lets the flow wait at the least loaded agent, after the best agents had
+// no capacity. A refused caller retries at once, and gives up after a few refusals, so
+// a short wait serves it better.
 func (d *Director) offerToWait(now time.Time, e *entry) {
 	o := e.open
 	v := d.services[o.service]
 	if o.mayWait || v == nil {
-		d.giveUp(now, o, ReasonBusy)
+		d.abandon(now, o, ReasonBusy)
 		return
 	}
-	to, ok := v.ready.Pick(o.key.hash(), d.load, now, d.barredFor(&o.route, func(netip.AddrPort) bool { return false }))
+	to, ok := v.ready.Pick(o.key.hash(), d.load, now, d.excludedFor(&o.route, func(netip.AddrPort) bool { return false }))
 	if !ok {
-		d.giveUp(now, o, ReasonBusy)
+		d.abandon(now, o, ReasonBusy)
 		return
 	}
 	o.mayWait = true
@@ -101,9 +101,9 @@
 func (d *Director) sendOffer(now time.Time, e *entry, to netip.AddrPort) {
 	o := e.open
 	e.agent = to
-	d.waitFor(&d.queue, o, now.Add(d.cfg.OpenTimeout))
+	d.startTimeout(&d.offerTimeouts, o, now.Add(d.cfg.OpenTimeout))
 	m := Message{Kind: Open, Service: o.service, Priority: o.route.Priority}
-	onTime, wait := o.route.waits(o.copies)
+	onTime, wait := o.route.waitLimits(o.copies)
 	m.OnTime = onTime
 	if o.mayWait {
 		m.Wait = wait
@@ -113,20 +113,20 @@
 
 // choose returns the agent that the flow is offered to next.
 func (d *Director) choose(now time.Time, o *opening) (netip.AddrPort, bool) {
-	if o.tries == maxTried {
+	if o.tries == maxOffers {
 		return netip.AddrPort{}, false
 	}
 	if v := d.services[o.service]; v != nil {
-		if a, ok := v.ready.Pick(o.key.hash(), d.load, now, d.barredFor(&o.route, o.wasTried)); ok {
+		if a, ok := v.ready.Pick(o.key.hash(), d.load, now, d.excludedFor(&o.route, o.wasTried)); ok {
 			return a.Addr, true
 		}
 	}
 	return d.lastResort(o)
 }
 
-// lastResort returns an agent that may serve the flow although nothing good is
-// known about it: after a start the agents were introduced but not heard yet,
-// and one that was silent may be back. The agent's gate decides.
+// lastResort returns an agent of the service that is not known to be ready. After a
+// start, agents have been added but have not reported yet, and an unresponsive one may
+// have recovered. The agent's gate decides.
 func (d *Director) lastResort(o *opening) (netip.AddrPort, bool) {
 	var best *agent
 	var bestRank uint64
@@ -151,35 +151,35 @@
 	return best.addr, true
 }
 
-// giveUp ends an offer without success. A flow that was refused for load is
-// reset, so that its caller knows at once that nothing ran. If no agent could
-// be reached the caller's next copy tries again; after the last copy it would
-// wait for nothing.
-func (d *Director) giveUp(now time.Time, o *opening, reason Reason) {
-	reset := o.busy > 0 || o.copies >= lastCopy
+// abandon ends an offer that no agent accepted. A flow that was refused because of load
+// is reset, so that its caller knows at once that its request did not run. If no agent
+// could be reached, the caller's next copy of the first packet tries again; after the
+// last copy the flow is reset, because the caller would wait in vain.
+func (d *Director) abandon(now time.Time, o *opening, reason Reason) {
+	reset := o.busy > 0 || o.copies >= lastRetransmission
 	switch {
 	case o.busy > 0:
 		reason = ReasonBusy
 	case reason == ReasonNoAgent && d.evacuated(o.service):
 		reason, reset = ReasonEvacuated, true
-	case reason == ReasonNoAgent && d.outOfRegion(o):
+	case reason == ReasonNoAgent && d.outOfRegions(o):
 		reason, reset = ReasonRegion, true
 	}
-	d.trace.Abandoned(now, ID{o.key, o.opener}, o.route, reason, o.tries, now.Sub(o.since), reset)
-	d.forget(o.key)
+	d.trace.Abandoned(now, ID{o.key, o.opener}, o.route, reason, o.tries, now.Sub(o.startedAt), reset)
+	d.removeEntry(o.key)
 	if !reset {
-		d.drop(reason)
+		d.countDropped(reason)
 		return
 	}
-	d.reset(now, o.key, o.key.strangeSeq(), reason)
+	d.reset(now, o.key, o.key.mismatchedSeq(), reason)
 }
 
-// outOfRegion reports whether all agents of a flow's service are in regions that its
+// outOfRegions reports whether all agents of a flow's service are in regions that its
 // route does not name. Its caller is refused at once.
-func (d *Director) outOfRegion(o *opening) bool {
+func (d *Director) outOfRegions(o *opening) bool {
 	known := false
 	for _, a := range d.agents {
-		if a.service != o.service || a.gone() {
+		if a.service != o.service || a.ended() {
 			continue
 		}
 		if a.zone == 0 || d.mayServe(a, &o.route) {
@@ -190,21 +190,21 @@
 	return known
 }
 
-// onTaken takes an agent's word that its server answered the caller.
+// onTaken handles an agent's message that its server answered the caller.
 func (d *Director) onTaken(now time.Time, from netip.AddrPort, m *Message) {
 	e := d.flows[m.Key]
 	if e == nil || e.state != entryOpening {
 		return
 	}
-	d.taken(now, e, from)
+	d.recordTaken(now, e, from)
 }
 
-// taken notes that a flow that was offered is at an agent.
-func (d *Director) taken(now time.Time, e *entry, agent netip.AddrPort) {
+// recordTaken records that an offered flow is held by an agent.
+func (d *Director) recordTaken(now time.Time, e *entry, agent netip.AddrPort) {
 	o := e.open
 	d.stats.Taken++
-	d.trace.Taken(now, ID{o.key, o.opener}, o.route, agent, o.tries, now.Sub(o.since))
-	d.placed(e, agent)
+	d.trace.Taken(now, ID{o.key, o.opener}, o.route, agent, o.tries, now.Sub(o.startedAt))
+	d.setHolder(e, agent)
 }
 
 // onRefused offers the flow to the next agent.
@@ -214,38 +214,38 @@
 	if e == nil || e.agent != from {
 		return
 	}
-	if e.state == entryReturning {
-		d.askRoom(now, e)
+	if e.state == entryResetPending {
+		d.reserveCapacity(now, e)
 		return
 	}
 	if e.state == entryPlaced {
-		// A copy of the first packet met a server that does not have the flow.
-		d.forget(m.Key)
+		// A copy of the first packet arrived at a server that does not hold the flow.
+		d.removeEntry(m.Key)
 		return
 	}
 	if e.state != entryOpening {
 		return
 	}
 	d.trace.Refused(now, m.Key, e.open.route, from, m.Reason, m.Occupancy)
-	d.next(now, e, m.Reason)
+	d.offerNext(now, e, m.Reason)
 }
 
-func (d *Director) next(now time.Time, e *entry, reason Reason) {
+func (d *Director) offerNext(now time.Time, e *entry, reason Reason) {
 	o := e.open
 	if reason == ReasonBusy || reason == ReasonBounced {
 		o.busy++
 	}
 	switch {
 	case o.mayWait && reason == ReasonBusy:
-		d.giveUp(now, o, ReasonBusy)
-	case o.busy >= maxBusy:
+		d.abandon(now, o, ReasonBusy)
+	case o.busy >= maxBusyRefusals:
 		d.offerToWait(now, e)
 	default:
 		d.offer(now, e)
 	}
 }
 
-// onQueued notes that the flow waits for room at an agent.
+// onQueued records that the flow waits for capacity at an agent.
 func (d *Director) onQueued(now time.Time, from netip.AddrPort, m *Message) {
 	e := d.flows[m.Key]
 	if e == nil || e.agent != from {
@@ -253,47 +253,47 @@
 	}
 	switch e.state {
 	case entryOpening:
-		d.waitFor(&d.queued, e.open, now.Add(queueTimeout))
-	case entryReturning:
-		r := e.returning
+		d.startTimeout(&d.queueTimeouts, e.open, now.Add(queueTimeout))
+	case entryResetPending:
+		r := e.reset
 		r.serial = d.nextSerial()
-		d.waitingReturns.push(returnDue{r, r.serial, now.Add(returnCheck)})
+		d.queuedResets.push(resetTimeout{r, r.serial, now.Add(resetCheckInterval)})
 	}
 }
 
-// expireOffers goes on with the flows whose agent has not answered in time.
+// expireOffers continues with the flows whose agent has not answered in time.
 func (d *Director) expireOffers(now time.Time) {
-	d.expire(now, &d.queue)
-	d.expire(now, &d.queued)
+	d.expire(now, &d.offerTimeouts)
+	d.expire(now, &d.queueTimeouts)
 }
 
-// due is the end of the time that an agent has for its answer.
-type due struct {
+// offerTimeout is the deadline of an agent's answer.
+type offerTimeout struct {
 	o      *opening
-	serial uint64 // of the wait; another one has begun if it differs
+	serial uint64 // of the wait; if the opening's differs, another wait has begun
 	at     time.Time
 }
 
-// waitFor begins the wait for an agent's answer.
-func (d *Director) waitFor(queue *fifo[due], o *opening, at time.Time) {
+// startTimeout starts the wait for an agent's answer.
+func (d *Director) startTimeout(queue *fifo[offerTimeout], o *opening, at time.Time) {
 	o.serial = d.nextSerial()
-	queue.push(due{o, o.serial, at})
+	queue.push(offerTimeout{o, o.serial, at})
 }
 
-// expire goes through a queue, which is in the order of its times, up to now.
-func (d *Director) expire(now time.Time, queue *fifo[due]) {
+// expire handles the timeouts of a queue, which is ordered by time, up to now.
+func (d *Director) expire(now time.Time, queue *fifo[offerTimeout]) {
 	for queue.len() > 0 && !queue.first().at.After(now) {
 		w := queue.pop()
 		if e := d.flows[w.o.key]; e != nil && e.open == w.o && w.o.serial == w.serial {
-			d.unanswered(now, e)
+			d.onOfferTimeout(now, e)
 		}
 	}
 }
 
-// unanswered goes on with a flow whose agent let its time pass.
-func (d *Director) unanswered(now time.Time, e *entry) {
+// onOfferTimeout continues with a flow whose agent did not answer in time.
+func (d *Director) onOfferTimeout(now time.Time, e *entry) {
 	d.stats.Refusals[ReasonTimeout]++
 	d.trace.Refused(now, e.open.key, e.open.route, e.agent, ReasonTimeout, 0)
-	d.setSilent(now, e.agent)
-	d.next(now, e, ReasonTimeout)
+	d.setUnresponsive(now, e.agent)
+	d.offerNext(now, e, ReasonTimeout)
 }
