--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// fullGate returns an agent whose server is at work on as much as may reach it.
+// fullGate returns an agent whose server has as many requests in progress as it may
+// get.
 func fullGate(now time.Time) *Gate {
 	g := readyGate(now, 3)
 	for i := range g.requestCapacity() {
@@ -35,43 +36,42 @@
 	return s.Key
 }
 
-// returnWaiting asks for room for a caller.
-func returnWaiting(g *Gate, now time.Time, port uint16, onTime time.Duration, reason Reason) {
+// reserveWaiting asks for capacity for a caller.
+func reserveWaiting(g *Gate, now time.Time, port uint16, onTime time.Duration, reason Reason) {
 	m := Message{Kind: ReserveCapacity, Key: Key{CallerPort: port}, Service: listing, Priority: 2, Reason: reason, OnTime: onTime, Wait: time.Second}
 	g.FromBalancer(now, balancerA, &m, nil, nil)
 }
 
-// Symptom: after a loss of power new requests on long flows are late while late ones are
-// served: callers of ended flows waited for 0.7 s, then all were told at once.
-// Sequence: the server is full; a flow that is late already waits, and then the caller of
-// an ended flow whose request can be in time; a request ends; a late flow comes.
-// Cause: every flow went before every caller that was to come back.
+// Guards against new requests on long flows being late after a power loss while
+// requests that are late already are served: callers of ended flows waited for 0.7 s
+// and were then notified all at once. The server is full; a late flow waits, and then
+// the caller of an ended flow whose request can be in time. Not every waiting flow may
+// go before such a caller.
 func TestCallerThatCanBeInTimeGoesBeforeLateFlow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := fullGate(now)
 	late := offerWaiting(g, now, 1, 0)
-	returnWaiting(g, now, 2, 100*time.Millisecond, ReasonNone)
+	reserveWaiting(g, now, 2, 100*time.Millisecond, ReasonNone)
 	g.Effects()
 	finishOne(g, now)
-	told := false
+	notified := false
 	for _, e := range g.Effects() {
-		told = told || e.Message.Kind == CapacityReserved
+		notified = notified || e.Message.Kind == CapacityReserved
 	}
-	if !told || g.findQueued(late) == nil {
-		t.Errorf("caller told: %v, late flow still waits: %v", told, g.findQueued(late) != nil)
+	if !notified || g.findQueued(late) == nil {
+		t.Errorf("caller notified: %v, late flow still waits: %v", notified, g.findQueued(late) != nil)
 	}
 }
 
-// Symptom: as above.
-// Sequence: a slot gets free while the caller of an ended flow waits; before it is told, a
-// late flow is offered.
-// Cause: a new flow took any slot that was free.
+// Guards against the same delay by new flows. A slot becomes free while the caller of
+// an ended flow waits, and a late flow is offered before the caller is notified. The
+// late flow must not take the slot.
 func TestLateFlowWaitsBehindCaller(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := fullGate(now)
-	returnWaiting(g, now, 2, 100*time.Millisecond, ReasonNone)
+	reserveWaiting(g, now, 2, 100*time.Millisecond, ReasonNone)
 	g.waitingCallers[0].expiresAt = now.Add(time.Minute)
-	g.requests-- // a slot that dequeue has not given away yet
+	g.requests-- // a slot that dequeue has not assigned yet
 	if reason := g.refusalReason(now, &Message{Kind: Open, Service: listing}); reason != ReasonBusy {
 		t.Errorf("late flow: %v, want busy", reason)
 	}
@@ -80,90 +80,87 @@
 	}
 }
 
-// Symptom: nearly all callers that come back after a loss of power are late.
-// Sequence: in the first moments a packet of an ended flow may be a repeat of one from
-// before, and those come by first; more wait than can be served.
-// Cause: served in the order in which they came, the new requests among them waited
-// behind the old ones.
+// Guards against nearly all callers being late that retry after a power loss. At first
+// a packet of an ended flow may be a repeat of one from before, such repeats arrive
+// first, and more callers wait than can be served. Served in order of arrival, new
+// requests would wait behind the old ones.
 func TestYoungestOfThoseThatMayBeOlderGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wait := func(onTime time.Duration, older bool) queueEntry {
 		return queueEntry{onTimeUntil: now.Add(onTime), expiresAt: now.Add(onTime + time.Second), mayBeOlder: older}
 	}
-	late, first, last, sure := wait(0, true), wait(100*time.Millisecond, true), wait(150*time.Millisecond, true), wait(50*time.Millisecond, false)
-	list := []queueEntry{late, first, last, sure}
-	for i, want := range []queueEntry{sure, last, first, late} {
+	late, first, last, certain := wait(0, true), wait(100*time.Millisecond, true), wait(150*time.Millisecond, true), wait(50*time.Millisecond, false)
+	list := []queueEntry{late, first, last, certain}
+	for i, want := range []queueEntry{certain, last, first, late} {
 		if got := removeNext(&list, now); got.onTimeUntil != want.onTimeUntil {
 			t.Errorf("number %d can be in time for %v, want %v", i, got.onTimeUntil.Sub(now), want.onTimeUntil.Sub(now))
 		}
 	}
 }
 
-// Symptom: a caller hangs until its deadline.
-// Sequence: the caller of an ended flow waits for room at an agent, which is killed.
-// Cause: only the agent's word ended the wait.
+// Guards against a caller that waits until its deadline because it waits for capacity
+// at an agent that is killed, and only a message of that agent would end the wait.
 func TestCallerIsToldWhenItsAgentIsGone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Report, State: ServerReady, Service: listing, Zone: ZoneID("a")}, nil, nil)
 	c := Key{CallerPort: 1, Service: [4]byte{198, 18, 0, 1}, ServicePort: listingPort}
-	e := d.remember(now, c)
-	d.lost(now, e, &Segment{Key: c, Ack: 5, HasAck: true, Data: 9}, ReasonLost)
+	e := d.addEntry(now, c)
+	d.endFlow(now, e, &Segment{Key: c, Ack: 5, HasAck: true, Data: 9}, ReasonLost)
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Queued, Key: c, State: ServerReady, Service: listing}, nil, nil)
-	until := e.returning.until
-	if wait := until.Sub(now); wait > 1200*time.Millisecond/returnWaitPart {
+	until := e.reset.until
+	if wait := until.Sub(now); wait > 1200*time.Millisecond/resetWaitPart {
 		t.Fatalf("may wait for %v of a deadline of 1.2 s", wait)
 	}
 	d.Effects()
-	for !now.After(until.Add(2*DefaultOpenTimeout + 2*returnCheck)) {
+	for !now.After(until.Add(2*DefaultOpenTimeout + 2*resetCheckInterval)) {
 		now = now.Add(10 * time.Millisecond)
 		d.Tick(now)
 		for _, e := range d.Effects() {
 			if e.Kind == SendReset {
 				if now.Before(until) {
-					t.Errorf("told %v before its time", until.Sub(now))
+					t.Errorf("notified %v too early", until.Sub(now))
 				}
 				return
 			}
 		}
 	}
-	t.Error("the caller was not told")
+	t.Error("the caller was not notified")
 }
 
-// Symptom: after a loss of power no search ends for half a second and more.
-// Sequence: a VM whose server had left starts once more, says that its server holds no
-// flow, and is taken away.
-// Cause: its answer was waited for as long as that of an agent with flows.
+// Guards against lookups that do not end for half a second and more after a power loss.
+// A VM whose server had deregistered starts once more, reports that its server holds no
+// flows, and is removed. Its answer must not be waited for as long as that of an agent
+// with flows.
 func TestEmptyAgentThatAnswersNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{}, nil)
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Report, State: ServerUnknown, Reason: ReasonNotHeld, Service: listing}, nil, nil)
 	d.FromAgent(now, agentAddr(1), &Message{Kind: Report, State: ServerReady, Service: listing}, nil, nil)
-	for n, want := range []time.Duration{maxAsked * askEvery, 0} {
+	for n, want := range []time.Duration{maxQueryAttempts * queryRetryInterval, 0} {
 		a := d.agents[agentAddr(n)]
-		for range maxAsked {
-			a.noteQuestion(now)
+		for range maxQueryAttempts {
+			a.recordQuery(now)
 		}
-		before := now.Add(maxAsked*askEvery - time.Millisecond)
-		if d.absent(before, a) || d.absent(before.Add(time.Millisecond), a) != (want > 0) {
-			t.Errorf("agent %d: need not answer after %v: %v, a millisecond later: %v", n, before.Sub(now), d.absent(before, a), d.absent(before.Add(time.Millisecond), a))
+		before := now.Add(maxQueryAttempts*queryRetryInterval - time.Millisecond)
+		if d.answerOptional(before, a) || d.answerOptional(before.Add(time.Millisecond), a) != (want > 0) {
+			t.Errorf("agent %d: answer optional after %v: %v, a millisecond later: %v", n, before.Sub(now), d.answerOptional(before, a), d.answerOptional(before.Add(time.Millisecond), a))
 		}
 	}
 }
 
-// Symptom: for many seconds after a loss of power balancers go on looking for hundreds of
-// flows a second at every agent, and find none.
-// Sequence: callers close flows that have ended with their servers.
-// Cause: a caller that only closes its flow was told nothing, and repeated that.
+// Guards against balancers that look up hundreds of flows per second at every agent,
+// without a result, for many seconds after a power loss. Callers close flows that have
+// ended with their servers; without a reset they repeat the close.
 func TestCallerThatClosesDeadFlowIsTold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
 	key := Key{CallerPort: 1, Service: [4]byte{198, 18, 0, 1}, ServicePort: listingPort}
-	d.lost(now, d.remember(now, key), &Segment{Key: key, Ack: 5, HasAck: true, Fin: true}, ReasonNotHeld)
+	d.endFlow(now, d.addEntry(now, key), &Segment{Key: key, Ack: 5, HasAck: true, Fin: true}, ReasonNotHeld)
 	out := d.Effects()
 	if len(out) != 1 || out[0].Kind != SendReset || out[0].ResetSeq != 5 || d.flows[key] != nil {
-		t.Errorf("%+v; still remembered: %v", out, d.flows[key] != nil)
+		t.Errorf("%+v; still in the table: %v", out, d.flows[key] != nil)
 	}
 }
--- a/flow/orders.go
+++ b/flow/orders.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Orders is what the operator has ordered, as it was at one moment. It is immutable.
+// Orders is what the operator has ordered, as of one moment. It is immutable.
 type Orders struct {
 	Number    uint64              // a higher one is newer
-	Routes    *Routes             // nil: those in force stay
+	Routes    *Routes             // nil: the routes in force stay
 	Evacuated map[uint32]struct{} // availability zones that get no new flows, by ZoneID
 }
 
@@ -22,16 +22,18 @@
 	return o
 }
 
-// ZoneOrder is what a balancer tells an agent of its availability zone.
+// ZoneOrder is the order for an agent's availability zone that a balancer sends to the
+// agent.
 type ZoneOrder uint8
 
 // The orders.
 const (
-	ZoneUnknown   ZoneOrder = iota // the sender does not know the agent's zone, or no orders
-	ZoneInService                  // takes new flows
-	ZoneEvacuated                  // gets no new flows until the operator gives it back
-	// ZoneUnconfirmed gets no new flows either: it was evacuated before the store came back
-	// from an older copy, and the operator may not have written that again yet.
+	ZoneUnknown   ZoneOrder = iota // the sender does not know the agent's zone, or has no orders
+	ZoneInService                  // gets new flows
+	ZoneEvacuated                  // gets no new flows until the operator puts it back into service
+	// ZoneUnconfirmed gets no new flows either: it was evacuated before the store came
+	// back from an older copy, and the operator may not have written the evacuation
+	// again yet.
 	ZoneUnconfirmed
 
 	lastZoneOrder = ZoneUnconfirmed
@@ -43,13 +45,14 @@
 // Valid reports whether o is one of the orders.
 func (o ZoneOrder) Valid() bool { return o <= lastZoneOrder }
 
-// SetOrders puts orders in force. Older ones than those in force are refused: what a
-// backend server has seen the effect of is never undone. Under the same number only newer
-// routes are taken, which another process kept when the store lost them.
+// SetOrders puts orders in force and reports whether it did. Orders older than those in
+// force are refused, because their effects at backend servers are never undone. Under
+// the same number only newer routes are accepted, which another process kept when the
+// store lost them.
 //
-// An evacuation that every balancer alone kept would be broken by each that is behind;
-// so balancers leave a zone out to waste no offer, and tell its agents, which refuse
-// whoever offers.
+// An evacuation enforced by balancers alone would be violated by each balancer that has
+// older orders. So agents enforce it: balancers send them the order, and agents refuse
+// offers from any balancer. Balancers exclude the zone only to save offers.
 func (d *Director) SetOrders(now time.Time, o *Orders) bool {
 	before := d.orders
 	if o.Number < before.Number || o.Number == before.Number && !o.Routes.newerThan(before.Routes) {
@@ -60,13 +63,13 @@
 	}
 	d.orders = o
 	d.newestOrders = max(d.newestOrders, o.Number)
-	d.lacking.update(now, before, o)
+	d.unconfirmedZones.update(now, before, o)
 	for _, a := range d.agents {
-		d.learnLacking(now, a)
+		d.recordUnconfirmedZone(now, a)
 	}
-	d.greetChanged(now, before)
+	d.helloChangedAgents(now, before)
 	if !maps.Equal(before.Evacuated, o.Evacuated) {
-		d.retableAll()
+		d.rebuildAllTables()
 	}
 	return true
 }
@@ -74,37 +77,37 @@
 // Orders returns the orders in force, with number 0 for none.
 func (d *Director) Orders() *Orders { return d.orders }
 
-// SetRoutes puts a configuration in force, with no zone evacuated. Its revision numbers
-// the orders.
+// SetRoutes puts a configuration in force, with no zone evacuated. Its revision is the
+// number of the orders.
 func (d *Director) SetRoutes(r *Routes) bool {
 	return d.SetOrders(d.now, &Orders{Number: r.Revision, Routes: r})
 }
 
-// greetChanged has the agents of the balancer's own zone greeted at once whose order has
-// changed, or who act on another: they tell every balancer of their new state. One that
-// waited for its next greeting would get no flows for up to four seconds after its zone
-// was given back.
-func (d *Director) greetChanged(now time.Time, before *Orders) {
+// helloChangedAgents schedules an immediate hello to agents of the balancer's own zone
+// whose order has changed or which act on another order. They then report their new
+// state to every balancer. Without it an agent would get no flows for up to four
+// seconds after its zone was put back into service, until its next hello.
+func (d *Director) helloChangedAgents(now time.Time, before *Orders) {
 	for _, a := range d.agents {
 		order := d.zoneOrder(a.zone)
 		if a.local && (order != before.zoneOrder(a.zone) || order == ZoneInService && a.state == ServerEvacuated) {
-			a.helloAt = now
+			a.nextHelloAt = now
 		}
 	}
 }
 
-// retableAll builds the tables of all services.
-func (d *Director) retableAll() {
+// rebuildAllTables rebuilds the placement tables of all services.
+func (d *Director) rebuildAllTables() {
 	services := map[ServiceID]struct{}{}
 	for _, a := range d.agents {
 		services[a.service] = struct{}{}
 	}
 	for id := range services {
-		d.retable(id)
+		d.rebuildTables(id)
 	}
 }
 
-// zoneOrder returns the order for an availability zone; 0 is one that is not known.
+// zoneOrder returns the order for an availability zone; 0 is an unknown zone.
 func (o *Orders) zoneOrder(zone uint32) ZoneOrder {
 	_, evacuated := o.Evacuated[zone]
 	switch {
@@ -116,16 +119,17 @@
 	return ZoneInService
 }
 
-// zoneOrder returns the order for an availability zone as this balancer tells it.
+// zoneOrder returns the order for an availability zone that this balancer sends to
+// agents.
 func (d *Director) zoneOrder(zone uint32) ZoneOrder {
 	order := d.orders.zoneOrder(zone)
-	if order == ZoneInService && d.lacking.has(zone) {
+	if order == ZoneInService && d.unconfirmedZones.has(zone) {
 		return ZoneUnconfirmed
 	}
 	return order
 }
 
-// coldRate returns what a cold server of the service bears.
+// coldRate returns the request rate that a cold server of the service can handle.
 func (o *Orders) coldRate(service ServiceID) ColdRate {
 	if o.Routes == nil {
 		return 0
@@ -134,24 +138,26 @@
 }
 
 // inService reports whether an agent's zone may get new flows as far as this balancer
-// knows. While some zone is evacuated an agent of unknown zone may not: it says its
-// zone with its first report.
+// knows. While some zone is evacuated, an agent of unknown zone may not; its first
+// report names its zone.
 func (d *Director) inService(a *agent) bool {
 	return d.allInService() || d.zoneOrder(a.zone) == ZoneInService
 }
 
 // allInService reports whether no availability zone is evacuated.
-func (d *Director) allInService() bool { return len(d.orders.Evacuated) == 0 && d.lacking.none() }
+func (d *Director) allInService() bool {
+	return len(d.orders.Evacuated) == 0 && d.unconfirmedZones.none()
+}
 
-// evacuated reports whether all agents of a service that are known are in evacuated
-// zones. Its callers are refused at once: waiting serves them nothing.
+// evacuated reports whether all known agents of a service are in evacuated zones. Its
+// callers are refused at once, since waiting would not help them.
 func (d *Director) evacuated(id ServiceID) bool {
 	if d.allInService() {
 		return false
 	}
 	known := false
 	for _, a := range d.agents {
-		if a.service != id || a.gone() {
+		if a.service != id || a.ended() {
 			continue
 		}
 		if !d.zoneOrder(a.zone).excludesNewFlows() {
@@ -162,26 +168,27 @@
 	return known
 }
 
-// evacuatedZones returns the availability zones that get no new flows, in order.
+// evacuatedZones returns the availability zones that get no new flows, sorted.
 func (d *Director) evacuatedZones() []uint32 {
 	return slices.Sorted(maps.Keys(d.orders.Evacuated))
 }
 
-// receivedOrders is what an agent knows of the operator's orders.
+// receivedOrders is what an agent has received of the operator's orders.
 type receivedOrders struct {
-	number   uint64 // of the orders; 0: none told yet
+	number   uint64 // of the orders; 0: none received yet
 	zone     ZoneOrder
-	service  ServiceID // that the rate below is of
+	service  ServiceID // that the rate below applies to
 	coldRate ColdRate
 }
 
-// receiveOrders takes what a balancer tells of the operator's orders. Balancers learn them
-// unevenly: of all that were told the one with the highest number counts.
+// receiveOrders records the operator's orders in a balancer's message. Balancers
+// receive new orders at different times, so the agent acts on the orders with the
+// highest number.
 func (g *Gate) receiveOrders(now time.Time, m *Message) {
 	if m.ZoneOrder == ZoneUnknown || m.Revision < g.orders.number {
 		return
 	}
-	if g.mayLack(now, m.ZoneOrder) {
+	if g.evacuationMayBeMissing(now, m.ZoneOrder) {
 		return
 	}
 	known := m.Service == g.orders.service || m.Service != g.server.service
@@ -190,7 +197,7 @@
 	}
 	before := g.State(now)
 	if g.evacuated() && m.ZoneOrder == ZoneInService {
-		g.server.coldUnknown = true // it had nothing to do, and may be cold by now
+		g.server.coldUnknown = true // it got no new flows, and may be cold by now
 	}
 	g.orders = receivedOrders{number: m.Revision, zone: m.ZoneOrder, service: m.Service, coldRate: m.ColdRate}
 	if g.State(now) == before {
--- a/flow/orders_test.go
+++ b/flow/orders_test.go
@@ -13,38 +13,36 @@
 	return NewOrders(number, testRoutes(1), evacuated)
 }
 
-// give puts orders in force at a balancer and carries what it sends.
-func (w *world) give(to netip.AddrPort, number uint64, evacuated ...string) {
+// setOrders puts orders in force at a balancer and delivers what it sends.
+func (w *world) setOrders(to netip.AddrPort, number uint64, evacuated ...string) {
 	w.balancers[to].SetOrders(w.now, ordered(number, evacuated...))
 	w.tick()
 }
 
-// Symptom: new flows at backend servers of an availability zone that the operator has
-// taken out of service; new requests run in a room whose power is about to go.
-// Sequence: one balancer learns of the evacuation, another one is behind and goes on
-// offering flows to the zone's agents.
-// Cause: only the balancers knew of the evacuation.
+// Guards against new flows at servers of an availability zone that the operator has
+// taken out of service, so that new requests run where the power is about to be
+// switched off. One balancer knows of the evacuation, another has older orders and goes
+// on offering flows to the zone's agents, so balancers alone can't enforce it.
 func TestAgentOfEvacuatedZoneRefusesWhoeverOffers(t *testing.T) {
 	w := newWorld(t, 2)
-	w.give(balancerA, 5, "a")
+	w.setOrders(balancerA, 5, "a")
 	if m := w.offerTo(0, listing, 1000); m.Kind != Refused || m.Reason != ReasonEvacuated {
-		t.Fatalf("offer of a balancer that is behind: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("offer of a balancer with older orders: %v, %v", m.Kind, m.Reason)
 	}
-	w.give(balancerB, 4)
-	w.pass(2 * time.Second)
+	w.setOrders(balancerB, 4)
+	w.advance(2 * time.Second)
 	if m := w.offerTo(0, listing, 1001); m.Reason != ReasonEvacuated {
-		t.Fatalf("after a balancer told older orders: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("after a balancer sent older orders: %v, %v", m.Kind, m.Reason)
 	}
-	w.give(balancerB, 6)
+	w.setOrders(balancerB, 6)
 	if m := w.offerTo(0, listing, 1002); m.Kind != Taken {
-		t.Fatalf("after the zone was given back: %v, %v", m.Kind, m.Reason)
+		t.Fatalf("after the zone was put back into service: %v, %v", m.Kind, m.Reason)
 	}
 }
 
-// Symptom: as above, for some seconds after an agent was restarted.
-// Sequence: a zone is evacuated, one of its agents starts anew, and a balancer that was
-// told of it by others, not of its zone, offers it a flow.
-// Cause: the balancer took an agent whose zone it did not know for one in service.
+// Guards against new flows in an evacuated zone for some seconds after an agent's
+// restart. A balancer that learned of the agent from other balancers does not know its
+// zone, and must not assume that it is in service.
 func TestAgentOfUnknownZoneGetsNothingWhileAZoneIsEvacuated(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
@@ -78,23 +76,23 @@
 	}
 }
 
-// Symptom: callers of a service wait for over a second and are told nothing, although
-// no server may serve them.
-// Sequence: every zone with servers of the service is evacuated.
-// Cause: a flow that no agent could be offered was left to the caller's repeats.
+// Guards against callers of a service that wait for over a second without an answer
+// although no server may serve them, because every zone with servers of the service is
+// evacuated. Such a flow is refused instead of left to the caller's repeats.
 func TestServiceWithoutZoneIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, 2)
-	w.give(balancerA, 2, "a")
+	w.setOrders(balancerA, 2, "a")
 	w.caller(1000, listingPort).open(balancerA, 0)
 	if len(w.resets) != 1 {
 		t.Fatalf("%d resets after the first packet, want 1", len(w.resets))
 	}
 }
 
-// The store came back from an older copy, without the key of an evacuation, which the
-// operator wrote again a moment later. Balancers that had read the store in between told
-// the zone's agents that it was in service, and they took new flows. Had the operator
-// given the zone back meanwhile, it would serve again after some seconds.
+// Guards against new flows in an evacuated zone after the store came back from an older
+// copy, without the key of the evacuation, which the operator writes again a moment
+// later. Balancers that read the store in between send the zone's agents the order that
+// it is in service. A zone that was really put back into service meanwhile serves again
+// after some seconds.
 func TestEvacuationStaysUntilItIsWrittenAgain(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -103,35 +101,35 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			g := NewGate(now, GateConfig{Zone: "a", Service: listing}, nil)
-			tell := func(number uint64, order ZoneOrder) {
+			sendOrder := func(number uint64, order ZoneOrder) {
 				g.FromBalancer(now, balancerA, &Message{Kind: Hello, Revision: number, ZoneOrder: order, Service: listing}, nil, nil)
 				g.Effects()
 			}
-			tell(9, ZoneEvacuated)
+			sendOrder(9, ZoneEvacuated)
 			g.StoreRestored(now, 100)
-			tell(101, ZoneInService)
+			sendOrder(101, ZoneInService)
 			if !g.evacuated() {
 				t.Fatal("in service before the operator had written its orders again")
 			}
 			now = now.Add(time.Second)
-			tell(102, c.last)
+			sendOrder(102, c.last)
 			if !g.evacuated() {
-				t.Fatal("in service a second after the store's return")
+				t.Fatal("in service a second after the store came back")
 			}
-			now = now.Add(rewriteTime)
-			tell(102, c.last)
+			now = now.Add(rewriteWindow)
+			sendOrder(102, c.last)
 			if g.evacuated() != (c.last == ZoneEvacuated) {
 				t.Errorf("evacuated: %t", g.evacuated())
 			}
-			tell(103, ZoneInService)
+			sendOrder(103, ZoneInService)
 			if g.evacuated() {
-				t.Error("evacuated after the zone was given back")
+				t.Error("evacuated after the zone was put back into service")
 			}
 		})
 	}
 }
 
-// An evacuation that was ordered after the store's return ends when the operator says so.
+// An evacuation ordered after the store came back ends as soon as the operator ends it.
 func TestEvacuationOfTheNewEraEndsAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Zone: "a", Service: listing}, nil)
@@ -143,12 +141,11 @@
 	}
 }
 
-// Symptom: callers wait at servers that they can't get.
-// Sequence: flows wait for room at an agent while its zone is evacuated.
-// Cause: only new offers were judged.
+// Guards against callers that wait for servers that they can't get: flows that wait for
+// capacity at an agent have to be refused when its zone is evacuated, like new offers.
 func TestWaitingFlowsLeaveEvacuatedZone(t *testing.T) {
 	w := newWorld(t, 1)
-	w.server(0).hold = func(Segment) {}
+	w.server(0).deferRequest = func(Segment) {}
 	g := w.gate(0)
 	for i := range g.requestCapacity() {
 		w.offerTo(0, listing, uint16(2000+i))
@@ -166,37 +163,37 @@
 		refused = refused || e.Message.Kind == Refused && e.Message.Key == c.key
 	}
 	if !refused || len(g.queue) > 0 {
-		t.Errorf("handed back: %v, still waiting: %d", refused, len(g.queue))
+		t.Errorf("refused: %v, still waiting: %d", refused, len(g.queue))
 	}
 }
 
-// An evacuation is planned work: what is open goes on.
+// An evacuation is planned work: open flows continue.
 func TestOpenFlowsStayInEvacuatedZone(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
 	c.request(balancerA)
 	for _, b := range []netip.AddrPort{balancerA, balancerB} {
-		w.give(b, 5, "a")
+		w.setOrders(b, 5, "a")
 	}
 	for range 3 {
 		c.request(balancerA)
 		c.request(balancerB)
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
 	if got := c.served(); got != 7 || len(w.resets) > 0 {
 		t.Errorf("%d answers of 7, %d resets", got, len(w.resets))
 	}
 }
 
-// A zone that is given back is offered flows again as soon as one balancer of the zone
-// knows, and one elsewhere with the next greeting.
+// A zone that is put back into service is offered flows again as soon as one of its own
+// balancers knows, and elsewhere with the next hello message.
 func TestZoneGivenBack(t *testing.T) {
 	w := newWorld(t, 1)
-	w.give(balancerA, 5, "a")
-	w.give(balancerB, 5, "a")
-	w.give(balancerA, 6)
-	w.give(balancerB, 6)
+	w.setOrders(balancerA, 5, "a")
+	w.setOrders(balancerB, 5, "a")
+	w.setOrders(balancerA, 6)
+	w.setOrders(balancerB, 6)
 	c := w.caller(1000, listingPort)
 	c.open(balancerB, 0)
 	if len(c.holders()) != 1 {
@@ -204,8 +201,8 @@
 	}
 }
 
-// Whatever order messages come in, an agent acts on the orders with the highest number
-// that any of them told, and never lets an older one undo a newer one.
+// For any order of messages, an agent acts on the received orders with the highest
+// number, and never replaces newer orders by older ones.
 func TestNewestOrderCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -231,7 +228,7 @@
 			}
 			evacuated := newest > 0 && state[newest-1] == ZoneEvacuated
 			if passed && evacuated || g.evacuated() != evacuated {
-				t.Fatalf("after orders %d (%v): passed on %v, evacuated %v", newest, state, passed, g.evacuated())
+				t.Fatalf("after orders %d (%v): forwarded %v, evacuated %v", newest, state, passed, g.evacuated())
 			}
 			now = now.Add(10 * time.Millisecond)
 		}
--- a/flow/peers.go
+++ b/flow/peers.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// ReportEvery is the least time between two reports of an agent to a
+	// ReportEvery is the shortest interval between two reports of an agent to a
 	// balancer.
 	ReportEvery = 250 * time.Millisecond
-	// maxReportEvery is the longest: three of them pass before an agent that says
-	// nothing counts as silent, and it must not be forgotten before.
+	// maxReportEvery is the longest interval. Three of them pass before an agent that
+	// sends nothing counts as unresponsive, and it must not expire before.
 	maxReportEvery = 1900 * time.Millisecond
-	// reportsPerSecond is what a balancer lets agents report to it: 82 bytes each
-	// with their headers, 6 KB/s of the 8 that control may take.
+	// reportsPerSecond is the rate of reports that a balancer receives from all agents:
+	// 82 bytes each with their headers, 6 KB/s of the 8 KB/s that control traffic may
+	// take.
 	reportsPerSecond = 75
-	// reportsPerHello is the number of reports to one greeting, whose bytes count
-	// as well.
+	// reportsPerHello is the number of reports per hello message, whose bytes count as
+	// well.
 	reportsPerHello = 2
-	// silentReports is the number of reports that have to be missing before an
-	// agent counts as silent.
-	silentReports = 3
+	// missedReports is the number of missed reports after which an agent counts as
+	// unresponsive.
+	missedReports = 3
 )
 
-// reportEvery is the time between two reports that the balancer asks agents for,
-// so that what it receives does not grow with their number. New flows don't wait
-// for it: an agent that does not answer an offer is left out after OpenTimeout, a
-// change of its server's state is told at once, and every answer tells its load.
+// reportEvery is the report interval that the balancer requests from agents, so that
+// the bytes it receives do not grow with their number. New flows don't depend on it: an
+// agent that does not answer an offer is excluded after OpenTimeout, a change of a
+// server's state is reported at once, and every answer carries the agent's load.
 func (d *Director) reportEvery() time.Duration {
 	every := time.Duration(len(d.agents)) * time.Second / reportsPerSecond
 	return min(max(every, ReportEvery), maxReportEvery)
@@ -51,36 +52,36 @@
 	return h.Sum32()
 }
 
-// AddAgent makes an agent known that others told of. It is asked for its state
-// at the next tick. Agents that are known already keep what they said.
+// AddAgent adds an agent that the store or another process named. Its state is
+// requested at the next tick. What a known agent has reported is kept.
 func (d *Director) AddAgent(now time.Time, addr netip.AddrPort, id ServiceID, zone string) {
 	if d.agents[addr] != nil {
 		return
 	}
-	a := &agent{addr: addr, service: id, introduced: now, helloAt: now}
+	a := &agent{addr: addr, service: id, addedAt: now, nextHelloAt: now}
 	if zone != "" {
 		a.zone, a.local = ZoneID(zone), zone == d.cfg.Zone
 	}
 	d.agents[addr] = a
-	d.retable(id)
+	d.rebuildTables(id)
 }
 
-// FromAgent takes a message of an agent. s is the header of the packet that
-// came with it, or nil.
+// FromAgent handles a message from an agent. s is the header of the packet that came
+// with it, or nil.
 func (d *Director) FromAgent(now time.Time, from netip.AddrPort, m *Message, s *Segment, packet []byte) {
 	d.now = now
 	d.newestOrders = max(d.newestOrders, m.Revision)
 	d.StoreRead(ReadAt(now, m.ReadAge))
-	d.noteSender(now, from, m)
+	d.recordSender(now, from, m)
 	switch m.Kind {
 	case Taken:
 		d.onTaken(now, from, m)
 	case Refused:
 		d.onRefused(now, from, m)
 	case Balancers:
-		d.takeBalancers(packet)
+		d.addBalancers(packet)
 	case CapacityReserved:
-		d.onRoom(now, from, m)
+		d.onCapacityReserved(now, from, m)
 	case QueryAnswer:
 		d.onQueryAnswer(now, from, packet)
 	case Queued:
@@ -92,75 +93,76 @@
 	}
 }
 
-// noteSender notes what a message says about its sender.
-func (d *Director) noteSender(now time.Time, from netip.AddrPort, m *Message) {
+// recordSender records what a message says about its sender.
+func (d *Director) recordSender(now time.Time, from netip.AddrPort, m *Message) {
 	a, known := d.agents[from]
 	if !known {
-		a = &agent{addr: from, introduced: now, helloAt: now}
+		a = &agent{addr: from, addedAt: now, nextHelloAt: now}
 		d.agents[from] = a
 	}
 	before := *a
-	delete(d.missing, from)
-	a.heard = now
-	a.asked = 0
-	d.heardAny = true
-	a.silent = a.silent && !a.answers(now, m)
-	a.empty = m.State == ServerEnded || m.State != ServerReady && (a.empty || m.Kind == Report && m.Reason == ReasonNotHeld)
+	delete(d.failedAgents, from)
+	a.receivedAt = now
+	a.unansweredQueries = 0
+	d.agentReached = true
+	a.unresponsive = a.unresponsive && !a.answers(now, m)
+	a.holdsNoFlows = m.State == ServerEnded || m.State != ServerReady && (a.holdsNoFlows || m.Kind == Report && m.Reason == ReasonNotHeld)
 	a.service, a.state, a.incarnation = m.Service, m.State, m.Incarnation
 	if m.Kind == Report {
-		a.young = m.Reason == ReasonStarted
+		a.recentlyStarted = m.Reason == ReasonStarted
 		a.zone, a.local = m.Zone, m.Zone == ZoneID(d.cfg.Zone)
 	}
 	if d.zoneOrder(before.zone) != d.zoneOrder(a.zone) {
-		a.helloAt = now // it has not been told yet
+		a.nextHelloAt = now // the agent has not received its zone's order yet
 	}
-	d.learnLacking(now, a)
+	d.recordUnconfirmedZone(now, a)
 	d.load.Report(from, m.Occupancy, now)
-	if !known || before.service != a.service || before.takesFlows() != a.takesFlows() || before.zone != a.zone || before.gone() != a.gone() {
-		d.retable(before.service)
-		d.retable(a.service)
+	if !known || before.service != a.service || before.takesFlows() != a.takesFlows() || before.zone != a.zone || before.ended() != a.ended() {
+		d.rebuildTables(before.service)
+		d.rebuildTables(a.service)
 	}
 	if before.state != a.state || before.service != a.service || before.incarnation != a.incarnation {
 		d.trace.Agent(now, from, a.service, a.state, "reported")
 	}
-	d.fewer = d.fewer || a.gone() && !before.gone()
-	if before.heard.IsZero() && !a.gone() {
-		d.announce(now, a)
+	d.recheckBlocked = d.recheckBlocked || a.ended() && !before.ended()
+	if before.receivedAt.IsZero() && !a.ended() {
+		d.queueAnnouncement(now, a)
 	}
 }
 
-// answers reports whether a message shows that the agent can be reached again.
-// A report alone shows only the way back: behind a cut of one way an agent goes
-// on reporting and gets none of the flows offered to it.
+// answers reports whether a message shows that the agent can be reached again. A report
+// alone shows only that messages arrive from it: behind a one-way network failure an
+// agent goes on reporting and receives none of the flows offered to it. So the agent
+// must have received a message after it became unresponsive.
 func (a *agent) answers(now time.Time, m *Message) bool {
-	return m.Kind != Report || now.Add(-m.LastReceived).After(a.silentAt)
+	return m.Kind != Report || now.Add(-m.LastReceived).After(a.unresponsiveSince)
 }
 
-// setSilent leaves an agent out of new flows until it is heard again.
-func (d *Director) setSilent(now time.Time, addr netip.AddrPort) {
+// setUnresponsive excludes an agent from new flows until it answers again.
+func (d *Director) setUnresponsive(now time.Time, addr netip.AddrPort) {
 	a := d.agents[addr]
-	if a == nil || a.silent {
+	if a == nil || a.unresponsive {
 		return
 	}
-	a.silent = true
-	a.silentAt = now
-	d.retable(a.service)
+	a.unresponsive = true
+	a.unresponsiveSince = now
+	d.rebuildTables(a.service)
 	d.trace.Agent(now, addr, a.service, a.state, "silent")
 }
 
 func (d *Director) removeAgent(now time.Time, a *agent, why string) {
 	delete(d.agents, a.addr)
-	delete(d.queries.boxes, a.addr)
-	d.fewer = true
-	d.retable(a.service)
+	delete(d.queries.outboxes, a.addr)
+	d.recheckBlocked = true
+	d.rebuildTables(a.service)
 	d.trace.Agent(now, a.addr, a.service, a.state, why)
 }
 
-// retable builds the tables of a service's agents.
-func (d *Director) retable(id ServiceID) {
+// rebuildTables rebuilds the placement tables of a service.
+func (d *Director) rebuildTables(id ServiceID) {
 	var all, ready []placement.Agent
 	for _, a := range d.agents {
-		if a.service != id || a.gone() {
+		if a.service != id || a.ended() {
 			continue
 		}
 		p := placement.Agent{Addr: a.addr, Zone: otherZone, Weight: placement.FullWeight}
@@ -176,15 +178,15 @@
 		delete(d.services, id)
 		return
 	}
-	v := &service{all: d.table(all), ready: d.table(ready)}
+	v := &service{all: d.newTable(all), ready: d.newTable(ready)}
 	if v.all != nil && v.ready != nil {
 		d.services[id] = v
 	}
 }
 
-// table returns nil for agents that a table can't hold. There are none: their
-// addresses come from sockets of IPv4 and from settings that were checked.
-func (d *Director) table(list []placement.Agent) *placement.Table {
+// newTable returns nil for agents that a table can't hold. There are none: their
+// addresses come from IPv4 sockets and from validated settings.
+func (d *Director) newTable(list []placement.Agent) *placement.Table {
 	t, err := placement.NewTable(d.place, list)
 	if err != nil {
 		return nil
@@ -192,127 +194,128 @@
 	return t
 }
 
-// Tick does what is due: offers that were not answered, agents that fell
-// silent, greetings, flows that ended.
+// Tick handles everything that is due: unanswered offers, agent timeouts, hello
+// messages, flows that ended.
 func (d *Director) Tick(now time.Time) {
 	d.now = now
-	if now.Sub(d.tickAt) >= pauseAfter {
-		d.excuse(now)
+	if now.Sub(d.tickAt) >= pauseThreshold {
+		d.restartAgentTimeouts(now)
 	}
 	d.tickAt = now
-	d.lookForStart(now)
-	d.expireLacking(now)
+	d.detectFleetStart(now)
+	d.expireUnconfirmedZones(now)
 	d.expireOffers(now)
-	d.expireReturns(now)
-	d.askRoster(now)
-	d.askAgain(now)
-	d.askWaiting(now)
-	d.announceNew(now)
-	d.concludeUnsure(now)
+	d.expireReserves(now)
+	d.requestMemberList(now)
+	d.retryLookups(now)
+	d.sendQueries(now)
+	d.sendAnnouncements(now)
+	d.resumeUnconfirmed(now)
 	for _, a := range d.agents {
-		d.attend(now, a)
+		d.checkAgent(now, a)
 	}
-	d.concludeBlocked(now)
-	if now.Sub(d.sweptAt) >= sweepEvery {
+	d.resumeBlocked(now)
+	if now.Sub(d.sweptAt) >= sweepInterval {
 		d.sweep(now)
 	}
 }
 
-// unansweredAfter is the time after which an agent that has answered none of
-// maxAsked questions counts as silent: six times the time between two questions, and
-// above the pauses of a process on a busy VM.
-const unansweredAfter = 500 * time.Millisecond
+// unansweredTimeout is the time after which an agent that has answered none of
+// maxQueryAttempts queries counts as unresponsive. It is six times the time between two
+// queries, and above the pauses of a process on a busy VM.
+const unansweredTimeout = 500 * time.Millisecond
 
-// noteQuestion counts a question that the agent has to answer.
-func (a *agent) noteQuestion(now time.Time) {
-	if a.asked == 0 {
-		a.askedAt = now
+// recordQuery counts a query that the agent has to answer.
+func (a *agent) recordQuery(now time.Time) {
+	if a.unansweredQueries == 0 {
+		a.firstUnansweredAt = now
 	}
-	a.asked++
+	a.unansweredQueries++
 }
 
-// unanswering reports whether an agent leaves questions unanswered. Reports come the
-// more seldom the more agents there are, so that a balancer's bytes stay bounded; with
-// 285 agents three of them are missing after 5.7 s only, in which the callers of all
-// flows that an agent which has gone is asked for are told nothing. Where an answer is
-// waited for its lack shows sooner, at any size of the fleet and without a message more.
-func (a *agent) unanswering(now time.Time) bool {
-	return a.asked >= maxAsked && now.Sub(a.askedAt) >= unansweredAfter
+// ignoresQueries reports whether an agent leaves queries unanswered. Reports are less
+// frequent the more agents there are, so that a balancer's bytes stay bounded: with 285
+// agents three of them are missing only after 5.7 s, and until then the callers of all
+// flows that a failed agent is queried for get no answer. Missing answers show the
+// failure sooner, at any fleet size and without extra messages.
+func (a *agent) ignoresQueries(now time.Time) bool {
+	return a.unansweredQueries >= maxQueryAttempts && now.Sub(a.firstUnansweredAt) >= unansweredTimeout
 }
 
-// excuse forgives the agents their silence while this process stood still.
-func (d *Director) excuse(now time.Time) {
+// restartAgentTimeouts restarts the timeouts of all agents after this process was
+// paused.
+func (d *Director) restartAgentTimeouts(now time.Time) {
 	for _, a := range d.agents {
-		if !a.heard.IsZero() {
-			a.heard = now
+		if !a.receivedAt.IsZero() {
+			a.receivedAt = now
 		}
-		a.asked = 0
-		a.helloAt = now
+		a.unansweredQueries = 0
+		a.nextHelloAt = now
 	}
 }
 
-// attend greets an agent when that is due, and judges its silence.
-func (d *Director) attend(now time.Time, a *agent) {
-	if !now.Before(a.helloAt) {
-		a.helloAt = now.Add(max(HelloEvery, reportsPerHello*d.reportEvery()))
+// checkAgent sends an agent a hello message if that is due, and checks its timeouts.
+func (d *Director) checkAgent(now time.Time, a *agent) {
+	if !now.Before(a.nextHelloAt) {
+		a.nextHelloAt = now.Add(max(HelloEvery, reportsPerHello*d.reportEvery()))
 		hello := Message{Kind: Hello, Wait: d.reportEvery(), Service: a.service}
-		if !d.rosterKnown && now.Sub(d.started) < aloneAfter {
+		if !d.memberListKnown && now.Sub(d.started) < maxDiscoveryTime {
 			hello.Reason = ReasonState
 		}
 		d.send(a.addr, hello, nil)
 	}
-	d.judgeSilence(now, a)
-	absent := d.absent(now, a)
-	d.fewer = d.fewer || absent && !a.absent
-	a.absent = absent
+	d.checkAgentTimeout(now, a)
+	optional := d.answerOptional(now, a)
+	d.recheckBlocked = d.recheckBlocked || optional && !a.answerOptional
+	a.answerOptional = optional
 }
 
-// judgeSilence leaves an agent out of new flows, or forgets it, when it has been
-// silent for too long.
-func (d *Director) judgeSilence(now time.Time, a *agent) {
-	if a.heard.IsZero() {
+// checkAgentTimeout excludes an agent from new flows, or removes it, when it has sent
+// no message for too long.
+func (d *Director) checkAgentTimeout(now time.Time, a *agent) {
+	if a.receivedAt.IsZero() {
 		return
 	}
-	silence := now.Sub(a.heard)
-	if silence >= d.cfg.AgentExpiry {
+	sinceMessage := now.Sub(a.receivedAt)
+	if sinceMessage >= d.cfg.AgentExpiry {
 		d.removeAgent(now, a, "forgotten")
-		if !a.empty && !a.gone() {
-			d.missing[a.addr] = now
+		if !a.holdsNoFlows && !a.ended() {
+			d.failedAgents[a.addr] = now
 		}
 		return
 	}
-	if silence >= max(d.cfg.AgentTimeout, silentReports*d.reportEvery()) || a.unanswering(now) {
-		d.setSilent(now, a.addr)
+	if sinceMessage >= max(d.cfg.AgentTimeout, missedReports*d.reportEvery()) || a.ignoresQueries(now) {
+		d.setUnresponsive(now, a.addr)
 	}
 }
 
-// NextTick returns when Tick has something to do at the latest.
+// NextTick returns the latest time at which Tick has something to do.
 func (d *Director) NextTick(now time.Time) time.Time {
 	next := now.Add(ReportEvery)
-	if !d.rosterKnown && len(d.balancers) > 0 && now.Sub(d.started) < aloneAfter && d.rosterAt.Before(next) {
-		next = d.rosterAt
+	if !d.memberListKnown && len(d.balancers) > 0 && now.Sub(d.started) < maxDiscoveryTime && d.nextMemberListRequest.Before(next) {
+		next = d.nextMemberListRequest
 	}
-	if at, ok := d.confirm.due(); ok && at.Before(next) {
+	if at, ok := d.memberCheck.due(); ok && at.Before(next) {
 		next = at
 	}
-	if d.asking.len() > 0 && d.asking.first().at.Before(next) {
-		next = d.asking.first().at
+	if d.lookupRetries.len() > 0 && d.lookupRetries.first().at.Before(next) {
+		next = d.lookupRetries.first().at
 	}
-	if !d.everyoneStarted && now.Sub(d.started) < aloneAfter && now.Add(lookEvery).Before(next) {
-		next = now.Add(lookEvery)
+	if !d.fleetRecentlyStarted && now.Sub(d.started) < maxDiscoveryTime && now.Add(fleetStartCheckInterval).Before(next) {
+		next = now.Add(fleetStartCheckInterval)
 	}
-	if len(d.news) > 0 && d.newsAt.Before(next) {
-		next = d.newsAt
+	if len(d.announcements) > 0 && d.announceAt.Before(next) {
+		next = d.announceAt
 	}
 	if d.queries.waiting() && d.queries.nextAt.Before(next) {
 		next = d.queries.nextAt
 	}
-	for _, queue := range [...]*fifo[returnDue]{&d.returns, &d.waitingReturns} {
+	for _, queue := range [...]*fifo[resetTimeout]{&d.reserveTimeouts, &d.queuedResets} {
 		if queue.len() > 0 && queue.first().at.Before(next) {
 			next = queue.first().at
 		}
 	}
-	for _, queue := range [...]*fifo[due]{&d.queue, &d.queued} {
+	for _, queue := range [...]*fifo[offerTimeout]{&d.offerTimeouts, &d.queueTimeouts} {
 		if queue.len() > 0 && queue.first().at.Before(next) {
 			next = queue.first().at
 		}
@@ -320,12 +323,12 @@
 	return next
 }
 
-// sweep forgets flows that are too old or were idle for too long.
+// sweep removes flows that are too old or were idle for too long.
 func (d *Director) sweep(now time.Time) {
 	d.sweptAt = now
-	for addr, since := range d.missing {
+	for addr, since := range d.failedAgents {
 		if now.Sub(since) >= d.cfg.MaxAge {
-			delete(d.missing, addr) // its flows have reached their greatest age
+			delete(d.failedAgents, addr) // its flows have reached their greatest age
 		}
 	}
 	idle := d.idleLimit()
@@ -335,7 +338,7 @@
 		}
 		if now.Sub(e.used) >= idle || now.Sub(e.opened) >= d.cfg.MaxAge+idle {
 			d.stats.Evicted++
-			d.forget(key)
+			d.removeEntry(key)
 		}
 	}
 }
@@ -348,20 +351,21 @@
 	return time.Duration(routes.IdleMs) * time.Millisecond
 }
 
-// Ready reports whether new flows can be offered: the routes are known and some
-// agent can be reached. A balancer that is cut off from all of them serves
-// nobody, and the routers have others.
-func (d *Director) Ready() bool { return d.orders.Routes != nil && d.reaches() }
+// Ready reports whether new flows can be offered: the routes are known and some agent
+// can be reached. A balancer that is cut off from all agents can't serve any caller,
+// and the routers have other balancers.
+func (d *Director) Ready() bool { return d.orders.Routes != nil && d.reachesAnyAgent() }
 
-// reaches reports whether some agent can be reached or is about to answer.
-func (d *Director) reaches() bool {
+// reachesAnyAgent reports whether some agent can be reached, or may still answer for
+// the first time.
+func (d *Director) reachesAnyAgent() bool {
 	for _, a := range d.agents {
-		if !a.heard.IsZero() && !a.silent {
+		if !a.receivedAt.IsZero() && !a.unresponsive {
 			return true
 		}
 	}
-	if d.heardAny {
+	if d.agentReached {
 		return false
 	}
-	return len(d.agents) == 0 || d.now.Sub(d.started) < absentAfter
+	return len(d.agents) == 0 || d.now.Sub(d.started) < firstContactTimeout
 }
--- a/flow/property_test.go
+++ b/flow/property_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestPromises plays random orders of flows, deaths, drains, cuts and restarts
-// in a small world of two balancers and three agents. Whatever happens: no first
-// packet reaches a draining server, none a server of another service, no flow is
-// reset while a server holds it open and its agent can be asked, and no search
-// goes on without end.
+// TestPromises runs random sequences of new flows, server crashes, drains, network
+// failures and restarts in a small world of two balancers and three agents. In all of
+// them: no first packet reaches a draining server or a server of another service, no
+// flow is reset while a server holds it open and its agent can be queried, and every
+// lookup ends.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &play{t: t, w: newWorld(t, 3), draining: map[int]bool{}}
@@ -33,7 +33,7 @@
 	callers  []*testCaller
 	draining map[int]bool
 	port     uint16
-	started  int // instances of servers
+	started  int // number of server instances started
 }
 
 func (p *play) step() {
@@ -50,13 +50,13 @@
 		p.use(via)
 	case "drain":
 		p.draining[n] = true
-		p.beat(n)
+		p.heartbeat(n)
 	case "crash":
 		p.crash(n)
 	case "restart agent":
 		p.w.restartAgent(n)
 		p.w.gate(n).StatusCheck(p.w.now, StatusCheckResult{Answered: true})
-		p.beat(n)
+		p.heartbeat(n)
 	case "restart balancer":
 		d := p.w.addBalancer(via)
 		for i := range 3 {
@@ -69,16 +69,16 @@
 		p.restartAll()
 	case "cut":
 		a := agentAddr(n)
-		p.w.cut = func(from, to netip.AddrPort) bool { return from == a || to == a }
+		p.w.drops = func(from, to netip.AddrPort) bool { return from == a || to == a }
 	case "heal":
-		p.w.cut = nil
+		p.w.drops = nil
 	case "pass":
-		p.w.pass(time.Duration(rapid.IntRange(1, 30).Draw(p.t, "time")) * 100 * time.Millisecond)
+		p.w.advance(time.Duration(rapid.IntRange(1, 30).Draw(p.t, "time")) * 100 * time.Millisecond)
 	}
 	p.check(before)
 }
 
-// restartAll replaces all balancers and agents; the servers live on.
+// restartAll replaces all balancers and agents; the servers keep running.
 func (p *play) restartAll() {
 	for n := range 3 {
 		p.w.restartAgent(n).StatusCheck(p.w.now, StatusCheckResult{Answered: true, Instance: p.w.server(n).instance})
@@ -94,13 +94,13 @@
 		d.StoreListed()
 	}
 	for n := range 3 {
-		p.beat(n)
+		p.heartbeat(n)
 	}
 }
 
-// beat sends the server's next heartbeat.
-func (p *play) beat(n int) {
-	p.w.beat(n, p.w.server(n).sequence+1, p.draining[n])
+// heartbeat sends the server's next heartbeat.
+func (p *play) heartbeat(n int) {
+	p.w.heartbeat(n, p.w.server(n).sequence+1, p.draining[n])
 }
 
 // crash replaces a server by a new instance, which is ready.
@@ -111,7 +111,7 @@
 	v.flows = map[Key]*serverFlow{}
 	v.seq += 1 << 20
 	p.draining[n] = false
-	p.w.beat(n, 1, false)
+	p.w.heartbeat(n, 1, false)
 }
 
 // use sends a request on an open flow.
@@ -125,11 +125,11 @@
 	}
 }
 
-// counts returns how many packets each server was handed.
+// counts returns the number of packets that each server has received.
 func (p *play) counts() [3]int {
 	var c [3]int
 	for n := range c {
-		c[n] = len(p.w.server(n).got)
+		c[n] = len(p.w.server(n).received)
 	}
 	return c
 }
@@ -137,9 +137,9 @@
 func (p *play) check(before [3]int) {
 	for n := range before {
 		v := p.w.server(n)
-		for _, s := range v.got[min(before[n], len(v.got)):] {
+		for _, s := range v.received[min(before[n], len(v.received)):] {
 			if s.first() && p.draining[n] && !p.openAt(n, s.Key) {
-				p.t.Fatalf("first packet of port %d at the draining server %d", s.Key.CallerPort, n)
+				p.t.Fatalf("the first packet of port %d reached the draining server %d", s.Key.CallerPort, n)
 			}
 		}
 	}
@@ -147,20 +147,21 @@
 		for n := range before {
 			f := p.w.server(n).flows[r.Message.Key]
 			near := f != nil && f.open && r.ResetSeq-f.first < 1<<16
-			if near && p.w.cut == nil {
-				p.t.Fatalf("port %d was reset while server %d holds its flow", r.Message.Key.CallerPort, n)
+			if near && p.w.drops == nil {
+				p.t.Fatalf("port %d was reset although server %d holds its flow", r.Message.Key.CallerPort, n)
 			}
 		}
 	}
 	p.w.resets = nil
 }
 
-// checkEnd lets a second pass without packets: every search has ended then.
+// checkEnd advances the time by a second without packets, within which every lookup
+// ends.
 func (p *play) checkEnd() {
-	p.w.pass(time.Second)
+	p.w.advance(time.Second)
 	for _, d := range p.w.balancers {
-		if n := d.asking.len(); n > 0 {
-			p.t.Fatalf("%d searches go on a second after the last packet", n)
+		if n := d.lookupRetries.len(); n > 0 {
+			p.t.Fatalf("%d lookups still run a second after the last packet", n)
 		}
 	}
 }
--- a/flow/query.go
+++ b/flow/query.go
@@ -7,127 +7,129 @@
 )
 
 const (
-	// querySize is the length of one flow in a Query in bytes: its key, and what
-	// its caller acknowledged.
+	// querySize is the length of one flow in a Query in bytes: its key, and the
+	// caller's acknowledgement number.
 	querySize = KeySize + 4
-	// answerSize is the length of one flow in a QueryAnswer in bytes.
-	answerSize = KeySize + 1
+	// resultSize is the length of one flow in a QueryAnswer in bytes.
+	resultSize = KeySize + 1
 	// numberSize is the length of a Query's number, which its answer repeats.
 	numberSize = 8
-	// maxQueried is the number of flows in one Query, so that it stays below the
+	// flowsPerQuery is the number of flows in one Query, so that it stays below the
 	// smallest MTU in use.
-	maxQueried = 64
-	// messageOverhead is what a message takes on the network besides what follows
-	// it, in bytes: its header, UDP's and IP's.
+	flowsPerQuery = 64
+	// messageOverhead is the size of a message on the network without its payload, in
+	// bytes: its own header, UDP's and IP's.
 	messageOverhead = 56 + 28
-	// searchShare is the part of the VM's link that searches may take, in either
-	// direction. Callers' packets, which a balancer receives and sends on, and
-	// offers have the rest.
-	searchShare = 0.3
-	// searchMessages bounds the messages of searches in a second: on VMs of a fifth
-	// of a core they and their answers took the processor from offers.
-	searchMessages = 2500
-	// turnSpan is the time's worth of the searches' share of the link that is sent at
-	// once: questions to all of 65 agents together would be 10 ms of a link of
-	// 10 Mbit/s, in which offers wait.
-	turnSpan = 5 * time.Millisecond
-	// questionBurst is how far ahead of that pace questions may be sent at once: a
-	// few flows that routers move are found without waiting for a turn.
-	questionBurst = 10 * time.Millisecond
-	// queryExpiry is how long an answer to a Query is waited for: beyond the
-	// times at which the agent is asked again.
+	// lookupLinkShare is the part of the VM's link that lookups may take in either
+	// direction. Callers' packets, which a balancer receives and forwards, and offers
+	// have the rest.
+	lookupLinkShare = 0.3
+	// maxLookupMessages bounds the lookup messages per second: on VMs with a fifth of a
+	// core they and their answers took the processor from offers.
+	maxLookupMessages = 2500
+	// roundSpan is the amount of queries sent at once, as time at the lookups' share of
+	// the link: queries to all of 65 agents together would take a 10 Mbit/s link for 10
+	// ms, for which offers would wait.
+	roundSpan = 5 * time.Millisecond
+	// queryBurst is how far ahead of that pace queries may be sent at once, so that a
+	// few flows that routers move are found without a wait for the next round.
+	queryBurst = 10 * time.Millisecond
+	// queryExpiry is how long the answer to a Query is accepted. It is above the times
+	// at which the agent is queried again.
 	queryExpiry = time.Second
 )
 
-// seekRef refers to a search that may have ended since.
-type seekRef struct {
-	k      *seek
+// lookupRef refers to a lookup that may have ended since.
+type lookupRef struct {
+	k      *lookup
 	serial uint64
 }
 
-func (r seekRef) ends() bool { return r.k.serial != r.serial }
+func (r lookupRef) ended() bool { return r.k.serial != r.serial }
 
-// outbox is what one agent is asked next.
+// outbox holds the lookups that one agent is queried for next.
 type outbox struct {
 	agent netip.AddrPort
-	flows []seekRef
+	flows []lookupRef
 }
 
-// query is one Query that was sent.
+// query is a Query that was sent.
 type query struct {
 	number uint64
 	agent  netip.AddrPort
 	sentAt time.Time
-	flows  []seekRef
+	flows  []lookupRef
 }
 
-// packetDue is an agent that needs a packet of a flow.
+// packetDue is an agent that needs a packet of a flow to answer.
 type packetDue struct {
-	ref   seekRef
+	ref   lookupRef
 	agent netip.AddrPort
 }
 
-// queries paces the questions of a balancer's searches. After a loss of power
-// hundreds of flows a second are nobody's, and each is asked for at every agent.
-// Sent one by one with the caller's packet these questions filled a link of
-// 10 Mbit/s, offers of new flows missed their timeouts, and callers came back for
-// want of an answer: the overload fed itself for 14 s. So a search sends the
-// packet at once only if no other one went before it lately. All others wait for
-// their agent's turn, in which it is asked for many flows by one message. The next
-// turn begins when the link and the processor have had the time that their share
-// of this one takes, so that on a slower link more flows share a message.
+// queries paces the queries of a balancer's lookups.
+//
+// After a power loss hundreds of flows per second are held by no server, and every
+// agent is queried for each of them. Sent one by one with the caller's packet these
+// queries filled a 10 Mbit/s link, offers of new flows ran into their timeouts, and
+// callers retried because they got no answer: the overload sustained itself for 14 s.
+//
+// So a lookup sends the packet at once only if no other one was sent recently. All
+// others wait for a round, in which an agent is queried for many flows in one message.
+// The next round begins after the time that the messages of this one take of the link's
+// and the processor's share, so that on a slower link more flows share a message.
 type queries struct {
-	link    float64   // bytes a second for searches
-	nextAt  time.Time // of the next turn
-	boxes   map[netip.AddrPort]*outbox
-	full    fifo[*outbox] // those with something in them, the one whose turn is next first
-	packets fifo[packetDue]
-	sent    map[uint64]*query
-	order   fifo[*query] // sent, the oldest first
-	spare   []*query
-	arena   []byte // what follows the messages of the running call
+	link     float64   // bytes per second for lookups
+	nextAt   time.Time // of the next round
+	outboxes map[netip.AddrPort]*outbox
+	nonEmpty fifo[*outbox] // outboxes with lookups, the next one to be sent first
+	packets  fifo[packetDue]
+	sent     map[uint64]*query
+	order    fifo[*query] // of sent, oldest first
+	spare    []*query
+	arena    []byte // payloads of the messages of the running call
 }
 
 func newQueries(link float64) queries {
-	return queries{link: link * searchShare, boxes: make(map[netip.AddrPort]*outbox), sent: make(map[uint64]*query)}
+	return queries{link: link * lookupLinkShare, outboxes: make(map[netip.AddrPort]*outbox), sent: make(map[uint64]*query)}
 }
 
-// idle reports whether the next question may be sent at once.
+// idle reports whether the next query may be sent at once.
 func (q *queries) idle(now time.Time) bool {
-	return !now.Add(questionBurst).Before(q.nextAt) && !q.waiting()
+	return !now.Add(queryBurst).Before(q.nextAt) && !q.waiting()
 }
 
-func (q *queries) waiting() bool { return q.full.len() > 0 || q.packets.len() > 0 }
+func (q *queries) waiting() bool { return q.nonEmpty.len() > 0 || q.packets.len() > 0 }
 
-// charge puts the next turn off for what messages with so many bytes after
-// their headers take, with their answers.
+// charge delays the next round by the time that messages with the given total payload
+// take, with their answers.
 func (q *queries) charge(now time.Time, messages, bytes int) {
 	onLink := float64(messages*messageOverhead+bytes) / q.link
-	onProcessor := float64(messages) / searchMessages
+	onProcessor := float64(messages) / maxLookupMessages
 	if q.nextAt.Before(now) {
 		q.nextAt = now
 	}
 	q.nextAt = q.nextAt.Add(time.Duration(max(onLink, onProcessor) * float64(time.Second)))
 }
 
-// add has agent asked for a flow in the next round.
-func (q *queries) add(agent netip.AddrPort, k *seek) {
-	box := q.boxes[agent]
+// add queues the query of an agent for a flow.
+func (q *queries) add(agent netip.AddrPort, k *lookup) {
+	box := q.outboxes[agent]
 	if box == nil {
 		box = &outbox{agent: agent}
-		q.boxes[agent] = box
+		q.outboxes[agent] = box
 	}
 	if len(box.flows) == 0 {
-		q.full.push(box)
+		q.nonEmpty.push(box)
 	}
-	box.flows = append(box.flows, seekRef{k, k.serial})
+	box.flows = append(box.flows, lookupRef{k, k.serial})
 }
 
-// take returns the next message's worth of flows for an agent.
-func (b *outbox) take(into []seekRef) []seekRef {
+// take appends the lookups of the next message to an agent.
+func (b *outbox) take(into []lookupRef) []lookupRef {
 	n := 0
-	for n < len(b.flows) && len(into) < maxQueried {
-		if ref := b.flows[n]; !ref.ends() {
+	for n < len(b.flows) && len(into) < flowsPerQuery {
+		if ref := b.flows[n]; !ref.ended() {
 			into = append(into, ref)
 		}
 		n++
@@ -136,8 +138,8 @@
 	return into
 }
 
-// note keeps a query until its answer comes.
-func (q *queries) note(now time.Time, number uint64, agent netip.AddrPort) *query {
+// track records a query until its answer arrives.
+func (q *queries) track(now time.Time, number uint64, agent netip.AddrPort) *query {
 	for q.order.len() > 0 && now.Sub((*q.order.first()).sentAt) >= queryExpiry {
 		old := q.order.pop()
 		delete(q.sent, old.number)
@@ -150,27 +152,27 @@
 	return v
 }
 
-// askWaiting sends questions that wait, when their time has come: first those for
-// many flows, then packets to the agents that need one.
-func (d *Director) askWaiting(now time.Time) {
+// sendQueries sends the queries that wait, when a round is due: first queries for many
+// flows, then packets to the agents that need one.
+func (d *Director) sendQueries(now time.Time) {
 	q := &d.queries
 	if !q.waiting() || now.Before(q.nextAt) {
 		return
 	}
 	q.arena = q.arena[:0]
-	budget := int(q.link * turnSpan.Seconds())
+	budget := int(q.link * roundSpan.Seconds())
 	messages, bytes := 0, 0
-	for q.full.len() > 0 && (messages == 0 || bytes < budget) {
-		box := q.full.pop()
+	for q.nonEmpty.len() > 0 && (messages == 0 || bytes < budget) {
+		box := q.nonEmpty.pop()
 		if n := d.sendQuery(now, box); n > 0 {
 			messages++
 			bytes += n + messageOverhead
 		}
 		if len(box.flows) > 0 {
-			q.full.push(box)
+			q.nonEmpty.push(box)
 		}
 	}
-	for q.packets.len() > 0 && !d.startUndecided(now) && (messages == 0 || bytes < budget) {
+	for q.packets.len() > 0 && !d.fleetStartPending(now) && (messages == 0 || bytes < budget) {
 		if n := d.sendPacket(); n > 0 {
 			messages++
 			bytes += n + messageOverhead
@@ -179,15 +181,15 @@
 	q.charge(now, messages, bytes-messages*messageOverhead)
 }
 
-// sendQuery asks one agent for the flows that wait for it, as far as one message
-// holds them. It returns the bytes that follow the message's header.
+// sendQuery queries one agent for the flows that wait for it, as far as they fit one
+// message. It returns the length of the payload in bytes.
 func (d *Director) sendQuery(now time.Time, box *outbox) int {
-	v := d.queries.note(now, d.nextSerial(), box.agent)
+	v := d.queries.track(now, d.nextSerial(), box.agent)
 	v.flows = box.take(v.flows)
 	start := len(d.queries.arena)
 	b := binary.LittleEndian.AppendUint64(d.queries.arena, v.number)
 	for _, ref := range v.flows {
-		ref.k.question(box.agent).waits = false
+		ref.k.target(box.agent).queryPending = false
 		b = ref.k.segment.Key.Append(b)
 		b = binary.LittleEndian.AppendUint32(b, ref.k.segment.Ack)
 	}
@@ -195,23 +197,24 @@
 	if len(v.flows) == 0 {
 		return 0
 	}
-	d.question(box.agent, Message{Kind: Query}, b[start:])
+	d.sendRequest(box.agent, Message{Kind: Query}, b[start:])
 	return len(b) - start
 }
 
-// sendPacket sends a packet of a flow to an agent that needs it and returns its
-// length, 0 if the search has ended or what the agent has not seen is not there.
+// sendPacket sends a packet of a flow to an agent that needs it and returns its length,
+// 0 if the lookup has ended or the whole fleet has recently started, when a flow that
+// an agent does not know is not held by its server.
 func (d *Director) sendPacket() int {
 	p := d.queries.packets.pop()
-	if p.ref.ends() || d.everyoneStarted {
+	if p.ref.ended() || d.fleetRecentlyStarted {
 		return 0
 	}
-	p.ref.k.question(p.agent).waits = false
-	d.question(p.agent, Message{Kind: Lookup}, p.ref.k.packet)
+	p.ref.k.target(p.agent).queryPending = false
+	d.sendRequest(p.agent, Message{Kind: Lookup}, p.ref.k.packet)
 	return len(p.ref.k.packet)
 }
 
-// onQueryAnswer takes what an agent says of the flows that it was asked for.
+// onQueryAnswer handles an agent's answer to a Query.
 func (d *Director) onQueryAnswer(now time.Time, from netip.AddrPort, b []byte) {
 	if len(b) < numberSize {
 		return
@@ -223,38 +226,38 @@
 	}
 	delete(d.queries.sent, number)
 	for _, ref := range v.flows {
-		if !ref.ends() {
-			d.onFinding(now, from, ref.k, resultFor(ref.k.segment.Key, b[numberSize:]))
+		if !ref.ended() {
+			d.onLookupResult(now, from, ref.k, resultFor(ref.k.segment.Key, b[numberSize:]))
 		}
 	}
 }
 
-// onFinding takes what an agent says of one flow.
-func (d *Director) onFinding(now time.Time, from netip.AddrPort, k *seek, f LookupResult) {
+// onLookupResult handles an agent's result for one flow.
+func (d *Director) onLookupResult(now time.Time, from netip.AddrPort, k *lookup, f LookupResult) {
 	e := d.flows[k.segment.Key]
-	if e == nil || e.seek != k {
+	if e == nil || e.lookup != k {
 		return
 	}
 	if f == FlowNeedsPacket || f == FlowUnknown {
-		if d.everyoneStarted {
+		if d.fleetRecentlyStarted {
 			f = FlowNotHeld
 		}
-		if q := k.question(from); q != nil {
-			q.unsure = true
-			d.block(k)
+		if q := k.target(from); q != nil {
+			q.uncertain = true
+			d.blockLookup(k)
 		}
 	}
 	switch f {
 	case FlowHeld:
-		d.found(now, e, from, true)
+		d.completeLookup(now, e, from, true)
 	case FlowLost:
-		d.lost(now, e, &k.segment, ReasonLost)
+		d.endFlow(now, e, &k.segment, ReasonLost)
 	case FlowNeedsPacket:
-		if p := k.question(from); p != nil && !p.waits {
-			p.waits = true
-			d.queries.packets.push(packetDue{seekRef{k, k.serial}, from})
+		if p := k.target(from); p != nil && !p.queryPending {
+			p.queryPending = true
+			d.queries.packets.push(packetDue{lookupRef{k, k.serial}, from})
 		}
 	case FlowNotHeld:
-		d.answered(now, e, from)
+		d.recordNotHeld(now, e, from)
 	}
 }
--- a/flow/region_test.go
+++ b/flow/region_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Symptom: a request runs in a region where its data must not go.
-// Sequence: a route names the regions whose servers may get its requests; agents of the
-// service are in others as well, or in no region that is known, and are the least loaded.
-// Cause: routes were read without their regions.
+// Guards against a request that runs in a region where its data must not go. A route
+// names the regions whose servers may get its requests; the least loaded agents of the
+// service are in other regions, or in zones of no known region.
 func TestRouteKeepsToItsRegions(t *testing.T) {
 	north, south := ZoneID("north"), ZoneID("south")
 	for _, c := range []struct {
--- a/flow/restored.go
+++ b/flow/restored.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// rewriteTime is how long an evacuation of before the store came back from an older copy
-// stays in force although the store lacks it: the operator writes it again in that time.
-const rewriteTime = 4 * time.Second
-
-// restored is what a process knows of the store's last return from an older copy.
-type restored struct {
-	first uint64    // orders with numbers from this one on were read after it
-	until time.Time // the operator may not have written all of its orders again before
+// rewriteWindow is how long an evacuation from before the store came back from an older
+// copy stays in force although the store does not have it. The operator writes it again
+// in that time.
+const rewriteWindow = 4 * time.Second
+
+// storeRestore describes the last time that the store came back from an older copy.
+type storeRestore struct {
+	first uint64    // orders numbered from this on were read after it
+	until time.Time // the operator may not have written all of its orders again before this time
 }
 
-func restoredAt(now time.Time, first uint64) restored {
-	return restored{first: first, until: now.Add(rewriteTime)}
+func newStoreRestore(now time.Time, first uint64) storeRestore {
+	return storeRestore{first: first, until: now.Add(rewriteWindow)}
 }
 
-// lackingZones is the availability zones that a balancer knows as evacuated although the
-// orders in force, read after the store came back from an older copy, do not name them. They
-// get no new flows until the operator has written its orders again.
-type lackingZones struct {
-	restored restored
+// unconfirmedZones are the availability zones that were evacuated by earlier orders
+// although the orders in force, read after the store came back from an older copy, do
+// not name them. They get no new flows until the operator has had time to write its
+// orders again.
+type unconfirmedZones struct {
+	restored storeRestore
 	zones    map[uint32]struct{} // by ZoneID
 }
 
-// update takes orders that are put in force in place of others.
-func (l *lackingZones) update(now time.Time, before, after *Orders) {
+// update applies the change from one set of orders in force to another.
+func (l *unconfirmedZones) update(now time.Time, before, after *Orders) {
 	if before.Number < l.restored.first && after.Number >= l.restored.first {
 		for zone := range before.Evacuated {
 			l.add(now, zone)
@@ -36,9 +38,9 @@
 	}
 }
 
-// add has a zone get no new flows for as long as the operator may have yet to write. It
-// reports whether it may.
-func (l *lackingZones) add(now time.Time, zone uint32) bool {
+// add excludes a zone from new flows until the rewrite window ends. It returns false if
+// the window has ended.
+func (l *unconfirmedZones) add(now time.Time, zone uint32) bool {
 	if !now.Before(l.restored.until) {
 		return false
 	}
@@ -49,17 +51,17 @@
 	return true
 }
 
-// has reports whether a zone gets no new flows for this reason.
-func (l *lackingZones) has(zone uint32) bool {
+// has reports whether a zone is excluded from new flows for this reason.
+func (l *unconfirmedZones) has(zone uint32) bool {
 	_, ok := l.zones[zone]
 	return ok
 }
 
-func (l *lackingZones) none() bool { return len(l.zones) == 0 }
+func (l *unconfirmedZones) none() bool { return len(l.zones) == 0 }
 
-// expire forgets the zones once the operator has had its time, and reports whether there
+// expire removes the zones once the rewrite window has ended, and reports whether there
 // were any.
-func (l *lackingZones) expire(now time.Time) bool {
+func (l *unconfirmedZones) expire(now time.Time) bool {
 	if l.none() || now.Before(l.restored.until) {
 		return false
 	}
@@ -67,73 +69,77 @@
 	return true
 }
 
-// StoreRestored notes that orders numbered first, or above, are read after the store has
-// come back from an older copy. Agents of the balancer's own zone are greeted at once:
-// what the store held of them may be gone, and has to be there again before the next
-// greeting is due.
+// StoreRestored records that orders numbered first or above are read after the store
+// came back from an older copy. Agents of the balancer's own zone are sent a hello
+// message at once: the store may have lost their keys, which have to be written again
+// before the next hello is due.
 func (d *Director) StoreRestored(now time.Time, first uint64) {
-	d.lacking.restored = restoredAt(now, first)
-	d.greetOwnZone(now)
+	d.unconfirmedZones.restored = newStoreRestore(now, first)
+	d.helloOwnZone(now)
 }
 
-// greetAtOnce bounds the agents that one balancer greets out of turn. Each takes others, so
-// the balancers of a zone reach nearly all of its agents together.
-const greetAtOnce = 64
+// maxImmediateHellos bounds the agents to which one balancer sends a hello message
+// before it is due. Each balancer picks others, so the balancers of a zone reach nearly
+// all of its agents together.
+const maxImmediateHellos = 64
 
-// greetOwnZone has agents of the balancer's own zone greeted at once.
-func (d *Director) greetOwnZone(now time.Time) {
-	greeted := 0
+// helloOwnZone schedules an immediate hello message to agents of the balancer's own
+// zone.
+func (d *Director) helloOwnZone(now time.Time) {
+	scheduled := 0
 	for _, a := range d.agents {
-		if a.local && greeted < greetAtOnce {
-			a.helloAt = now
-			greeted++
+		if a.local && scheduled < maxImmediateHellos {
+			a.nextHelloAt = now
+			scheduled++
 		}
 	}
 }
 
-// expireLacking puts zones back into service whose evacuation the operator has not written
-// again in its time.
-func (d *Director) expireLacking(now time.Time) {
-	if d.lacking.expire(now) {
-		d.retableAll()
-		d.greetOwnZone(now)
+// expireUnconfirmedZones puts zones back into service whose evacuation the operator has
+// not written again within the rewrite window.
+func (d *Director) expireUnconfirmedZones(now time.Time) {
+	if d.unconfirmedZones.expire(now) {
+		d.rebuildAllTables()
+		d.helloOwnZone(now)
 	}
 }
 
-// learnLacking takes an agent's word that its zone is evacuated, where the orders in force
-// may merely lack that: this balancer has started since the store came back.
-func (d *Director) learnLacking(now time.Time, a *agent) {
-	if a.state != ServerEvacuated || now.Sub(d.started) >= rewriteTime || d.zoneOrder(a.zone) != ZoneInService {
+// recordUnconfirmedZone handles an agent's report that its zone is evacuated while the
+// orders in force may have lost that evacuation, because this balancer has started
+// since the store came back.
+func (d *Director) recordUnconfirmedZone(now time.Time, a *agent) {
+	if a.state != ServerEvacuated || now.Sub(d.started) >= rewriteWindow || d.zoneOrder(a.zone) != ZoneInService {
 		return
 	}
-	if d.lacking.add(now, a.zone) {
-		d.retableAll()
-		d.greetOwnZone(now)
+	if d.unconfirmedZones.add(now, a.zone) {
+		d.rebuildAllTables()
+		d.helloOwnZone(now)
 	}
 }
 
-// StoreRestored notes that orders numbered first, or above, were read after the store had
-// come back from an older copy. Balancers are told with the agent's messages: they may not
-// have read the store since.
+// StoreRestored records that orders numbered first or above were read after the store
+// came back from an older copy. The agent's messages report it to balancers, which may
+// not have read the store since.
 func (g *Gate) StoreRestored(now time.Time, first uint64) {
 	g.newestOrders = max(g.newestOrders, first)
-	g.restored = restoredAt(now, first)
+	g.restored = newStoreRestore(now, first)
 }
 
-// mayLack reports whether orders that put the zone back into service may merely lack its
-// evacuation, which the operator has yet to write again. Acted on, they would bring new
-// flows into a zone that is evacuated; a zone that was really given back waits for some
-// seconds more.
-func (g *Gate) mayLack(now time.Time, zone ZoneOrder) bool {
+// evacuationMayBeMissing reports whether orders that put the zone back into service may
+// only have lost its evacuation, which the operator has yet to write again. Applied,
+// they would bring new flows into an evacuated zone; a zone that was really put back
+// into service waits some seconds longer.
+func (g *Gate) evacuationMayBeMissing(now time.Time, zone ZoneOrder) bool {
 	if zone != ZoneInService || !g.evacuated() || !now.Before(g.restored.until) {
 		return false
 	}
 	return g.orders.number < g.restored.first || g.orders.zone == ZoneUnconfirmed
 }
 
-// overrules reports whether a balancer's order holds in place of another one's under the
-// same number. After the store came back, one that knows of an evacuation does over one
-// that has started since; once the operator has had its time, neither knows more.
+// overrules reports whether a balancer's order replaces another balancer's order of the
+// same number. After the store came back, the order of a balancer that knows of an
+// evacuation replaces that of one that has started since; after the rewrite window
+// neither takes precedence.
 func (g *Gate) overrules(now time.Time, zone ZoneOrder) bool {
 	if zone == ZoneUnconfirmed {
 		return g.orders.zone == ZoneInService && now.Before(g.restored.until)
--- a/flow/restored_test.go
+++ b/flow/restored_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against agents that hear with their next greeting only, seconds later, that the
-// store came back from an older copy, and look for their keys as late.
+// Guards against agents that learn only with their next hello message, seconds later,
+// that the store came back from an older copy, and check for their keys that late.
 func TestAgentsAreGreetedOnceTheStoreCameBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
@@ -21,18 +21,18 @@
 	d.StoreRestored(now, 7)
 	d.SetOrders(now, NewOrders(8, NewRoutes(1, 0, nil), nil))
 	d.Tick(now)
-	var greeted []netip.AddrPort
+	var receivers []netip.AddrPort
 	for _, e := range d.Effects() {
 		if e.Message.Kind == Hello && e.Message.Revision == 8 {
-			greeted = append(greeted, e.To)
+			receivers = append(receivers, e.To)
 		}
 	}
-	if !slices.Equal(greeted, []netip.AddrPort{near}) {
-		t.Errorf("greeted %v, want the agent of the own zone", greeted)
+	if !slices.Equal(receivers, []netip.AddrPort{near}) {
+		t.Errorf("hello messages to %v, want only the agent of the balancer's own zone", receivers)
 	}
 }
 
-// Guards against a return of the store that an agent alone has heard of: in an idle fleet no
+// Guards against a store restore that only an agent knows of: in an idle fleet, no
 // balancer may call the store for a second.
 func TestAgentTellsThatTheStoreCameBack(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -44,18 +44,18 @@
 	now = now.Add(ReportEvery)
 	g.Tick(now)
 	if !slices.ContainsFunc(g.Effects(), func(e Effect) bool { return e.Message.Kind == Report && e.Message.Revision == first }) {
-		t.Error("no report tells of it")
+		t.Error("no report carries the number of the first orders after it")
 	}
 }
 
-// Guards against new flows to an agent that has started in an evacuated zone: of two balancers
-// one knows of the evacuation that the store lost, one has started since, and both speak
-// under one number.
+// Guards against new flows to an agent that has started in an evacuated zone. Of two
+// balancers one knows of the evacuation that the store lost, the other has started
+// since, and both send orders of the same number.
 func TestStartedAgentKeepsToTheEvacuationThatTheStoreLost(t *testing.T) {
 	const first, number = 100, 107
 	knows := netip.MustParseAddrPort("10.0.0.8:1")
 	started := netip.MustParseAddrPort("10.0.0.9:1")
-	tell := func(g *Gate, now time.Time, from netip.AddrPort, zone ZoneOrder) {
+	sendOrder := func(g *Gate, now time.Time, from netip.AddrPort, zone ZoneOrder) {
 		g.FromBalancer(now, from, &Message{Kind: Hello, Revision: number, ZoneOrder: zone}, nil, nil)
 	}
 	for _, knowsFirst := range []bool{true, false} {
@@ -64,27 +64,28 @@
 		g.StoreRestored(now, first)
 		g.Heartbeat(now, Heartbeat{Instance: "i", Sequence: 1, Slots: 5})
 		if knowsFirst {
-			tell(g, now, knows, ZoneUnconfirmed)
-			tell(g, now, started, ZoneInService)
+			sendOrder(g, now, knows, ZoneUnconfirmed)
+			sendOrder(g, now, started, ZoneInService)
 		} else {
-			tell(g, now, started, ZoneInService)
-			tell(g, now, knows, ZoneUnconfirmed)
+			sendOrder(g, now, started, ZoneInService)
+			sendOrder(g, now, knows, ZoneUnconfirmed)
 		}
 		if got := g.State(now); got != ServerEvacuated {
 			t.Errorf("knows first %v: state %v", knowsFirst, got)
 		}
-		now = now.Add(rewriteTime)
+		now = now.Add(rewriteWindow)
 		g.Heartbeat(now, Heartbeat{Instance: "i", Sequence: 2, Slots: 5})
-		tell(g, now, knows, ZoneInService)
-		tell(g, now, started, ZoneUnconfirmed)
+		sendOrder(g, now, knows, ZoneInService)
+		sendOrder(g, now, started, ZoneUnconfirmed)
 		if got := g.State(now); got != ServerReady {
-			t.Errorf("knows first %v: state %v once the operator has had its time", knowsFirst, got)
+			t.Errorf("knows first %v: state %v after the rewrite window", knowsFirst, got)
 		}
 	}
 }
 
-// Guards against a zone that stays out of service although the operator does not write its
-// evacuation again, and against one that a balancer which has started puts into service.
+// Guards against a zone that stays out of service although the operator does not write
+// its evacuation again, and against a recently started balancer that puts an evacuated
+// zone into service.
 func TestBalancerKeepsEvacuationsUntilTheOperatorHasHadItsTime(t *testing.T) {
 	const first, number = 100, 107
 	zone := ZoneID("b")
@@ -106,11 +107,11 @@
 		c.do(d, now)
 		d.SetOrders(now, NewOrders(number, NewRoutes(1, 0, nil), nil))
 		if got := d.zoneOrder(zone); got != ZoneUnconfirmed {
-			t.Errorf("%s: order %v after the store's return", c.name, got)
+			t.Errorf("%s: order %v after the store came back", c.name, got)
 		}
-		d.Tick(now.Add(rewriteTime))
+		d.Tick(now.Add(rewriteWindow))
 		if got := d.zoneOrder(zone); got != ZoneInService {
-			t.Errorf("%s: order %v once the operator has had its time", c.name, got)
+			t.Errorf("%s: order %v after the rewrite window", c.name, got)
 		}
 	}
 }
--- a/flow/server_restart_test.go
+++ b/flow/server_restart_test.go
@@ -60,7 +60,7 @@
 	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, StartTimeMs: 1 << 40, Sequence: 9, Service: listing, Slots: 5})
 	w.gate(n).Heartbeat(w.now, Heartbeat{Instance: v.instance, StartTimeMs: 1<<40 + 500, Sequence: 1, Service: listing, Slots: 5})
 	c.request(balancerA)
-	w.pass(200 * time.Millisecond)
+	w.advance(200 * time.Millisecond)
 	if len(w.resets) != 1 {
 		t.Errorf("%d resets, want 1", len(w.resets))
 	}
--- a/flow/snapshot.go
+++ b/flow/snapshot.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// DirectorSnapshot is what a balancer believes at one moment, for operators.
+// DirectorSnapshot is the state of a balancer at one moment, for operators.
 type DirectorSnapshot struct {
 	Revision  uint64   `json:"revision"`     // of the configuration in force, 0 for none
 	Orders    uint64   `json:"orders"`       // number of the operator's orders in force, 0 for none
-	Newest    uint64   `json:"newest_heard"` // newest orders that any process spoke of
+	Newest    uint64   `json:"newest_heard"` // number of the newest orders that any process has reported
 	Routes    int      `json:"routes"`       // in force
 	Evacuated []uint32 `json:"evacuated"`    // availability zones that get no new flows, by ZoneID
-	// Unconfirmed are zones that get none for as long as the operator may have yet to write
-	// its orders again, after the store came back from an older copy.
+	// Unconfirmed are zones that get no new flows until the operator has had time to
+	// write its orders again, after the store came back from an older copy.
 	Unconfirmed []uint32         `json:"unconfirmed,omitempty"`
-	ReadAge     time.Duration    `json:"read_age_ns"` // of the latest read of the orders by any process, negative if never
-	Ready       bool             `json:"ready"`       // takes callers' packets
+	ReadAge     time.Duration    `json:"read_age_ns"` // since the latest read of the orders by any process, negative if there was none
+	Ready       bool             `json:"ready"`       // accepts callers' packets
 	Complete    bool             `json:"knows_all"`   // knows every agent that may hold a flow
-	Flows       int              `json:"flows"`       // remembered
-	Agents      []AgentSnapshot  `json:"agents"`      // in the order of their addresses
-	Failed      []netip.AddrPort `json:"missing"`     // agents that fell silent without a word
+	Flows       int              `json:"flows"`       // number of flows in the table
+	Agents      []AgentSnapshot  `json:"agents"`      // ordered by address
+	Failed      []netip.AddrPort `json:"missing"`     // agents that stopped sending without deregistering
 	Balancers   []netip.AddrPort `json:"other_balancers"`
 }
 
-// AgentSnapshot is what a balancer believes about one agent.
+// AgentSnapshot is the state of one agent as a balancer knows it.
 type AgentSnapshot struct {
 	Addr         netip.AddrPort `json:"address"`
 	Service      ServiceID      `json:"service"`
 	State        string         `json:"state"`
-	Unresponsive bool           `json:"silent"`       // left out of new flows
-	Age          time.Duration  `json:"heard_age_ns"` // since it was heard, negative if never
+	Unresponsive bool           `json:"silent"`       // gets no new flows
+	Age          time.Duration  `json:"heard_age_ns"` // since the last message from it, negative if there was none
 }
 
-// Snapshot returns what the balancer believes now.
+// Snapshot returns the balancer's state at now.
 func (d *Director) Snapshot(now time.Time) DirectorSnapshot {
 	b := DirectorSnapshot{
-		Newest: d.newestOrders, ReadAge: ageSince(now, d.readAt), Ready: d.Ready(), Complete: d.complete(now), Flows: len(d.flows),
+		Newest: d.newestOrders, ReadAge: ageSince(now, d.readAt), Ready: d.Ready(), Complete: d.knowsAllAgents(now), Flows: len(d.flows),
 		Balancers: slices.Collect(maps.Keys(d.balancers)),
-		Orders:    d.orders.Number, Evacuated: d.evacuatedZones(), Unconfirmed: slices.Sorted(maps.Keys(d.lacking.zones)),
+		Orders:    d.orders.Number, Evacuated: d.evacuatedZones(), Unconfirmed: slices.Sorted(maps.Keys(d.unconfirmedZones.zones)),
 	}
 	if r := d.orders.Routes; r != nil {
 		b.Revision, b.Routes = r.Revision, r.Len()
 	}
 	for _, a := range d.agents {
-		b.Agents = append(b.Agents, AgentSnapshot{Addr: a.addr, Service: a.service, State: a.state.String(), Unresponsive: a.silent, Age: ageSince(now, a.heard)})
+		b.Agents = append(b.Agents, AgentSnapshot{Addr: a.addr, Service: a.service, State: a.state.String(), Unresponsive: a.unresponsive, Age: ageSince(now, a.receivedAt)})
 	}
-	for addr := range d.missing {
+	for addr := range d.failedAgents {
 		b.Failed = append(b.Failed, addr)
 	}
 	slices.SortFunc(b.Agents, func(x, y AgentSnapshot) int { return x.Addr.Compare(y.Addr) })
@@ -57,7 +57,7 @@
 	return b
 }
 
-// never is the age of what has not happened.
+// never is the age of an event that has not happened.
 const never = -time.Second
 
 func ageSince(now, at time.Time) time.Duration {
@@ -67,7 +67,7 @@
 	return now.Sub(at)
 }
 
-// GateSnapshot is what an agent believes at one moment, for operators.
+// GateSnapshot is the state of an agent at one moment, for operators.
 type GateSnapshot struct {
 	Service      ServiceID        `json:"service"`
 	State        string           `json:"state"`
@@ -75,16 +75,16 @@
 	Sequence     uint64           `json:"sequence"`         // of the latest heartbeat
 	HeartbeatAge time.Duration    `json:"heartbeat_age_ns"` // negative if there was none
 	Slots        int              `json:"slots"`
-	Requests     int              `json:"requests"`  // at work
-	Queued       int              `json:"queued"`    // flows that wait for room
-	Flows        int              `json:"flows"`     // remembered
-	Orders       uint64           `json:"orders"`    // number of the newest orders that the agent was told, 0 for none
+	Requests     int              `json:"requests"`  // in progress
+	Queued       int              `json:"queued"`    // flows waiting for capacity
+	Flows        int              `json:"flows"`     // number of flows in the table
+	Orders       uint64           `json:"orders"`    // number of the newest orders received, 0 for none
 	Evacuated    bool             `json:"evacuated"` // its availability zone gets no new flows
-	Complete     bool             `json:"knows_all"` // a flow that is not known is not at the server
+	Complete     bool             `json:"knows_all"` // every flow of the server is in the table
 	Balancers    []netip.AddrPort `json:"balancers"`
 }
 
-// Snapshot returns what the agent believes now.
+// Snapshot returns the agent's state at now.
 func (g *Gate) Snapshot(now time.Time) GateSnapshot {
 	v := &g.server
 	b := GateSnapshot{
--- a/flow/trace.go
+++ b/flow/trace.go
@@ -7,26 +7,26 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// Tracer is told each decision as it is made, for logs and metrics. Calls must
-// return at once.
+// Tracer receives each decision of a Director as it is made, for logs and metrics.
+// Calls must return at once.
 type Tracer interface {
-	// Taken: the agent's server answered the caller, after so many offers.
+	// Taken: the agent's server answered the caller, after the given number of offers.
 	Taken(now time.Time, id ID, route Route, agent netip.AddrPort, offers int, after time.Duration)
-	// Refused: an agent did not take the flow. It is offered to another.
+	// Refused: an agent did not accept the flow, which is offered to another one.
 	Refused(now time.Time, key Key, route Route, agent netip.AddrPort, reason Reason, occupancy placement.Occupancy)
-	// Abandoned: nobody took the flow. Its caller is told by a reset, or left to
-	// repeat.
+	// Abandoned: no agent accepted the flow. Its caller is sent a reset, or left to
+	// repeat its first packet.
 	Abandoned(now time.Time, id ID, route Route, reason Reason, offers int, after time.Duration, reset bool)
-	// Reset: the caller is told that the flow is not open.
+	// Reset: the caller is sent a reset because the flow is not open.
 	Reset(now time.Time, key Key, reason Reason)
-	// LookupStarted: a flow that is not known is looked for at so many agents.
+	// LookupStarted: an unknown flow is looked up at the given number of agents.
 	LookupStarted(now time.Time, key Key, agents int, all bool)
-	// Ended: the flow is nowhere any more. Its caller is told when an agent has room
-	// for its next flow, after so long at most.
+	// Ended: no server holds the flow any more. Its caller is notified when an agent
+	// has reserved capacity for its next flow, within atMost.
 	Ended(now time.Time, key Key, reason Reason, agent netip.AddrPort, atMost time.Duration)
-	// Found: an agent holds the flow that was looked for.
+	// Found: an agent holds the flow that was looked up.
 	Found(now time.Time, key Key, agent netip.AddrPort, after time.Duration)
-	// Agent: what is believed about an agent has changed.
+	// Agent: the known state of an agent has changed.
 	Agent(now time.Time, agent netip.AddrPort, service ServiceID, state ServerState, why string)
 }
 
@@ -41,23 +41,22 @@
 func (noTracer) Found(time.Time, Key, netip.AddrPort, time.Duration)                        {}
 func (noTracer) Agent(time.Time, netip.AddrPort, ServiceID, ServerState, string)            {}
 
-// GateTracer is told each decision of a Gate as it is made. Calls must return
-// at once.
+// GateTracer receives each decision of a Gate as it is made. Calls must return at once.
 type GateTracer interface {
-	// Refused: a flow that a balancer offered does not reach the server.
+	// Refused: a flow that a balancer offered is not passed to the server.
 	Refused(now time.Time, key Key, reason Reason, state ServerState, requests int)
 	// Answered: the server answered a flow's first packet.
 	Answered(now time.Time, id ID, after time.Duration, requests int)
 	// Opened: the caller confirmed the flow, which the balancer at via offered.
 	Opened(now time.Time, id ID, via netip.AddrPort, after time.Duration)
-	// NotHeld: a packet met no flow at the server.
+	// NotHeld: a packet arrived for a flow that the server does not hold.
 	NotHeld(now time.Time, key Key, reason Reason)
-	// State: what is believed about the server has changed.
+	// State: the known state of the server has changed.
 	State(now time.Time, before, after ServerState, why string)
-	// Instance: the server was started anew. complete says whether every flow
-	// of the instance is known.
+	// Instance: the server was restarted. complete says whether every flow of the
+	// instance is known.
 	Instance(now time.Time, instance string, sequence uint64, complete bool)
-	// OldHeartbeat: a heartbeat was not acted on because newer is known.
+	// OldHeartbeat: a heartbeat was ignored because a newer one was received before.
 	OldHeartbeat(now time.Time, instance string, sequence uint64)
 }
 
--- a/flow/types.go
+++ b/flow/types.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key identifies a flow: IPv4 addresses and ports of the caller and of the
-// service address that it opened the flow to.
+// Key identifies a flow by the IPv4 addresses and ports of the caller and of the
+// service address that the caller opened the flow to.
 type Key struct {
 	Caller, Service         [4]byte
 	CallerPort, ServicePort uint16
@@ -37,24 +37,24 @@
 	return k, true
 }
 
-// hash spreads keys evenly; equal on all processes.
+// hash distributes keys evenly. All processes compute the same value.
 func (k Key) hash() uint64 {
 	var b [KeySize]byte
 	return xxhash.Sum64(k.Append(b[:0]))
 }
 
-// CallerAddr returns the caller's end.
+// CallerAddr returns the caller's address and port.
 func (k Key) CallerAddr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(k.Caller), k.CallerPort)
 }
 
-// ServiceAddr returns the service's end.
+// ServiceAddr returns the service's address and port.
 func (k Key) ServiceAddr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(k.Service), k.ServicePort)
 }
 
-// ID identifies one flow among those that a caller opens from the same port one
-// after the other.
+// ID identifies one flow among those that a caller opens one after the other from the
+// same port.
 type ID struct {
 	Key    Key
 	Opener uint32 // sequence number of the first packet
@@ -65,24 +65,24 @@
 	return binary.LittleEndian.AppendUint32(id.Key.Append(b), id.Opener)
 }
 
-// Segment is what a packet's header says. Seq and Ack count bytes, as in TCP.
+// Segment holds the header fields of a packet. Seq and Ack count bytes, as in TCP.
 type Segment struct {
 	Key     Key
 	Seq     uint32
-	Ack     uint32 // of a first packet: how many copies went before it
+	Ack     uint32 // of a first packet: number of copies sent before it
 	Data    int    // bytes of data
 	Syn     bool
 	HasAck  bool
 	Fin     bool
 	Rst     bool
-	Bounced bool // the server sent it back: it does not hold or can't accept the flow
+	Bounced bool // sent back by the server, which does not hold or can't accept the flow
 }
 
-// first reports whether s is the first packet that a caller sends.
+// first reports whether s is the first packet of a flow, sent by the caller.
 func (s *Segment) first() bool { return s.Syn && !s.HasAck }
 
-// ServiceID stands for a service's name in messages: a hash of 64 bits, so that
-// no two of a fleet's services share one. 0 is no service.
+// ServiceID identifies a service in messages. It is a 64-bit hash of the service's
+// name, wide enough that no two services of a fleet share one; 0 means no service.
 type ServiceID uint64
 
 // IDOf returns the ID of the service called name.
@@ -93,17 +93,17 @@
 	return ServiceID(xxhash.Sum64String(name))
 }
 
-// ServerState is what an agent knows about its backend server.
+// ServerState is the state of a backend server as its agent knows it.
 type ServerState uint8
 
 // The states of a backend server.
 const (
-	ServerUnknown      ServerState = iota // not heard of in this process, or not lately
-	ServerReady                           // takes new flows
-	ServerDraining                        // keeps its flows, takes no new ones
+	ServerUnknown      ServerState = iota // no heartbeat in this process, or none recently
+	ServerReady                           // accepts new flows
+	ServerDraining                        // keeps its flows, accepts no new ones
 	ServerUnresponsive                    // does not react to packets
-	ServerEnded                           // has ended
-	ServerEvacuated                       // could take new flows, and its availability zone gets none
+	ServerEnded                           // has stopped
+	ServerEvacuated                       // could accept new flows, but its availability zone gets none
 )
 
 var serverStates = [...]string{"unknown", "ready", "draining", "silent", "gone", "evacuated"}
@@ -116,27 +116,27 @@
 	return "invalid"
 }
 
-// Reason says why a flow was not taken, or is not held.
+// Reason says why a flow was refused, reset or is not held.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonNone         Reason = iota
-	ReasonState               // the server is not ready: draining, gone or not heard of
+	ReasonState               // the server is not ready: draining, ended or unknown
 	ReasonService             // the server belongs to another service
-	ReasonBusy                // too many requests at work
+	ReasonBusy                // too many requests in progress
 	ReasonBounced             // the server sent the packet back
 	ReasonUnresponsive        // the server did not answer in time
 	ReasonTimeout             // the agent did not answer in time
-	ReasonNoRoute             // no route of the configuration leads anywhere
+	ReasonNoRoute             // no route of the configuration matches the service address
 	ReasonNoAgent             // no agent of the service is left to offer the flow to
-	ReasonNotHeld             // the server holds no such flow
-	ReasonLost                // the server held the flow and has lost it
+	ReasonNotHeld             // the server does not hold the flow
+	ReasonLost                // the server held the flow and lost it
 	ReasonOverflow            // a bounded table is full
-	ReasonResetPending        // the flow has ended, and its caller is told as soon as there is room for it
-	ReasonStarted             // the server and its agent have just started
+	ReasonResetPending        // the flow has ended; its caller is notified once a server has capacity for a new flow
+	ReasonStarted             // the server and its agent have recently started
 	ReasonEvacuated           // the operator has taken the availability zone out of service
-	ReasonRegion              // all servers are in regions that the route does not name
+	ReasonRegion              // all servers of the service are in regions that the route does not name
 )
 
 var reasons = [...]string{"none", "state", "service", "busy", "bounced", "silent", "timeout", "no_route", "no_agent", "not_held", "lost", "overflow", "return", "started", "evacuated", "region"}
--- a/flow/waiting_callers_test.go
+++ b/flow/waiting_callers_test.go
@@ -108,8 +108,8 @@
 // the end of the caller's attempt, because the wait does not depend on the copy.
 func TestWaitEndsWithTheCallersAttempt(t *testing.T) {
 	r := Route{Target: time.Second, Timeout: 8 * time.Second}
-	for copies, passed := range []time.Duration{0, firstCopy, secondCopy} {
-		if _, wait := r.waits(uint32(copies)); passed+wait > attemptEnd {
+	for copies, passed := range []time.Duration{0, firstRetransmission, secondRetransmission} {
+		if _, wait := r.waitLimits(uint32(copies)); passed+wait > attemptTimeout {
 			t.Errorf("copy %d waits until %v after the first", copies, passed+wait)
 		}
 	}
--- a/flow/world_test.go
+++ b/flow/world_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// failer is the part of a test that the world needs.
-type failer interface {
+// fataler is the part of a test that the world needs.
+type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// world is a balancer or two, agents and their servers in one goroutine and in
-// simulated time. Messages arrive at once and in order unless a test cuts them.
+// world is a small deployment of balancers, agents and their servers in one goroutine
+// and simulated time. Messages arrive at once and in order unless a test drops them.
 type world struct {
-	t         failer
+	t         fataler
 	now       time.Time
 	balancers map[netip.AddrPort]*Director
 	agents    map[netip.AddrPort]*worldAgent
-	segments  []Segment // what packets stand for, by number
+	segments  []Segment // contents of packets, by the number that the packet carries
 	toCaller  []Segment
 	resets    []Effect
-	cut       func(from, to netip.AddrPort) bool // nil: nothing is cut
+	drops     func(from, to netip.AddrPort) bool // drops the messages that it reports; nil: all are delivered
 }
 
 // worldAgent is an agent and its server.
@@ -34,16 +34,16 @@
 	server *worldServer
 }
 
-// worldServer is a backend server as the platform's servers behave.
+// worldServer is a backend server that behaves like the platform's servers.
 type worldServer struct {
-	instance string
-	sequence uint64 // of its last heartbeat
-	mute     bool   // reacts to nothing
-	full     bool   // accepts no new flow
-	seq      uint32
-	flows    map[Key]*serverFlow
-	got      []Segment     // packets that it was handed
-	hold     func(Segment) // takes requests to be answered later; nil: they are answered at once
+	instance     string
+	sequence     uint64 // of its last heartbeat
+	unresponsive bool   // does not react to packets
+	rejecting    bool   // accepts no new flows
+	seq          uint32
+	flows        map[Key]*serverFlow
+	received     []Segment     // packets received
+	deferRequest func(Segment) // takes requests to be answered later; nil: requests are answered at once
 }
 
 type serverFlow struct {
@@ -68,7 +68,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7700)
 }
 
-// agentAddr is the address of the n-th agent.
+// agentAddr returns the address of the n-th agent.
 func agentAddr(n int) netip.AddrPort { return addr(byte(100 + n)) }
 
 func serviceAddr(port uint16) netip.AddrPort {
@@ -82,9 +82,9 @@
 	})
 }
 
-// newWorld returns balancers with routes and agents of listing whose servers
-// are ready, each known to the others.
-func newWorld(t failer, agents int) *world {
+// newWorld returns two balancers with routes, and agents of listing whose servers are
+// ready and which know the balancers.
+func newWorld(t fataler, agents int) *world {
 	w := &world{t: t, now: time.Unix(1000, 0), balancers: map[netip.AddrPort]*Director{}, agents: map[netip.AddrPort]*worldAgent{}}
 	for _, a := range []netip.AddrPort{balancerA, balancerB} {
 		w.addBalancer(a)
@@ -92,7 +92,7 @@
 	for i := range agents {
 		w.addAgent(i, listing)
 	}
-	w.pass(2 * time.Second)
+	w.advance(2 * time.Second)
 	return w
 }
 
@@ -109,50 +109,50 @@
 		server: &worldServer{instance: fmt.Sprintf("i-%d", n), seq: uint32(n+1) << 24, flows: map[Key]*serverFlow{}},
 	}
 	w.agents[agentAddr(n)] = a
-	w.beat(n, 1, false)
+	w.heartbeat(n, 1, false)
 	for b, d := range w.balancers {
 		d.AddAgent(w.now, agentAddr(n), service, "a")
 		a.gate.AddBalancer(w.now, b)
 	}
-	w.settle()
+	w.deliver()
 	return a
 }
 
-// restartAgent replaces the n-th agent's process; its server lives on.
+// restartAgent replaces the n-th agent's process; its server keeps running.
 func (w *world) restartAgent(n int) *Gate {
 	g := NewGate(w.now, GateConfig{Zone: "a", Incarnation: uint64(n) + 1000, Service: listing}, nil)
 	w.agents[agentAddr(n)].gate = g
 	for b := range w.balancers {
 		g.AddBalancer(w.now, b)
 	}
-	w.settle()
+	w.deliver()
 	return g
 }
 
 func (w *world) gate(n int) *Gate          { return w.agents[agentAddr(n)].gate }
 func (w *world) server(n int) *worldServer { return w.agents[agentAddr(n)].server }
 
-// beat sends a heartbeat of the n-th server.
-func (w *world) beat(n int, sequence uint64, draining bool) bool {
+// heartbeat sends a heartbeat of the n-th server.
+func (w *world) heartbeat(n int, sequence uint64, draining bool) bool {
 	a := w.agents[agentAddr(n)]
 	service := a.gate.server.service
 	a.server.sequence = sequence
 	ok := a.gate.Heartbeat(w.now, Heartbeat{Instance: a.server.instance, Sequence: sequence, Service: service, Draining: draining, Slots: 5})
-	w.settle()
+	w.deliver()
 	return ok
 }
 
-// pass lets time go by in small steps, with heartbeats of all servers.
-func (w *world) pass(d time.Duration) {
+// advance advances the time in small steps, with heartbeats of all servers.
+func (w *world) advance(d time.Duration) {
 	const step = 20 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
 		for n := range len(w.agents) {
 			a := w.agents[agentAddr(n)]
-			if a == nil || a.server.mute || !a.gate.server.stateKnown || w.now.Sub(a.gate.server.lastHeartbeatAt) < time.Second {
+			if a == nil || a.server.unresponsive || !a.gate.server.stateKnown || w.now.Sub(a.gate.server.lastHeartbeatAt) < time.Second {
 				continue
 			}
-			w.beat(n, a.server.sequence+1, a.gate.server.draining)
+			w.heartbeat(n, a.server.sequence+1, a.gate.server.draining)
 		}
 		w.tick()
 	}
@@ -165,7 +165,7 @@
 	for _, a := range inOrder(w.agents) {
 		w.agents[a].gate.Tick(w.now)
 	}
-	w.settle()
+	w.deliver()
 }
 
 // packet returns the bytes that stand for s.
@@ -182,8 +182,8 @@
 	return &s
 }
 
-// settle carries messages until none is under way.
-func (w *world) settle() {
+// deliver delivers messages until none is left.
+func (w *world) deliver() {
 	for moved := true; moved; {
 		moved = false
 		for _, a := range inOrder(w.balancers) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// inOrder returns the addresses of m in order, so that a run can be repeated.
+// inOrder returns the addresses of m sorted, so that runs are reproducible.
 func inOrder[V any](m map[netip.AddrPort]V) []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(m), netip.AddrPort.Compare)
 }
@@ -216,7 +216,7 @@
 	return out
 }
 
-func (w *world) severed(from, to netip.AddrPort) bool { return w.cut != nil && w.cut(from, to) }
+func (w *world) dropped(from, to netip.AddrPort) bool { return w.drops != nil && w.drops(from, to) }
 
 func (w *world) carry(from netip.AddrPort, e Effect) {
 	switch e.Kind {
@@ -226,8 +226,8 @@
 		if d := w.balancers[e.To]; d != nil && e.Message.Kind.BetweenBalancers() {
 			d.FromBalancer(w.now, from, &e.Message, e.Packet)
 		}
-		if a := w.agents[e.To]; a != nil && !w.severed(from, e.To) {
-			a.gate.FromBalancer(w.now, from, &e.Message, w.follows(&e), e.Packet)
+		if a := w.agents[e.To]; a != nil && !w.dropped(from, e.To) {
+			a.gate.FromBalancer(w.now, from, &e.Message, w.payloadSegment(&e), e.Packet)
 		}
 	}
 }
@@ -237,37 +237,37 @@
 	case SendCaller:
 		w.toCaller = append(w.toCaller, *w.segment(e.Packet))
 	case SendServer:
-		for _, s := range a.server.take(*w.segment(e.Packet)) {
+		for _, s := range a.server.receive(*w.segment(e.Packet)) {
 			a.gate.FromServer(w.now, s, w.packet(s))
 		}
 	case SendMessage:
 		d := w.balancers[e.To]
-		if d == nil || w.severed(from, e.To) {
+		if d == nil || w.dropped(from, e.To) {
 			return
 		}
-		d.FromAgent(w.now, from, &e.Message, w.follows(&e), e.Packet)
+		d.FromAgent(w.now, from, &e.Message, w.payloadSegment(&e), e.Packet)
 	}
 }
 
-// follows returns the packet that follows a message, nil if none does.
-func (w *world) follows(e *Effect) *Segment {
+// payloadSegment returns the packet in a message's payload, nil if there is none.
+func (w *world) payloadSegment(e *Effect) *Segment {
 	if !e.Message.Kind.CarriesPacket() {
 		return nil
 	}
 	return w.segment(e.Packet)
 }
 
-// take returns what the server answers to a packet.
-func (v *worldServer) take(s Segment) []Segment {
-	v.got = append(v.got, s)
-	if v.mute {
+// receive returns what the server sends in reply to a packet.
+func (v *worldServer) receive(s Segment) []Segment {
+	v.received = append(v.received, s)
+	if v.unresponsive {
 		return nil
 	}
 	f := v.flows[s.Key]
 	bounced := s
 	bounced.Bounced = true
 	switch {
-	case s.first() && v.full:
+	case s.first() && v.rejecting:
 		return []Segment{bounced}
 	case s.first():
 		if f == nil {
@@ -285,14 +285,14 @@
 	if s.Data == 0 {
 		return nil
 	}
-	if v.hold != nil {
-		v.hold(s)
+	if v.deferRequest != nil {
+		v.deferRequest(s)
 		return nil
 	}
 	return []Segment{{Key: s.Key, Seq: f.first + 1, Ack: s.Seq + uint32(s.Data), HasAck: true, Data: 100}}
 }
 
-// caller is one flow of a caller.
+// testCaller is one flow of a caller.
 type testCaller struct {
 	w   *world
 	key Key
@@ -306,14 +306,14 @@
 	}}
 }
 
-// send hands a packet of the caller to a balancer.
+// send passes a packet of the caller to a balancer.
 func (c *testCaller) send(to netip.AddrPort, s Segment) {
 	s.Key = c.key
 	c.w.balancers[to].FromCaller(c.w.now, s, c.w.packet(s))
-	c.w.settle()
+	c.w.deliver()
 }
 
-// open sends the first packet; copies counts the ones before.
+// open sends the first packet; copies is the number of copies sent before.
 func (c *testCaller) open(to netip.AddrPort, copies uint32) {
 	c.send(to, Segment{Seq: c.seq, Ack: copies, Syn: true})
 }
@@ -333,12 +333,12 @@
 	c.w.t.Helper()
 	a, ok := c.answer()
 	if !ok {
-		c.w.t.Fatal("the flow was not answered")
+		c.w.t.Fatal("no server answered the flow's first packet")
 	}
 	c.send(to, Segment{Seq: c.seq + 1, Ack: a.Seq + 1, HasAck: true, Data: 50})
 }
 
-// served counts the answers with data.
+// served returns the number of answers with data.
 func (c *testCaller) served() int {
 	n := 0
 	for _, s := range c.w.toCaller {
@@ -349,7 +349,7 @@
 	return n
 }
 
-// holders returns the agents whose servers have the flow.
+// holders returns the agents whose servers hold the flow.
 func (c *testCaller) holders() []int {
 	var list []int
 	for n := range len(c.w.agents) {
@@ -360,8 +360,8 @@
 	return list
 }
 
-// offerTo hands an offer of a new flow straight to an agent's gate and returns
-// the gate's answer.
+// offerTo passes an offer of a new flow directly to an agent's gate and returns the
+// gate's answer.
 func (w *world) offerTo(n int, service ServiceID, port uint16) (answer Message) {
 	c := w.caller(port, listingPort)
 	s := Segment{Key: c.key, Seq: c.seq, Syn: true}
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -162,7 +162,7 @@
 	}
 	gauge(descFlows, s.Flows)
 	gauge(descOpening, s.Opening)
-	gauge(descReturns, s.Returning)
+	gauge(descReturns, s.PendingResets)
 	gauge(descAgents, s.Agents)
 	gauge(descReady, s.Ready)
 	gauge(descRevision, int(revision))
