--- a/flow/members.go
+++ b/flow/members.go
@@ -18,9 +18,9 @@
 	memberAgeUnit      = 50 * time.Millisecond
 	maxMemberAge       = 0x7f
 	memberHoldsNoFlows = 0x80
-	// memberAgeSlack is by how much a member list may exceed the time of an agent's
-	// last message: the rounding of ages, the time for which announcements are
-	// collected, and the network delay.
+	// memberAgeSlack is by how much a member list may put an agent's last message too
+	// late: the rounding of ages, the time for which announcements are collected, and
+	// the network delay.
 	memberAgeSlack = memberAgeUnit + announceInterval + 20*time.Millisecond
 	// membersPerMessage is the number of agents in one message, so that it stays below
 	// the smallest MTU in use.
--- a/flow/offer.go
+++ b/flow/offer.go
@@ -37,8 +37,8 @@
 
 // mismatchedSeq returns a sequence number for a reset that must end a flow only if it
 // is not open: a copy of a first packet may arrive late, when its flow is already open.
-// An open flow accepts a reset only near the sequence number that its server drew, so
-// this number misses it with all but 4 in 100,000 probability.
+// An open flow accepts a reset only near the sequence number that its server drew,
+// which this number hits with a probability of 4 in 100,000.
 func (k Key) mismatchedSeq() uint32 { return uint32(k.hash() >> 32) }
 
 // startOffer adds a flow and offers it to the first agent.
--- a/flow/query.go
+++ b/flow/query.go
@@ -28,8 +28,8 @@
 	// core they and their answers took the processor from offers.
 	maxLookupMessages = 2500
 	// roundSpan is the amount of queries sent at once, as time at the lookups' share of
-	// the link: queries to all of 65 agents together would take a 10 Mbit/s link for 10
-	// ms, for which offers would wait.
+	// the link: queries to all of 65 agents together would occupy a 10 Mbit/s link for
+	// 10 ms, for which offers would wait.
 	roundSpan = 5 * time.Millisecond
 	// queryBurst is how far ahead of that pace queries may be sent at once, so that a
 	// few flows that routers move are found without a wait for the next round.
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// resetWaitPart is the part of a request's time-out, as a divisor, for which the
-	// notification of a caller whose flow has ended may be delayed. A caller that is
-	// notified late has no time left for its new flow; callers that are notified before
-	// there is capacity all open new flows at the same time.
+	// resetWaitPart divides a request's time-out; the notification of a caller whose
+	// flow has ended may be delayed for the result. A caller that is notified late has
+	// no time left for its new flow; callers that are notified before there is capacity
+	// all open new flows at the same time, as if they were new.
 	resetWaitPart = 2
 	// maxResetWait bounds that delay for requests with long deadlines.
 	maxResetWait = 2500 * time.Millisecond
