--- a/internal/agent/contacts.go
+++ b/internal/agent/contacts.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if d.announcer != nil && now.Sub(d.announcer.LastAck()) > contactSilence {
-		d.slots.Want(now)
+		d.slots.RequestContacts(now)
 	}
 	if call, ok := d.slots.Next(now); ok {
 		d.contacts.Make(ctx, call)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -161,7 +161,7 @@
 	if d.announcer != nil {
 		d.announcer.Receive(now, from, msg)
 		if msg.Kind == membership.KindAck {
-			d.hearVersion(from, msg.Entry)
+			d.hearVersion(from, msg.EntryVersion)
 		}
 	}
 }
--- a/internal/balancer/duty.go
+++ b/internal/balancer/duty.go
@@ -77,9 +77,9 @@
 			Zone:        b.cfg.Zone,
 			Region:      b.cfg.Region,
 		},
-		Seeds: b.cfg.Seeds,
-		Seed:  d.rng.Uint64(),
-		Entry: d.entryVersion,
+		Seeds:        b.cfg.Seeds,
+		Seed:         d.rng.Uint64(),
+		EntryVersion: d.entryVersion,
 	})
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		Zone:        b.cfg.Zone,
 		Self:        b.cfg.Internal,
 		Incarnation: incarnation,
-		Claims:      true,
+		ClaimsSlots: true,
 		Seed:        d.rng.Uint64(),
 		Candidate:   d.machine.SlotCandidate,
 	})
@@ -148,7 +148,7 @@
 // are taken again only after a backoff of up to a minute, and until then an
 // edit would be in force nowhere though the store answers again.
 func (d *duty) followsStore(now time.Time) bool {
-	_, holds := d.slots.Holds(now)
+	_, holds := d.slots.HeldSlot(now)
 	return holds || d.machine.SlotCandidate()
 }
 
@@ -202,7 +202,7 @@
 		switch c.Kind {
 		case membership.ChangeZone:
 			d.applyZone(c.Zone, c.Reachable)
-		case membership.ChangeForget:
+		case membership.ChangeRemove:
 			d.b.data.forwarder.peers.forget(c.Record.Addr)
 			d.place(&c.Record, false)
 			d.vote(&c.Record, true)
@@ -219,7 +219,7 @@
 // puts those back that take work.
 func (d *duty) applyZone(zone string, reachable bool) {
 	d.b.log.Info("availability zone", zap.String("zone", zone), zap.Bool("reachable", reachable))
-	for r := range d.machine.All() {
+	for r := range d.machine.Records() {
 		if r.Zone == zone {
 			d.place(&r, reachable && r.TakesWork())
 		}
--- a/internal/balancer/spread.go
+++ b/internal/balancer/spread.go
@@ -100,7 +100,7 @@
 			go d.fetch(ctx, bulkAnswer{from: peer, kind: bulk.KindCatalogue}, request)
 		}
 	}
-	if peer, ok := d.machine.NeedsBulk(); ok {
+	if peer, ok := d.machine.BulkSource(); ok {
 		go d.fetch(ctx, bulkAnswer{from: peer.Addr, kind: bulk.KindRoster}, nil)
 	}
 }
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -16,7 +16,7 @@
 
 // Defaults of an Announcer.
 const (
-	DefaultInterval = time.Second
+	DefaultHeartbeatInterval = time.Second
 	// A balancer that answered none of so many heartbeats is given up. Every
 	// second one is answered.
 	silentIntervals = 8
@@ -55,7 +55,7 @@
 		cfg.Self.Version = 1
 	}
 	if cfg.Interval == 0 {
-		cfg.Interval = DefaultInterval
+		cfg.Interval = DefaultHeartbeatInterval
 	}
 	if err := cfg.Self.Check(); err != nil {
 		return nil, err
@@ -68,9 +68,9 @@
 // Self returns the record as it is announced now.
 func (a *Announcer) Self() Record { return a.self }
 
-// Entry returns the highest entry version that an ack carried and the
+// EntryVersion returns the highest entry version that an ack carried and the
 // balancer that sent it.
-func (a *Announcer) Entry() (uint64, netip.AddrPort) { return a.entry, a.entryOf }
+func (a *Announcer) EntryVersion() (uint64, netip.AddrPort) { return a.entry, a.entryOf }
 
 // LastAck returns when a balancer answered last; zero if none ever did.
 func (a *Announcer) LastAck() time.Time { return a.ackAt }
@@ -227,12 +227,12 @@
 		a.outlive(now, m.Incarnation)
 		return
 	}
-	if m.Incarnation < a.self.Incarnation && m.Flags&FlagWant == 0 {
+	if m.Incarnation < a.self.Incarnation && m.Flags&FlagSendRecord == 0 {
 		return // meant for an earlier incarnation at this address
 	}
 	a.ackAt = now
-	if m.Entry > a.entry {
-		a.entry, a.entryOf = m.Entry, from
+	if m.EntryVersion > a.entry {
+		a.entry, a.entryOf = m.EntryVersion, from
 	}
 	if len(m.Peers) > 0 && a.mayAdopt(now) {
 		a.adopt(now, m.Peers)
@@ -245,7 +245,7 @@
 }
 
 func (a *Announcer) acknowledge(now time.Time, k key, m *Message) {
-	if m.Flags&FlagWant != 0 && !inContacts(a.contacts, k) {
+	if m.Flags&FlagSendRecord != 0 && !inContacts(a.contacts, k) {
 		a.out = append(a.out, Envelope{k.addrPort(), a.announcement()})
 		return
 	}
@@ -255,7 +255,7 @@
 			continue
 		}
 		c.heardAt = now
-		if m.Flags&FlagWant != 0 {
+		if m.Flags&FlagSendRecord != 0 {
 			c.acked = false
 			a.announce(now, c)
 			return
--- a/membership/bulk_test.go
+++ b/membership/bulk_test.go
@@ -18,7 +18,7 @@
 	joined := x.Balancer(50, 1, lab.AddrOf(RoleBalancer, 0))
 	var from Record
 	asked := func() bool {
-		rec, ok := joined.Machine.NeedsBulk()
+		rec, ok := joined.Machine.BulkSource()
 		from = rec
 		return ok
 	}
@@ -53,16 +53,16 @@
 	for _, m := range []*Message{
 		{Kind: KindAnnounce, Records: []Record{rec}},
 		{Kind: KindHeartbeat, Incarnation: rec.Incarnation, Version: 1},
-		{Kind: KindAck, Incarnation: rec.Incarnation, Version: 1, Flags: FlagWant | FlagSuspected, Peers: peers},
-		{Kind: KindGossip, Records: []Record{rec}, Zones: []ZoneFact{{Viewer: "region-0", Zone: "zone-01", Region: "region-0", Epoch: 1, Witnesses: []uint64{1}}}},
+		{Kind: KindAck, Incarnation: rec.Incarnation, Version: 1, Flags: FlagSendRecord | FlagSuspected, Peers: peers},
+		{Kind: KindGossip, Records: []Record{rec}, Zones: []ZoneStatus{{ViewerRegion: "region-0", Zone: "zone-01", Region: "region-0", Epoch: 1, Witnesses: []uint64{1}}}},
 		{Kind: KindGossip, Deltas: []Delta{{Addr: rec.Addr, Incarnation: 1, Version: 2, State: StateLeaving}}},
-		{Kind: KindDoubt, Incarnation: rec.Incarnation, Peers: peers[:1]},
-		{Kind: KindOpinion, Incarnation: rec.Incarnation, Peers: peers[:1], Flags: FlagSilent},
-		{Kind: KindRoot, Hash: 1, Count: 3, Records: []Record{rec}},
-		{Kind: KindGroups, Hashes: make([]byte, GroupCount*HashLen)},
-		{Kind: KindBuckets, Index: 3, Hashes: make([]byte, GroupSize*HashLen)},
-		{Kind: KindSummary, Buckets: []uint16{7, 8}, Peers: peers, Hashes: make([]byte, 3*HashLen)},
-		{Kind: KindWant, Peers: peers},
+		{Kind: KindLivenessQuery, Incarnation: rec.Incarnation, Peers: peers[:1]},
+		{Kind: KindLivenessReply, Incarnation: rec.Incarnation, Peers: peers[:1], Flags: FlagUnresponsive},
+		{Kind: KindRootDigest, Hash: 1, Count: 3, Records: []Record{rec}},
+		{Kind: KindGroupDigests, Hashes: make([]byte, GroupCount*HashLen)},
+		{Kind: KindBucketDigests, Index: 3, Hashes: make([]byte, GroupSize*HashLen)},
+		{Kind: KindRecordDigests, Buckets: []uint16{7, 8}, Peers: peers, Hashes: make([]byte, 3*HashLen)},
+		{Kind: KindRecordRequest, Peers: peers},
 		{Kind: KindRepair, Records: []Record{rec}},
 	} {
 		b, err := Encode(m)
--- a/membership/config.go
+++ b/membership/config.go
@@ -7,16 +7,16 @@
 
 // Timing holds the periods of a Machine. A zero field means its default.
 type Timing struct {
-	Heartbeat     time.Duration // of this balancer to its observers, default DefaultInterval
-	SuspectAfter  time.Duration // silence after which an observer asks the others, default 2.5 s
-	DeadAfter     time.Duration // from suspect to dead without a refutation, default 8 s
-	AloneAfter    time.Duration // doubt after which one observer decides alone, default 10 s
-	FoldAfter     time.Duration // doubt after which an observer outside the zone takes the zone for lost, default 2 s
-	PauseAfter    time.Duration // gap between calls that counts as a pause of our own, default 1 s
-	IsolatedAfter time.Duration // without any message nobody is judged, default 1.5 s
-	Compare       time.Duration // between comparisons of digests, default 1 s
-	ProbeLost     time.Duration // between messages to balancers out of contact, default 15 s
-	ForgetAfter   time.Duration // dead records are kept so long, default 24 h
+	HeartbeatInterval time.Duration // of this balancer to its observers, default DefaultInterval
+	SuspectAfter      time.Duration // silence after which an observer asks the others, default 2.5 s
+	DeadAfter         time.Duration // from suspect to dead without a refutation, default 8 s
+	SoleObserverAfter time.Duration // doubt after which one observer decides alone, default 10 s
+	ZoneLossAfter     time.Duration // doubt after which an observer outside the zone takes the zone for lost, default 2 s
+	PauseAfter        time.Duration // gap between calls that counts as a pause of our own, default 1 s
+	IsolatedAfter     time.Duration // without any message nobody is judged, default 1.5 s
+	CompareInterval   time.Duration // between comparisons of digests, default 1 s
+	ProbeInterval     time.Duration // between messages to balancers out of contact, default 15 s
+	ForgetAfter       time.Duration // dead records are kept so long, default 24 h
 }
 
 func (t *Timing) setDefaults() {
@@ -25,15 +25,15 @@
 			*d = v
 		}
 	}
-	set(&t.Heartbeat, DefaultInterval)
+	set(&t.HeartbeatInterval, DefaultHeartbeatInterval)
 	set(&t.SuspectAfter, 2500*time.Millisecond)
 	set(&t.DeadAfter, 8*time.Second)
-	set(&t.AloneAfter, 10*time.Second)
-	set(&t.FoldAfter, 2*time.Second)
+	set(&t.SoleObserverAfter, 10*time.Second)
+	set(&t.ZoneLossAfter, 2*time.Second)
 	set(&t.PauseAfter, time.Second)
 	set(&t.IsolatedAfter, 1500*time.Millisecond)
-	set(&t.Compare, time.Second)
-	set(&t.ProbeLost, 15*time.Second)
+	set(&t.CompareInterval, time.Second)
+	set(&t.ProbeInterval, 15*time.Second)
 	set(&t.ForgetAfter, 24*time.Hour)
 }
 
@@ -46,12 +46,12 @@
 
 // Config describes a balancer's Machine.
 type Config struct {
-	Self   Record           // Role must be RoleBalancer
-	Seeds  []netip.AddrPort // balancers to turn to at the start
-	Seed   uint64           // seeds the choice of peers
-	Rate   int              // bytes a second sent, default DefaultRate, at least MinRate; reports and acks always pass
-	Timing Timing
-	Entry  func(service uint32) uint64 // value that acks carry to processes of a service, 0 for none or unknown; may be nil
+	Self         Record           // Role must be RoleBalancer
+	Seeds        []netip.AddrPort // balancers to turn to at the start
+	Seed         uint64           // seeds the choice of peers
+	Rate         int              // bytes a second sent, default DefaultRate, at least MinRate; reports and acks always pass
+	Timing       Timing
+	EntryVersion func(service uint32) uint64 // value that acks carry to processes of a service, 0 for none or unknown; may be nil
 }
 
 // ChangeKind says what a Change reports.
@@ -60,7 +60,7 @@
 // The kinds of changes.
 const (
 	ChangeRecord ChangeKind = 1 // Record is new or replaces the one at its address
-	ChangeForget ChangeKind = 2 // Record was removed from the roster
+	ChangeRemove ChangeKind = 2 // Record was removed from the roster
 	ChangeZone   ChangeKind = 3 // all of Zone became Reachable or not from here
 )
 
@@ -76,13 +76,13 @@
 // headers and seal included.
 type Stats struct {
 	Records, Balancers              int // in the roster now; live balancers
-	Watched                         int // processes that report here
+	Observed                        int // processes that report here
 	SentMessages, SentBytes         uint64
 	ReceivedMessages, ReceivedBytes uint64
 	SentByKind                      [KindRepair + 1]uint64 // bytes
-	Suspected, Declared             uint64                 // verdicts given here: suspect, dead
+	Suspected, DeclaredDead         uint64                 // verdicts given here: suspect, dead
 	Refuted                         uint64                 // suspicions of this balancer that it refuted
 	Pauses                          uint64                 // pauses of this process that it noticed
-	Held                            uint64                 // messages not sent because of Rate
+	RateLimited                     uint64                 // messages not sent because of Rate
 	Queued                          int                    // records waiting for gossip
 }
--- a/membership/delta.go
+++ b/membership/delta.go
@@ -69,6 +69,6 @@
 		}
 	}
 	if len(want) > 0 && m.tokens > 0 {
-		m.send(from, &Message{Kind: KindWant, Peers: want})
+		m.send(from, &Message{Kind: KindRecordRequest, Peers: want})
 	}
 }
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -41,7 +41,7 @@
 			a.Receive(now, balancer, e.Msg)
 		}
 	}
-	for rec := range m.Ready(3) {
+	for rec := range m.ReadyAgents(3) {
 		fmt.Println(rec.Addr, rec.State)
 	}
 	// Output: 10.0.1.1:7000 ready
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -113,7 +113,7 @@
 		least = max(maxRecord, min(floodedRoom, m.cfg.Rate/2*3/4/copies-sizeTypical-sizeOnWire))
 	}
 	if room < least {
-		m.stats.Held++
+		m.stats.RateLimited++
 		return nil
 	}
 	msg := &Message{Kind: KindGossip}
--- a/membership/lab/failure.go
+++ b/membership/lab/failure.go
@@ -63,7 +63,7 @@
 		Took: x.Now.Sub(start), Verdicts: l.Verdicts,
 	}
 	r.Extra = (Sent(outside).Bytes-before.Bytes)/float64(len(outside)) - idle.Bytes*r.Took.Seconds()
-	for rec := range list[len(list)-1].Machine.Ready(1) {
+	for rec := range list[len(list)-1].Machine.ReadyAgents(1) {
 		if rec.Zone == ZoneName(0) {
 			r.StillReady = append(r.StillReady, rec.Addr)
 		}
--- a/membership/lab/fleet.go
+++ b/membership/lab/fleet.go
@@ -146,7 +146,7 @@
 		}
 	}
 	n := 0
-	for rec := range m.All() {
+	for rec := range m.Records() {
 		if rec.Verdict != membership.VerdictDead {
 			n++
 		}
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -15,7 +15,7 @@
 	self    *Announcer
 	selfKey key
 	zone    uint16
-	roster  *roster
+	roster  *memberList
 	queue   gossipQueue
 	views   []zoneView
 	watches []watch
@@ -50,12 +50,12 @@
 	}
 	cfg.Rate = max(cfg.Rate, MinRate)
 	self, err := NewAnnouncer(AnnouncerConfig{
-		Self: cfg.Self, Seeds: cfg.Seeds, Interval: cfg.Timing.Heartbeat, Seed: cfg.Seed,
+		Self: cfg.Self, Seeds: cfg.Seeds, Interval: cfg.Timing.HeartbeatInterval, Seed: cfg.Seed,
 	})
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{cfg: cfg, self: self, selfKey: self.selfKey, roster: newRoster(), watchOf: map[key]int{}}
+	m := &Machine{cfg: cfg, self: self, selfKey: self.selfKey, roster: newMemberList(), watchOf: map[key]int{}}
 	m.rng = rand.New(rand.NewPCG(cfg.Seed+1, uint64(m.selfKey)))
 	m.tokens = float64(cfg.Rate) / 2
 	m.zone = m.roster.zoneIndex(cfg.Self.Zone, cfg.Self.Region)
@@ -77,8 +77,8 @@
 	return ok
 }
 
-// Entry returns the highest entry version that an ack carried and its sender.
-func (m *Machine) Entry() (uint64, netip.AddrPort) { return m.self.Entry() }
+// EntryVersion returns the highest entry version that an ack carried and its sender.
+func (m *Machine) EntryVersion() (uint64, netip.AddrPort) { return m.self.EntryVersion() }
 
 // Tick does what is due. Call it about every 100 ms: this is also the period
 // of gossip.
@@ -117,9 +117,9 @@
 		m.onAck(now, from, msg)
 	case KindGossip, KindRepair:
 		m.onRecords(now, from, msg)
-	case KindDoubt:
+	case KindLivenessQuery:
 		m.onDoubt(now, from, msg)
-	case KindOpinion:
+	case KindLivenessReply:
 		m.onOpinion(now, from, msg)
 	default:
 		m.onRepairStep(now, from, msg)
@@ -148,9 +148,9 @@
 	return changes
 }
 
-// NeedsBulk returns a balancer from which to load the roster in bulk, because
+// BulkSource returns a balancer from which to load the roster in bulk, because
 // too much differs for datagrams. It is reported once per need.
-func (m *Machine) NeedsBulk() (Record, bool) {
+func (m *Machine) BulkSource() (Record, bool) {
 	from := m.bulkFrom
 	m.bulkFrom = netip.AddrPort{}
 	if !from.IsValid() {
@@ -175,8 +175,8 @@
 	return c != nil && !m.roster.zones[c.zone].down
 }
 
-// Ready iterates over the agents of a service that take new work.
-func (m *Machine) Ready(service uint32) iter.Seq[Record] {
+// ReadyAgents iterates over the agents of a service that take new work.
+func (m *Machine) ReadyAgents(service uint32) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		for _, i := range m.roster.services[service] {
 			c := &m.roster.cells[i]
@@ -188,8 +188,8 @@
 	}
 }
 
-// All iterates over the whole roster, the dead included until forgotten.
-func (m *Machine) All() iter.Seq[Record] {
+// Records iterates over the whole roster, the dead included until forgotten.
+func (m *Machine) Records() iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		for i := range m.roster.cells {
 			c := &m.roster.cells[i]
@@ -217,7 +217,7 @@
 	s := m.stats
 	s.Records = len(m.roster.index)
 	s.Balancers = len(m.roster.liveAll())
-	s.Watched = len(m.watches)
+	s.Observed = len(m.watches)
 	s.Queued = len(m.queue.level)
 	return s
 }
@@ -240,7 +240,7 @@
 // of observers are sent in any case, and take at most half of it: where many agents report to a balancer,
 // its gossip would otherwise wait for ever, seen as changes that reach nobody.
 func (m *Machine) charge(kind Kind, n float64) {
-	if kind <= KindAck || kind == KindDoubt || kind == KindOpinion {
+	if kind <= KindAck || kind == KindLivenessQuery || kind == KindLivenessReply {
 		n = min(n, max(m.reports, 0))
 		m.reports -= n
 	}
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -49,7 +49,7 @@
 		t.Fatal("the roster changed although nothing happened")
 	}
 	n := 0
-	for rec := range balancers[2].Machine.Ready(1) {
+	for rec := range balancers[2].Machine.ReadyAgents(1) {
 		n++
 		if rec.Service != 1 || rec.Role != RoleAgent {
 			t.Errorf("Ready(1) yields %+v", rec)
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -80,7 +80,7 @@
 		if c == nil || c.verdict != VerdictDead || c.incarnation != t.incarnation {
 			continue
 		}
-		m.changes = append(m.changes, Change{Kind: ChangeForget, Record: m.roster.record(c)})
+		m.changes = append(m.changes, Change{Kind: ChangeRemove, Record: m.roster.record(c)})
 		m.roster.forget(t.key)
 	}
 }
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("the record became %+v", got)
 	}
 	out := m.Outbox()
-	if len(out) != 1 || out[0].Msg.Kind != KindWant {
+	if len(out) != 1 || out[0].Msg.Kind != KindRecordRequest {
 		t.Errorf("the new record isn't asked for: %v", out)
 	}
 }
@@ -84,7 +84,7 @@
 		t.Fatal("a dead record is still there after 25 h")
 	}
 	m.Outbox()
-	summary := &Message{Kind: KindSummary, Buckets: []uint16{uint16(BucketOf(rec.Addr))}}
+	summary := &Message{Kind: KindRecordDigests, Buckets: []uint16{uint16(BucketOf(rec.Addr))}}
 	summary.Peers = append(summary.Peers, rec.Addr)
 	summary.Hashes = make([]byte, HashLen) // what a dead record looks like
 	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), summary)
--- a/membership/message.go
+++ b/membership/message.go
@@ -19,18 +19,18 @@
 
 // The kinds of messages and the fields that each of them uses.
 const (
-	KindAnnounce  Kind = 1  // subject to observer: Records[0], Hash of its observers
-	KindHeartbeat Kind = 2  // subject to observer: Incarnation, Version, Hash of its observers
-	KindAck       Kind = 3  // observer to subject: Incarnation, Version, Flags, Entry, Peers
-	KindGossip    Kind = 4  // balancer to balancer: Records, Deltas, Zones
-	KindDoubt     Kind = 5  // observer to observer: Peers[0] is silent here, Incarnation
-	KindOpinion   Kind = 6  // answer to KindDoubt: Peers[0], Incarnation, Flags
-	KindRoot      Kind = 7  // digest of the whole roster: Hash, Count
-	KindGroups    Kind = 8  // digests of the groups of buckets: Hashes
-	KindBuckets   Kind = 9  // digests of the buckets of group Index: Hashes
-	KindSummary   Kind = 10 // all records of Buckets: Peers, Hashes
-	KindWant      Kind = 11 // asks for the records of Peers
-	KindRepair    Kind = 12 // records that a comparison found to differ: Records
+	KindAnnounce      Kind = 1  // subject to observer: Records[0], Hash of its observers
+	KindHeartbeat     Kind = 2  // subject to observer: Incarnation, Version, Hash of its observers
+	KindAck           Kind = 3  // observer to subject: Incarnation, Version, Flags, Entry, Peers
+	KindGossip        Kind = 4  // balancer to balancer: Records, Deltas, Zones
+	KindLivenessQuery Kind = 5  // observer to observer: Peers[0] is silent here, Incarnation
+	KindLivenessReply Kind = 6  // answer to KindDoubt: Peers[0], Incarnation, Flags
+	KindRootDigest    Kind = 7  // digest of the whole roster: Hash, Count
+	KindGroupDigests  Kind = 8  // digests of the groups of buckets: Hashes
+	KindBucketDigests Kind = 9  // digests of the buckets of group Index: Hashes
+	KindRecordDigests Kind = 10 // all records of Buckets: Peers, Hashes
+	KindRecordRequest Kind = 11 // asks for the records of Peers
+	KindRepair        Kind = 12 // records that a comparison found to differ: Records
 )
 
 // Flags qualify a message.
@@ -38,28 +38,28 @@
 
 // The flags.
 const (
-	FlagWant      Flags = 1 << iota // KindAck: announce the full record
-	FlagSuspected                   // KindAck: Version is suspected or dead, announce a higher one
-	FlagSilent                      // KindOpinion: the subject is silent here too
-	FlagHeard                       // KindOpinion: the subject was heard here
+	FlagSendRecord   Flags = 1 << iota // KindAck: announce the full record
+	FlagSuspected                      // KindAck: Version is suspected or dead, announce a higher one
+	FlagUnresponsive                   // KindOpinion: the subject is silent here too
+	FlagResponsive                     // KindOpinion: the subject was heard here
 )
 
 // Message is one control datagram between processes.
 type Message struct {
-	Kind        Kind             `cbor:"1,keyasint"`
-	Flags       Flags            `cbor:"2,keyasint,omitempty"`
-	Incarnation uint64           `cbor:"3,keyasint,omitempty"`
-	Version     uint32           `cbor:"4,keyasint,omitempty"`
-	Hash        uint64           `cbor:"5,keyasint,omitempty"`
-	Count       uint32           `cbor:"6,keyasint,omitempty"`
-	Index       uint16           `cbor:"7,keyasint,omitempty"`
-	Entry       uint64           `cbor:"8,keyasint,omitempty"` // opaque to this package, see Config.Entry
-	Hashes      []byte           `cbor:"9,keyasint,omitempty"` // 4 bytes each, big endian
-	Peers       []netip.AddrPort `cbor:"10,keyasint,omitempty"`
-	Records     []Record         `cbor:"11,keyasint,omitempty"`
-	Zones       []ZoneFact       `cbor:"12,keyasint,omitempty"`
-	Buckets     []uint16         `cbor:"13,keyasint,omitempty"`
-	Deltas      []Delta          `cbor:"14,keyasint,omitempty"`
+	Kind         Kind             `cbor:"1,keyasint"`
+	Flags        Flags            `cbor:"2,keyasint,omitempty"`
+	Incarnation  uint64           `cbor:"3,keyasint,omitempty"`
+	Version      uint32           `cbor:"4,keyasint,omitempty"`
+	Hash         uint64           `cbor:"5,keyasint,omitempty"`
+	Count        uint32           `cbor:"6,keyasint,omitempty"`
+	Index        uint16           `cbor:"7,keyasint,omitempty"`
+	EntryVersion uint64           `cbor:"8,keyasint,omitempty"` // opaque to this package, see Config.Entry
+	Hashes       []byte           `cbor:"9,keyasint,omitempty"` // 4 bytes each, big endian
+	Peers        []netip.AddrPort `cbor:"10,keyasint,omitempty"`
+	Records      []Record         `cbor:"11,keyasint,omitempty"`
+	Zones        []ZoneStatus     `cbor:"12,keyasint,omitempty"`
+	Buckets      []uint16         `cbor:"13,keyasint,omitempty"`
+	Deltas       []Delta          `cbor:"14,keyasint,omitempty"`
 }
 
 // Envelope is a message and the process it goes to. Several envelopes may
@@ -107,8 +107,8 @@
 	return n + sizeText(r.Zone) + sizeText(r.Region)
 }
 
-func (f *ZoneFact) size() int {
-	n := sizeFact + sizeText(f.Zone) + sizeText(f.Region) + sizeText(f.Viewer)
+func (f *ZoneStatus) size() int {
+	n := sizeFact + sizeText(f.Zone) + sizeText(f.Region) + sizeText(f.ViewerRegion)
 	return n + sizeWitness*len(f.Witnesses)
 }
 
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &Message{
 			Kind: KindGossip, Flags: 255, Incarnation: 1 << 63, Version: 1 << 31, Hash: 1 << 63, Count: 1 << 31,
-			Index: 1 << 15, Entry: 1 << 63,
+			Index: 1 << 15, EntryVersion: 1 << 63,
 		}
 		m.Hashes = make([]byte, rapid.IntRange(0, 64).Draw(rt, "hashes")*hashLen)
 		for r := drawRecord(rt); m.size()+r.size() <= MaxMessage; r = drawRecord(rt) {
@@ -83,9 +83,9 @@
 		"no port":       func(m *Message) { m.Records[0].Addr = netip.AddrPortFrom(good.Addr.Addr(), 0) },
 		"IPv6":          func(m *Message) { m.Peers = []netip.AddrPort{netip.MustParseAddrPort("[::1]:1")} },
 		"hashes":        func(m *Message) { m.Hashes = []byte{1} },
-		"witnesses":     func(m *Message) { m.Zones = []ZoneFact{{Zone: "a", Witnesses: make([]uint64, 9)}} },
+		"witnesses":     func(m *Message) { m.Zones = []ZoneStatus{{Zone: "a", Witnesses: make([]uint64, 9)}} },
 		"delta":         func(m *Message) { m.Deltas = []Delta{{Addr: good.Addr, State: 9}} },
-		"zone unnamed":  func(m *Message) { m.Zones = []ZoneFact{{}} },
+		"zone unnamed":  func(m *Message) { m.Zones = []ZoneStatus{{}} },
 		"region's size": func(m *Message) { m.Records[0].Region = string(make([]byte, MaxLabel+1)) },
 	}
 	for name, spoil := range bad {
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -71,7 +71,7 @@
 // rank returns the observers of the subject. Every balancer with the same
 // roster returns the same ones. An agent has all in its own zone, a balancer
 // has nearObservers there; what a small zone lacks comes from the others.
-func (r *roster) rank(subject key, role Role, zone uint16) top {
+func (r *memberList) rank(subject key, role Role, zone uint16) top {
 	t := top{subject: subject}
 	if role == RoleAgent {
 		t.add(r.live[zone], observers)
@@ -88,7 +88,7 @@
 }
 
 // farZone picks the zone of the outside observer by rendezvous over zones.
-func (r *roster) farZone(subject key, zone uint16) (uint16, bool) {
+func (r *memberList) farZone(subject key, zone uint16) (uint16, bool) {
 	best, found := uint64(0), false
 	var pick uint16
 	for z, list := range r.live {
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -33,7 +33,7 @@
 
 // compare starts a comparison when one is due.
 func (m *Machine) compare(now time.Time) {
-	if now.Sub(m.compareAt) < m.cfg.Timing.Compare {
+	if now.Sub(m.compareAt) < m.cfg.Timing.CompareInterval {
 		return
 	}
 	m.compareAt = now
@@ -54,10 +54,10 @@
 // have given each other up would otherwise stay apart after it has healed,
 // each with a roster in which the other is dead.
 func (m *Machine) probeLost(now time.Time) {
-	if now.Sub(m.probeAt) < m.cfg.Timing.ProbeLost {
+	if now.Sub(m.probeAt) < m.cfg.Timing.ProbeInterval {
 		return
 	}
-	m.probeAt = now.Add(-time.Duration(m.rng.Int64N(int64(m.cfg.Timing.ProbeLost) / 4)))
+	m.probeAt = now.Add(-time.Duration(m.rng.Int64N(int64(m.cfg.Timing.ProbeInterval) / 4)))
 	for _, t := range m.pick(nil, m.lost(), 1) {
 		m.sendRoot(t)
 	}
@@ -86,7 +86,7 @@
 
 func (m *Machine) sendRoot(to netip.AddrPort) {
 	m.send(to, &Message{
-		Kind: KindRoot, Hash: m.roster.root, Count: uint32(m.roster.count),
+		Kind: KindRootDigest, Hash: m.roster.root, Count: uint32(m.roster.count),
 		Records: []Record{m.self.self},
 	})
 }
@@ -94,26 +94,26 @@
 // onRepairStep handles the messages of a comparison. All of them are answers
 // to something this balancer may ignore, so none is sent beyond the budget.
 func (m *Machine) onRepairStep(now time.Time, from netip.AddrPort, msg *Message) {
-	if msg.Kind == KindRoot && len(msg.Records) > 0 && msg.Records[0].Addr == from {
+	if msg.Kind == KindRootDigest && len(msg.Records) > 0 && msg.Records[0].Addr == from {
 		m.merge(now, &msg.Records[0], 0)
 	}
 	if m.tokens < 0 {
-		m.stats.Held++
+		m.stats.RateLimited++
 		return
 	}
-	if m.flooded() && msg.Kind != KindWant && int(msg.Count) <= m.roster.count+bulkDifference {
+	if m.flooded() && msg.Kind != KindRecordRequest && int(msg.Count) <= m.roster.count+bulkDifference {
 		return
 	}
 	switch msg.Kind {
-	case KindRoot:
+	case KindRootDigest:
 		m.onRoot(from, msg)
-	case KindGroups:
+	case KindGroupDigests:
 		m.onGroups(now, from, msg)
-	case KindBuckets:
+	case KindBucketDigests:
 		m.onBuckets(from, msg)
-	case KindSummary:
+	case KindRecordDigests:
 		m.onSummary(from, msg)
-	case KindWant:
+	case KindRecordRequest:
 		m.onWant(from, msg)
 	}
 }
@@ -130,7 +130,7 @@
 	case own > theirs+bulkDifference:
 		m.sendRoot(from) // so that the sender notices what it lacks
 	default:
-		m.send(from, &Message{Kind: KindGroups, Hashes: packHashes(r.groups[:])})
+		m.send(from, &Message{Kind: KindGroupDigests, Hashes: packHashes(r.groups[:])})
 	}
 }
 
@@ -145,7 +145,7 @@
 			continue
 		}
 		buckets := m.roster.buckets[g*groupSize : (g+1)*groupSize]
-		m.send(from, &Message{Kind: KindBuckets, Index: uint16(g), Hashes: packHashes(buckets)})
+		m.send(from, &Message{Kind: KindBucketDigests, Index: uint16(g), Hashes: packHashes(buckets)})
 		sent++
 	}
 }
@@ -154,7 +154,7 @@
 	if len(msg.Hashes) != groupSize*hashLen || msg.Index >= groupCount {
 		return
 	}
-	sum := &Message{Kind: KindSummary}
+	sum := &Message{Kind: KindRecordDigests}
 	for i := 0; i < groupSize; i++ {
 		b := int(msg.Index)*groupSize + i
 		if hashAt(msg.Hashes, i) == uint32(m.roster.buckets[b]) {
@@ -194,7 +194,7 @@
 		return
 	}
 	listed := make(map[key]uint32, len(msg.Peers))
-	want := &Message{Kind: KindWant}
+	want := &Message{Kind: KindRecordRequest}
 	for i, p := range msg.Peers {
 		h := hashAt(msg.Hashes, i)
 		listed[keyOf(p)] = h
@@ -244,7 +244,7 @@
 		m.send(to, msg)
 	}
 	if len(list) > 0 {
-		m.stats.Held++
+		m.stats.RateLimited++
 	}
 }
 
@@ -257,7 +257,7 @@
 	return uint32(c.hash()) | 1
 }
 
-func (r *roster) eachInBucket(b int, f func(*cell)) {
+func (r *memberList) eachInBucket(b int, f func(*cell)) {
 	for i := r.heads[b]; i >= 0; i = r.cells[i].next {
 		f(&r.cells[i])
 	}
--- a/membership/report.go
+++ b/membership/report.go
@@ -18,7 +18,7 @@
 func (m *Machine) onHeartbeat(now time.Time, from netip.AddrPort, msg *Message) {
 	c := m.roster.find(keyOf(from))
 	if c == nil || msg.Incarnation > c.incarnation || msg.Incarnation == c.incarnation && msg.Version > c.version {
-		m.send(from, &Message{Kind: KindAck, Incarnation: msg.Incarnation, Flags: FlagWant, Entry: m.entry(0)})
+		m.send(from, &Message{Kind: KindAck, Incarnation: msg.Incarnation, Flags: FlagSendRecord, EntryVersion: m.entry(0)})
 		return
 	}
 	m.acknowledge(now, from, msg.Incarnation, msg)
@@ -39,7 +39,7 @@
 	if c == nil || c.key == m.selfKey {
 		return
 	}
-	ack := &Message{Kind: KindAck, Incarnation: c.incarnation, Version: c.version, Entry: m.entry(c.service)}
+	ack := &Message{Kind: KindAck, Incarnation: c.incarnation, Version: c.version, EntryVersion: m.entry(c.service)}
 	if incarnation == c.incarnation {
 		if c.verdict != VerdictAlive {
 			ack.Flags = FlagSuspected
@@ -60,10 +60,10 @@
 
 // entry returns the value that an ack carries to a process of a service.
 func (m *Machine) entry(service uint32) uint64 {
-	if m.cfg.Entry == nil {
+	if m.cfg.EntryVersion == nil {
 		return 0
 	}
-	return m.cfg.Entry(service)
+	return m.cfg.EntryVersion(service)
 }
 
 // onAck hands an ack to this balancer's own Announcer. The observers that it
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -34,9 +34,9 @@
 	cells        int
 }
 
-// roster is the compact table of all records, with the digests and indices
+// memberList is the compact table of all records, with the digests and indices
 // that have to follow each change.
-type roster struct {
+type memberList struct {
 	index    map[key]int32
 	cells    []cell
 	free     []int32
@@ -54,8 +54,8 @@
 	count    int // records in the digest
 }
 
-func newRoster() *roster {
-	r := &roster{
+func newMemberList() *memberList {
+	r := &memberList{
 		index:    map[key]int32{},
 		zoneOf:   map[string]uint16{},
 		services: map[uint32][]int32{},
@@ -69,7 +69,7 @@
 func bucketOf(k key) int { return int(mix(uint64(k)) % bucketCount) }
 
 // zoneIndex interns a zone.
-func (r *roster) zoneIndex(name, region string) uint16 {
+func (r *memberList) zoneIndex(name, region string) uint16 {
 	full := region + "/" + name
 	if i, ok := r.zoneOf[full]; ok {
 		return i
@@ -100,7 +100,7 @@
 	return c.role == RoleBalancer && c.verdict == VerdictAlive && c.state != StateLeaving
 }
 
-func (r *roster) toggle(c *cell) {
+func (r *memberList) toggle(c *cell) {
 	if !c.digested() {
 		return
 	}
@@ -111,7 +111,7 @@
 	r.root ^= h
 }
 
-func (r *roster) find(k key) *cell {
+func (r *memberList) find(k key) *cell {
 	i, ok := r.index[k]
 	if !ok {
 		return nil
@@ -119,7 +119,7 @@
 	return &r.cells[i]
 }
 
-func (r *roster) record(c *cell) Record {
+func (r *memberList) record(c *cell) Record {
 	z := &r.zones[c.zone]
 	return Record{
 		Addr: c.key.addrPort(), Role: c.role, State: c.state, Verdict: c.verdict,
@@ -129,7 +129,7 @@
 }
 
 // put stores rec, whether newer or not; the caller has compared.
-func (r *roster) put(rec *Record) *cell {
+func (r *memberList) put(rec *Record) *cell {
 	k := keyOf(rec.Addr)
 	i, known := r.index[k]
 	if known {
@@ -147,7 +147,7 @@
 	return c
 }
 
-func (r *roster) alloc(k key) int32 {
+func (r *memberList) alloc(k key) int32 {
 	var i int32
 	if n := len(r.free); n > 0 {
 		i = r.free[n-1]
@@ -164,7 +164,7 @@
 }
 
 // link adds cell i to the digests and indices, unlink takes it out.
-func (r *roster) link(i int32) {
+func (r *memberList) link(i int32) {
 	c := &r.cells[i]
 	r.toggle(c)
 	r.zones[c.zone].cells++
@@ -180,7 +180,7 @@
 	}
 }
 
-func (r *roster) unlink(i int32) {
+func (r *memberList) unlink(i int32) {
 	c := &r.cells[i]
 	r.toggle(c)
 	r.zones[c.zone].cells--
@@ -197,7 +197,7 @@
 }
 
 // forget removes the record of k.
-func (r *roster) forget(k key) {
+func (r *memberList) forget(k key) {
 	i, ok := r.index[k]
 	if !ok {
 		return
@@ -214,7 +214,7 @@
 }
 
 // liveAll returns the live balancers of all reachable zones.
-func (r *roster) liveAll() []key {
+func (r *memberList) liveAll() []key {
 	if r.allGen == r.gen && r.all != nil {
 		return r.all
 	}
--- a/membership/slots.go
+++ b/membership/slots.go
@@ -28,7 +28,7 @@
 	Zone        string
 	Self        netip.AddrPort
 	Incarnation uint64
-	Claims      bool          // balancers hold slots, agents only read them
+	ClaimsSlots bool          // balancers hold slots, agents only read them
 	Lease       time.Duration // default DefaultLease
 	Seed        uint64
 	// Candidate tells whether this balancer should look for empty slots now,
@@ -102,13 +102,13 @@
 // Calls returns the number of calls so far.
 func (s *Slots) Calls() uint64 { return s.calls }
 
-// Holds returns the slot that this process believes to hold.
-func (s *Slots) Holds(now time.Time) (slot int, ok bool) {
+// HeldSlot returns the slot that this process believes to hold.
+func (s *Slots) HeldSlot(now time.Time) (slot int, ok bool) {
 	return s.slot, s.claimed && now.Before(s.leaseEnd)
 }
 
-// Want asks for contacts again, after all known balancers fell silent.
-func (s *Slots) Want(now time.Time) {
+// RequestContacts asks for contacts again, after all known balancers fell silent.
+func (s *Slots) RequestContacts(now time.Time) {
 	if s.phase != phaseRest {
 		return
 	}
@@ -129,7 +129,7 @@
 	if now.Before(s.at) || s.phase == phaseRest {
 		return Call{}, false
 	}
-	if s.phase == phaseRead && s.cfg.Claims && len(s.Contacts()) > 0 && !s.chooseSlot() {
+	if s.phase == phaseRead && s.cfg.ClaimsSlots && len(s.Contacts()) > 0 && !s.chooseSlot() {
 		s.at = now.Add(s.jitter(checkEvery))
 		return Call{}, false
 	}
@@ -194,7 +194,7 @@
 		s.onValue(now, r.Value)
 	case OutcomeAbsent:
 		s.contacts[s.slot] = netip.AddrPort{}
-		if s.cfg.Claims {
+		if s.cfg.ClaimsSlots {
 			s.phase, s.at = phaseGrant, now
 			return
 		}
@@ -219,7 +219,7 @@
 	s.contacts[s.slot] = addr
 	s.tries = 0
 	s.at = now.Add(s.jitter(s.nextLook()))
-	if !s.cfg.Claims {
+	if !s.cfg.ClaimsSlots {
 		s.phase = phaseRest
 	}
 }
--- a/membership/slots_test.go
+++ b/membership/slots_test.go
@@ -86,7 +86,7 @@
 	f := &slotFleet{store: newSlotStore(time.Unix(1000, 0)), down: map[int]bool{}}
 	for i := range n {
 		f.list = append(f.list, NewSlots(f.store.now, SlotsConfig{
-			Zone: "a", Self: lab.AddrOf(RoleBalancer, i), Incarnation: 1, Claims: true, Seed: uint64(i),
+			Zone: "a", Self: lab.AddrOf(RoleBalancer, i), Incarnation: 1, ClaimsSlots: true, Seed: uint64(i),
 			Candidate: func() bool { return f.candidate(i) },
 		}))
 	}
@@ -187,7 +187,7 @@
 		at := time.Duration(Mix(uint64(i))%60_000) * time.Millisecond
 		self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
 		list = append(list, NewSlots(start.Add(at), SlotsConfig{
-			Zone: lab.ZoneName(i % zones), Self: self, Incarnation: 1, Claims: role == RoleBalancer, Seed: uint64(i),
+			Zone: lab.ZoneName(i % zones), Self: self, Incarnation: 1, ClaimsSlots: role == RoleBalancer, Seed: uint64(i),
 		}))
 		begin = append(begin, at)
 	}
@@ -227,7 +227,7 @@
 	}
 	without := 0
 	for _, s := range list {
-		if _, held := s.Holds(store.now); !held && len(s.Contacts()) == 0 {
+		if _, held := s.HeldSlot(store.now); !held && len(s.Contacts()) == 0 {
 			without++
 		}
 	}
--- a/membership/watch.go
+++ b/membership/watch.go
@@ -151,7 +151,7 @@
 		w.suspectAt, w.version = now, c.version
 	}
 	if now.Sub(w.suspectAt) >= m.cfg.Timing.DeadAfter {
-		m.stats.Declared++
+		m.stats.DeclaredDead++
 		m.sentence(now, c, VerdictDead)
 	}
 }
@@ -168,10 +168,10 @@
 		m.suspect(now, w, c)
 		return
 	}
-	if m.foldable(c) && lasted >= m.cfg.Timing.FoldAfter {
+	if m.foldable(c) && lasted >= m.cfg.Timing.ZoneLossAfter {
 		m.witness(now, c.zone)
 	}
-	if !m.foldable(c) && lasted >= time.Duration(w.alone)*m.cfg.Timing.AloneAfter {
+	if !m.foldable(c) && lasted >= time.Duration(w.alone)*m.cfg.Timing.SoleObserverAfter {
 		w.alone = min(w.alone*2, maxAlone)
 		m.suspect(now, w, c)
 		return
@@ -188,7 +188,7 @@
 	for _, k := range rank.list() {
 		if k != m.selfKey {
 			m.send(k.addrPort(), &Message{
-				Kind: KindDoubt, Incarnation: c.incarnation, Peers: []netip.AddrPort{w.key.addrPort()},
+				Kind: KindLivenessQuery, Incarnation: c.incarnation, Peers: []netip.AddrPort{w.key.addrPort()},
 			})
 		}
 	}
@@ -196,7 +196,7 @@
 
 // ping asks a process to announce itself at once.
 func (m *Machine) ping(c *cell) {
-	m.send(c.key.addrPort(), &Message{Kind: KindAck, Flags: FlagWant, Incarnation: c.incarnation, Entry: m.entry(c.service)})
+	m.send(c.key.addrPort(), &Message{Kind: KindAck, Flags: FlagSendRecord, Incarnation: c.incarnation, EntryVersion: m.entry(c.service)})
 }
 
 // foldable tells that the silence of c and of its observers is judged as that
@@ -232,12 +232,12 @@
 	if silent >= m.cfg.Timing.SuspectAfter/2 {
 		m.ping(c)
 	}
-	answer := &Message{Kind: KindOpinion, Incarnation: msg.Incarnation, Peers: msg.Peers}
+	answer := &Message{Kind: KindLivenessReply, Incarnation: msg.Incarnation, Peers: msg.Peers}
 	switch limit := m.cfg.Timing.SuspectAfter * 2 / 3; {
 	case silent < limit:
-		answer.Flags = FlagHeard
+		answer.Flags = FlagResponsive
 	case now.Sub(w.since) >= limit && now.Sub(w.heardAt) >= limit && now.Sub(m.receivedAt) <= m.cfg.Timing.IsolatedAfter:
-		answer.Flags = FlagSilent
+		answer.Flags = FlagUnresponsive
 	default:
 		return
 	}
@@ -253,13 +253,13 @@
 		return
 	}
 	w := &m.watches[i]
-	if msg.Flags&FlagHeard != 0 {
+	if msg.Flags&FlagResponsive != 0 {
 		w.heardAt = now
 		w.clear()
 		return
 	}
 	k := keyOf(from)
-	if msg.Flags&FlagSilent != 0 && w.agreed < len(w.agree) && !contains(w.agree[:w.agreed], k) {
+	if msg.Flags&FlagUnresponsive != 0 && w.agreed < len(w.agree) && !contains(w.agree[:w.agreed], k) {
 		w.agree[w.agreed] = k
 		w.agreed++
 	}
--- a/membership/zonefact.go
+++ b/membership/zonefact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ZoneFact says whether one availability zone can be reached from one region.
+// ZoneStatus says whether one availability zone can be reached from one region.
 // It stands in place of thousands of suspicions when a zone is lost, or when
 // regions lose each other. It is a fact about a viewer, since a zone that one
 // region can't reach may well be in contact with a third: balancers of other
@@ -14,15 +14,15 @@
 // comes straight from the zone raises the epoch to an even one, reachable.
 // If it came from an agent, the zone's balancers may still be gone; they are
 // then judged one by one, because a zone that works isn't lost.
-type ZoneFact struct {
+type ZoneStatus struct {
 	_ struct{} `cbor:",toarray"`
 
-	Viewer    string // region of the witnesses
-	Zone      string
-	Region    string
-	Epoch     uint32
-	Partial   bool     // agents of the zone were heard, but no balancer since
-	Witnesses []uint64 // packed addresses, at most maxWitnesses
+	ViewerRegion string // region of the witnesses
+	Zone         string
+	Region       string
+	Epoch        uint32
+	AgentsOnly   bool     // agents of the zone were heard, but no balancer since
+	Witnesses    []uint64 // packed addresses, at most maxWitnesses
 }
 
 const (
@@ -36,8 +36,8 @@
 	zoneSettle = 5 * time.Second
 )
 
-func (f *ZoneFact) check() error {
-	if f.Zone == "" || len(f.Zone) > MaxLabel || len(f.Region) > MaxLabel || len(f.Viewer) > MaxLabel {
+func (f *ZoneStatus) check() error {
+	if f.Zone == "" || len(f.Zone) > MaxLabel || len(f.Region) > MaxLabel || len(f.ViewerRegion) > MaxLabel {
 		return &MessageError{"zone fact with a label out of bounds", "count and drop the datagram"}
 	}
 	if len(f.Witnesses) > maxWitnesses {
@@ -112,9 +112,9 @@
 }
 
 // mergeFact takes in what another balancer of this region says.
-func (m *Machine) mergeFact(now time.Time, f *ZoneFact) {
+func (m *Machine) mergeFact(now time.Time, f *ZoneStatus) {
 	z, ok := m.roster.zoneOf[f.Region+"/"+f.Zone]
-	if !ok || f.Viewer != m.self.self.Region || z == m.zone {
+	if !ok || f.ViewerRegion != m.self.self.Region || z == m.zone {
 		return
 	}
 	v := m.view(z)
@@ -123,7 +123,7 @@
 	}
 	changed := f.Epoch > v.epoch
 	if changed {
-		v.epoch, v.partial = f.Epoch, f.Partial
+		v.epoch, v.partial = f.Epoch, f.AgentsOnly
 		v.witnesses = v.witnesses[:0]
 	}
 	for _, w := range f.Witnesses {
@@ -173,7 +173,7 @@
 			continue
 		}
 		info := &m.roster.zones[z]
-		f := ZoneFact{Viewer: m.self.self.Region, Zone: info.name, Region: info.region, Epoch: v.epoch, Partial: v.partial}
+		f := ZoneStatus{ViewerRegion: m.self.self.Region, Zone: info.name, Region: info.region, Epoch: v.epoch, AgentsOnly: v.partial}
 		for _, w := range v.witnesses {
 			f.Witnesses = append(f.Witnesses, uint64(w))
 		}
