--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -58,14 +58,14 @@
 // BenchmarkHomes measures the choice of five homes among 611 processes.
 func BenchmarkHomes(b *testing.B) {
 	e := NewElectorate(t0, Config{})
-	var r Roster
+	var r MemberList
 	for i := range 611 {
 		r.Live = append(r.Live, addrPort(i))
 	}
 	e.Update(t0, r)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		e.homes(benchKey(i))
+		e.voters(benchKey(i))
 	}
 }
 
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -11,7 +11,7 @@
 	DefaultRetention = 2 * time.Hour
 	DefaultResend    = 100 * time.Millisecond
 	DefaultDrift     = 0.01
-	DefaultHomes     = 5
+	DefaultVoters    = 5
 	DefaultMaxKeys   = 50_000
 )
 
@@ -25,12 +25,12 @@
 	Retention time.Duration // how long a process that vanished is still counted; default DefaultRetention
 	Resend    time.Duration // until a home that didn't answer is asked again; default DefaultResend
 	Drift     float64       // bound on how fast two clocks drift apart; default DefaultDrift
-	Homes     int           // homes of a key, at most maxHomes; default DefaultHomes
+	Voters    int           // homes of a key, at most maxHomes; default DefaultHomes
 	MaxKeys   int           // keys that a home remembers; default DefaultMaxKeys
 }
 
-// maxHomes bounds Config.Homes, so that an attempt has a fixed size.
-const maxHomes = 16
+// maxVoters bounds Config.Homes, so that an attempt has a fixed size.
+const maxVoters = 16
 
 // withDefaults returns c with its zero fields filled in.
 func (c Config) withDefaults() Config {
@@ -41,9 +41,9 @@
 	setDefault(&c.Retention, DefaultRetention)
 	setDefault(&c.Resend, DefaultResend)
 	setDefault(&c.Drift, DefaultDrift)
-	setDefault(&c.Homes, DefaultHomes)
+	setDefault(&c.Voters, DefaultVoters)
 	setDefault(&c.MaxKeys, DefaultMaxKeys)
-	c.Homes = min(c.Homes, maxHomes)
+	c.Voters = min(c.Voters, maxVoters)
 	return c
 }
 
@@ -54,9 +54,9 @@
 	}
 }
 
-// Keep is how long a home remembers a vote: the window, plus the time by which
+// VoteRetention is how long a home remembers a vote: the window, plus the time by which
 // the run may come after the vote, on clocks that drift apart.
-func (c Config) Keep() time.Duration {
+func (c Config) VoteRetention() time.Duration {
 	c = c.withDefaults()
 	return time.Duration(float64(c.Window+2*c.Expiry) * (1 + 2*c.Drift))
 }
@@ -64,5 +64,5 @@
 // Fence is how long a process that has come into the roster doesn't vote.
 func (c Config) Fence() time.Duration {
 	c = c.withDefaults()
-	return c.Keep() + time.Duration(float64(c.Skew+c.Freshness+c.Expiry)*(1+2*c.Drift))
+	return c.VoteRetention() + time.Duration(float64(c.Skew+c.Freshness+c.Expiry)*(1+2*c.Drift))
 }
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -6,9 +6,9 @@
 // Each key has a few homes: the first [Config.Homes] processes of the
 // electorate by rendezvous hash. Before the first byte of a request goes to
 // the backend server, a [Requester] asks all homes of its key for their vote,
-// and runs the request only with votes of more than half of them. A [Home]
+// and runs the request only with votes of more than half of them. A [Voter]
 // gives its vote on a key to one claim only, and remembers it for
-// [Config.Keep]. Two claims would need two majorities, which share a home.
+// [Config.VoteRetention]. Two claims would need two majorities, which share a home.
 //
 // What makes majorities of differing rosters share a home is one rule: a
 // process votes only while every requester counts it, from Keep before to Keep
--- a/idempotency/electorate.go
+++ b/idempotency/electorate.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Roster is what the membership layer knows of the processes that may be homes:
+// MemberList is what the membership layer knows of the processes that may be homes:
 // the agents of a service, and, if they are fewer than three, other processes
 // of the system beside them.
-type Roster struct {
-	Live []netip.AddrPort
-	Gone []Gone
+type MemberList struct {
+	Live     []netip.AddrPort
+	Departed []DepartedMember
 	// Complete tells that Gone names each process that vanished within the
 	// retention. Without it, a requester that has just started waits for the
 	// length of the fence.
 	Complete bool
 }
 
-// Gone is a process that isn't live any more.
-type Gone struct {
+// DepartedMember is a process that isn't live any more.
+type DepartedMember struct {
 	Addr netip.AddrPort
 	Age  time.Duration // how long ago it vanished or left
 	Left bool          // it left by a planned stop, and surely doesn't vote any more
@@ -58,7 +58,7 @@
 }
 
 // Update takes in the roster as known at now.
-func (e *Electorate) Update(now time.Time, r Roster) {
+func (e *Electorate) Update(now time.Time, r MemberList) {
 	for _, m := range e.list {
 		m.fresh = false
 	}
@@ -66,7 +66,7 @@
 		m := e.member(addr)
 		m.gone, m.left, m.fresh = time.Time{}, false, true
 	}
-	for _, g := range r.Gone {
+	for _, g := range r.Departed {
 		m := e.member(g.Addr)
 		if m.fresh {
 			continue
@@ -146,23 +146,23 @@
 	return max(0, e.readyAt.Sub(now))
 }
 
-// homes returns the homes of key, best first.
-func (e *Electorate) homes(key Key) []netip.AddrPort {
-	var score [maxHomes]uint64
-	var best [maxHomes]*member
+// voters returns the voters of key, best first.
+func (e *Electorate) voters(key Key) []netip.AddrPort {
+	var score [maxVoters]uint64
+	var best [maxVoters]*member
 	n := 0
 	k := binary.BigEndian.Uint64(key[:])
 	for _, m := range e.list {
 		s := mix(k ^ m.seed)
 		i := n
 		for ; i > 0 && score[i-1] < s; i-- {
-			if i < e.cfg.Homes {
+			if i < e.cfg.Voters {
 				score[i], best[i] = score[i-1], best[i-1]
 			}
 		}
-		if i < e.cfg.Homes {
+		if i < e.cfg.Voters {
 			score[i], best[i] = s, m
-			n = min(n+1, e.cfg.Homes)
+			n = min(n+1, e.cfg.Voters)
 		}
 	}
 	addrs := make([]netip.AddrPort, n)
--- a/idempotency/example_test.go
+++ b/idempotency/example_test.go
@@ -14,9 +14,9 @@
 	var cfg idempotency.Config
 	now := time.Unix(0, 0)
 	self := netip.MustParseAddrPort("127.0.0.1:7000")
-	roster := idempotency.Roster{Live: []netip.AddrPort{self}, Complete: true}
+	roster := idempotency.MemberList{Live: []netip.AddrPort{self}, Complete: true}
 
-	home := idempotency.NewHome(self, cfg)
+	home := idempotency.NewVoter(self, cfg)
 	elect := idempotency.NewElectorate(now, cfg)
 	req := idempotency.NewRequester(self, 1, elect, cfg, rand.New(rand.NewPCG(1, 2)))
 	home.Update(now, roster)
--- a/idempotency/handover.go
+++ b/idempotency/handover.go
@@ -33,11 +33,11 @@
 // maxTransferAge bounds the time between the stop of a home and the start of
 // its successor. Electorates count the stopped home for longer than that, so to
 // them it never was away. The other half of Keep is left for late datagrams.
-func (c Config) maxTransferAge() time.Duration { return c.Keep() / 2 }
+func (c Config) maxTransferAge() time.Duration { return c.VoteRetention() / 2 }
 
 // Handover returns all that the home remembers, for the next process at its
 // address. From then on the home gives no votes: they would be missing there.
-func (h *Home) Handover(now time.Time, incarnation uint64) []Transfer {
+func (h *Voter) Handover(now time.Time, incarnation uint64) []Transfer {
 	fence := h.fence(now)
 	if !h.listed {
 		fence = h.cfg.Fence()
@@ -66,7 +66,7 @@
 // Accept takes in a part of what the last home at this address remembered.
 // incarnation is that of this process. When all parts are there the home votes
 // as if it had never stopped, and Accept returns true.
-func (h *Home) Accept(now time.Time, incarnation uint64, t Transfer) bool {
+func (h *Voter) Accept(now time.Time, incarnation uint64, t Transfer) bool {
 	if t.From != h.self || t.To != incarnation || t.Age > h.cfg.maxTransferAge() {
 		return false
 	}
@@ -98,10 +98,10 @@
 	return true
 }
 
-// Depot keeps what stopping homes hand over until their successors ask. Each
+// TransferStore keeps what stopping homes hand over until their successors ask. Each
 // agent has one. What was taken by one process is never given to another: that
 // one would miss the votes which the first gave.
-type Depot struct {
+type TransferStore struct {
 	cfg     Config
 	entries map[deposit]*entry
 }
@@ -117,13 +117,13 @@
 	takenBy uint64    // incarnation of the successor; zero while not taken
 }
 
-// NewDepot returns an empty Depot.
-func NewDepot(cfg Config) *Depot {
-	return &Depot{cfg: cfg.withDefaults(), entries: make(map[deposit]*entry)}
+// NewTransferStore returns an empty Depot.
+func NewTransferStore(cfg Config) *TransferStore {
+	return &TransferStore{cfg: cfg.withDefaults(), entries: make(map[deposit]*entry)}
 }
 
 // Put keeps a part.
-func (d *Depot) Put(now time.Time, t Transfer) {
+func (d *TransferStore) Put(now time.Time, t Transfer) {
 	id := deposit{t.From, t.Incarnation}
 	e := d.entries[id]
 	if e == nil {
@@ -135,7 +135,7 @@
 
 // Take returns what was handed over for the process incarnation at addr. It may
 // be asked again by the same process, if the answer was lost.
-func (d *Depot) Take(now time.Time, addr netip.AddrPort, incarnation uint64) []Transfer {
+func (d *TransferStore) Take(now time.Time, addr netip.AddrPort, incarnation uint64) []Transfer {
 	var parts []Transfer
 	for id, e := range d.entries {
 		if id.from != addr || e.takenBy != 0 && e.takenBy != incarnation {
@@ -152,9 +152,9 @@
 
 // Tick forgets what is too old to be used. An entry is remembered for longer
 // than it may be used, so that a late copy of a part doesn't revive it.
-func (d *Depot) Tick(now time.Time) {
+func (d *TransferStore) Tick(now time.Time) {
 	for id, e := range d.entries {
-		if now.Sub(e.at) > 2*d.cfg.Keep() {
+		if now.Sub(e.at) > 2*d.cfg.VoteRetention() {
 			delete(d.entries, id)
 		}
 	}
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -18,9 +18,9 @@
 }
 
 // successor returns a home that has just started at the same address.
-func successor(now time.Time, cfg Config) *Home {
-	h := NewHome(addr(1), cfg)
-	h.Update(now, Roster{Live: addrs(1, 1)})
+func successor(now time.Time, cfg Config) *Voter {
+	h := NewVoter(addr(1), cfg)
+	h.Update(now, MemberList{Live: addrs(1, 1)})
 	h.Confirm(now)
 	return h
 }
@@ -28,7 +28,7 @@
 func TestHandoverEndsFenceAndKeepsVotes(t *testing.T) {
 	cfg := testConfig()
 	parts, now := stopped(t, cfg)
-	d := NewDepot(cfg)
+	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
 	now = now.Add(time.Second)
 	h := successor(now, cfg)
@@ -46,7 +46,7 @@
 func TestHandoverGoesToOneProcess(t *testing.T) {
 	cfg := testConfig()
 	parts, now := stopped(t, cfg)
-	d := NewDepot(cfg)
+	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
 	first := d.Take(now, addr(1), 2)
 	if again := d.Take(now, addr(1), 2); len(first) != 1 || len(again) != 1 {
@@ -69,14 +69,14 @@
 func TestOldHandoverIsRefused(t *testing.T) {
 	cfg := testConfig()
 	parts, now := stopped(t, cfg)
-	d := NewDepot(cfg)
+	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
-	now = now.Add(cfg.Keep())
+	now = now.Add(cfg.VoteRetention())
 	h := successor(now, cfg)
 	if h.Accept(now, 2, d.Take(now, addr(1), 2)[0]) {
 		t.Fatal("an old handover was taken over")
 	}
-	now = now.Add(2 * cfg.Keep())
+	now = now.Add(2 * cfg.VoteRetention())
 	d.Tick(now)
 	if len(d.Take(now, addr(1), 2)) != 0 {
 		t.Fatal("remembered for good")
@@ -90,7 +90,7 @@
 	cfg := testConfig()
 	before := successor(t0, cfg)
 	parts := before.Handover(t0, 1)
-	d := NewDepot(cfg)
+	d := NewTransferStore(cfg)
 	d.Put(t0, parts[0])
 	h := successor(t0, cfg)
 	h.Accept(t0, 2, d.Take(t0, addr(1), 2)[0])
@@ -143,15 +143,15 @@
 // Cause: the first roster begins a fence anew; or it never does.
 func TestHandoverBeforeFirstRoster(t *testing.T) {
 	cfg := testConfig()
-	for pause, want := range map[time.Duration]VoteKind{time.Second: Granted, cfg.Keep(): Fenced} {
+	for pause, want := range map[time.Duration]VoteKind{time.Second: Granted, cfg.VoteRetention(): Fenced} {
 		parts, now := stopped(t, cfg)
 		parts[0].To = 2
-		h := NewHome(addr(1), cfg)
+		h := NewVoter(addr(1), cfg)
 		if !h.Accept(now, 2, parts[0]) {
 			t.Fatal("not taken over")
 		}
 		now = now.Add(pause)
-		h.Update(now, Roster{Live: addrs(1, 1)})
+		h.Update(now, MemberList{Live: addrs(1, 1)})
 		h.Confirm(now)
 		wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), want)
 	}
--- a/idempotency/home.go
+++ b/idempotency/home.go
@@ -10,8 +10,8 @@
 // queue included.
 const RecordBytes = 400
 
-// Home votes on claims. Every agent has one.
-type Home struct {
+// Voter votes on claims. Every agent has one.
+type Voter struct {
 	cfg     Config
 	self    netip.AddrPort
 	records map[Key]record
@@ -42,11 +42,11 @@
 	at  time.Time
 }
 
-// NewHome returns a home that remembers nothing. It gives no vote before its
+// NewVoter returns a home that remembers nothing. It gives no vote before its
 // start fence has passed, because a process at its address may have voted
 // before it.
-func NewHome(self netip.AddrPort, cfg Config) *Home {
-	return &Home{
+func NewVoter(self netip.AddrPort, cfg Config) *Voter {
+	return &Voter{
 		cfg:     cfg.withDefaults(),
 		self:    self,
 		records: make(map[Key]record),
@@ -56,7 +56,7 @@
 // Update takes in the roster as known at now. A home that the roster doesn't
 // name doesn't vote: requesters may not count it any more. When it is named
 // again, its fence begins anew.
-func (h *Home) Update(now time.Time, r Roster) {
+func (h *Voter) Update(now time.Time, r MemberList) {
 	listed := slices.Contains(r.Live, h.self)
 	if listed && !h.listed && !now.Before(h.inheritBy) {
 		h.fencedTo = now.Add(h.cfg.Fence())
@@ -65,14 +65,14 @@
 }
 
 // Confirm is as Electorate.Confirm.
-func (h *Home) Confirm(at time.Time) {
+func (h *Voter) Confirm(at time.Time) {
 	if at.After(h.confirmed) {
 		h.confirmed = at
 	}
 }
 
 // fence is how long the home gives no votes: zero if it does.
-func (h *Home) fence(now time.Time) time.Duration {
+func (h *Voter) fence(now time.Time) time.Duration {
 	// A home that was frozen believes in the roster of before. Its clock
 	// shows the pause, so it waits for a roster that is current.
 	if h.closed || !h.listed || now.Sub(h.confirmed) > h.cfg.Freshness {
@@ -82,7 +82,7 @@
 }
 
 // Claim answers a claim.
-func (h *Home) Claim(now time.Time, c Claim) Vote {
+func (h *Voter) Claim(now time.Time, c Claim) Vote {
 	v := Vote{Key: c.Key, ID: c.ID}
 	r, known := h.records[c.Key]
 	known = known && now.Before(r.expires)
@@ -118,7 +118,7 @@
 // doesn't have this home's vote, unless the home knows nothing of the key: then
 // it remembers the report, which is how a home that was fenced learns of the
 // claims that others voted for.
-func (h *Home) Report(now time.Time, r Report) {
+func (h *Voter) Report(now time.Time, r Report) {
 	old, known := h.records[r.Key]
 	known = known && now.Before(old.expires)
 	if !known && h.full(now) {
@@ -142,9 +142,9 @@
 
 // put remembers r for the time that a vote must be remembered. A later report
 // begins that time anew, so that the window counts from the end of the run.
-func (h *Home) put(now time.Time, key Key, r record) {
+func (h *Voter) put(now time.Time, key Key, r record) {
 	_, queued := h.records[key]
-	r.expires = now.Add(h.cfg.Keep())
+	r.expires = now.Add(h.cfg.VoteRetention())
 	h.records[key] = r
 	if !queued {
 		h.expiry = append(h.expiry, expiring{key, r.expires})
@@ -152,7 +152,7 @@
 }
 
 // Tick forgets the keys whose time has passed. Call it every second.
-func (h *Home) Tick(now time.Time) {
+func (h *Voter) Tick(now time.Time) {
 	for h.next < len(h.expiry) && !now.Before(h.expiry[h.next].at) {
 		key := h.expiry[h.next].key
 		h.next++
@@ -170,7 +170,7 @@
 
 // full reports whether there is no room for another key. A home never forgets
 // a key early: the key could run twice, and no one would notice.
-func (h *Home) full(now time.Time) bool {
+func (h *Voter) full(now time.Time) bool {
 	if len(h.records) < h.cfg.MaxKeys {
 		return false
 	}
@@ -179,9 +179,9 @@
 }
 
 // roomIn is the time until the oldest key is due to be forgotten.
-func (h *Home) roomIn(now time.Time) time.Duration {
+func (h *Voter) roomIn(now time.Time) time.Duration {
 	return max(time.Second, h.expiry[h.next].at.Sub(now))
 }
 
 // Len returns the number of keys that the home remembers.
-func (h *Home) Len() int { return len(h.records) }
+func (h *Voter) Len() int { return len(h.records) }
--- a/idempotency/home_test.go
+++ b/idempotency/home_test.go
@@ -22,9 +22,9 @@
 }
 
 // votingHome returns a home whose fence has just passed at the returned time.
-func votingHome(cfg Config) (*Home, time.Time) {
-	h := NewHome(addr(1), cfg)
-	h.Update(t0, Roster{Live: addrs(1, 1)})
+func votingHome(cfg Config) (*Voter, time.Time) {
+	h := NewVoter(addr(1), cfg)
+	h.Update(t0, MemberList{Live: addrs(1, 1)})
 	now := t0.Add(cfg.Fence())
 	h.Confirm(now)
 	return h, now
@@ -53,7 +53,7 @@
 	h.Confirm(now)
 	h.Tick(now)
 	wantVote(t, h.Claim(now, claim(2)), Held)
-	now = t0.Add(cfg.Fence() + cfg.Keep())
+	now = t0.Add(cfg.Fence() + cfg.VoteRetention())
 	h.Confirm(now)
 	h.Tick(now)
 	wantVote(t, h.Claim(now, claim(2)), Granted)
@@ -70,9 +70,9 @@
 	wantVote(t, h.Claim(now, claim(1)), Fenced)
 	h.Confirm(now)
 	wantVote(t, h.Claim(now, claim(1)), Granted)
-	h.Update(now, Roster{Live: addrs(2, 3)})
+	h.Update(now, MemberList{Live: addrs(2, 3)})
 	wantVote(t, h.Claim(now, claim(1)), Fenced)
-	h.Update(now, Roster{Live: addrs(1, 3)})
+	h.Update(now, MemberList{Live: addrs(1, 3)})
 	wantVote(t, h.Claim(now, claim(1)), Fenced)
 	now = now.Add(cfg.Fence())
 	h.Confirm(now)
@@ -122,11 +122,11 @@
 	}
 	v := h.Claim(now, Claim{Key: key(2), ID: claim(2).ID})
 	wantVote(t, v, Full)
-	if v.RetryAfter <= 0 || v.RetryAfter > cfg.Keep() {
+	if v.RetryAfter <= 0 || v.RetryAfter > cfg.VoteRetention() {
 		t.Fatalf("come back after %v", v.RetryAfter)
 	}
 	wantVote(t, h.Claim(now, Claim{Key: key(0), ID: claim(7).ID}), Held)
-	now = now.Add(cfg.Keep())
+	now = now.Add(cfg.VoteRetention())
 	h.Confirm(now)
 	wantVote(t, h.Claim(now, Claim{Key: key(2), ID: claim(2).ID}), Granted)
 }
@@ -134,7 +134,7 @@
 // asker returns a requester among n live homes, and the time.
 func asker(cfg Config, n int) (*Requester, *Electorate, time.Time) {
 	e := NewElectorate(t0, cfg)
-	e.Update(t0, Roster{Live: addrs(1, n), Complete: true})
+	e.Update(t0, MemberList{Live: addrs(1, n), Complete: true})
 	e.Confirm(t0)
 	return NewRequester(addr(1), 1, e, cfg, rand.New(rand.NewPCG(1, 2))), e, t0
 }
@@ -165,8 +165,8 @@
 func TestFrozenAgentDoesNotStart(t *testing.T) {
 	cfg := testConfig()
 	for pause, answer := range map[time.Duration]EffectKind{
-		cfg.Expiry:              NotRun,
-		cfg.Keep() + cfg.Expiry: Unknown,
+		cfg.Expiry:                       NotRun,
+		cfg.VoteRetention() + cfg.Expiry: Unknown,
 	} {
 		q, _, now := asker(cfg, 3)
 		q.Begin(now, 1, key(0))
@@ -205,7 +205,7 @@
 	wantEffect(t, q.Effects(nil), SendClaim)
 
 	e = NewElectorate(t0, cfg)
-	e.Update(t0, Roster{Live: addrs(1, 3)})
+	e.Update(t0, MemberList{Live: addrs(1, 3)})
 	e.Confirm(t0)
 	q = NewRequester(addr(1), 1, e, cfg, rand.New(rand.NewPCG(1, 2)))
 	q.Begin(t0, 1, key(0))
@@ -219,8 +219,8 @@
 	cfg := testConfig()
 	for live, want := range map[int]int{2: 5, 3: 3} {
 		_, e, now := asker(cfg, 5)
-		e.Update(now, Roster{Live: addrs(1, live)})
-		e.Update(now.Add(cfg.Retention+1), Roster{Live: addrs(1, live)})
+		e.Update(now, MemberList{Live: addrs(1, live)})
+		e.Update(now.Add(cfg.Retention+1), MemberList{Live: addrs(1, live)})
 		if got := len(e.list); got != want {
 			t.Errorf("%d of 5 live: %d counted, want %d", live, got, want)
 		}
@@ -232,8 +232,8 @@
 	_, e, _ := asker(cfg, 20)
 	count := map[netip.AddrPort]int{}
 	for i := range 10_000 {
-		homes := e.homes(KeyOf(uint32(i), "", ""))
-		if len(homes) != cfg.Homes {
+		homes := e.voters(KeyOf(uint32(i), "", ""))
+		if len(homes) != cfg.Voters {
 			t.Fatalf("%d homes", len(homes))
 		}
 		for _, h := range homes {
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -17,7 +17,7 @@
 		Retention: time.Hour,
 		Resend:    50 * time.Millisecond,
 		Drift:     0.02,
-		Homes:     5,
+		Voters:    5,
 		MaxKeys:   1000,
 	}
 }
@@ -72,7 +72,7 @@
 func TestNoKeyRunsTwiceWithinItsWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
-		cfg.Homes = rapid.SampledFrom([]int{1, 3, 5, 9}).Draw(t, "homes")
+		cfg.Voters = rapid.SampledFrom([]int{1, 3, 5, 9}).Draw(t, "homes")
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, cfg, drawFaults(t))
 		w.check = w.honest(t)
--- a/idempotency/requester.go
+++ b/idempotency/requester.go
@@ -19,10 +19,10 @@
 // Requester asks for votes before a request with a key is started. Every agent
 // has one.
 type Requester struct {
-	cfg   Config
-	id    ClaimID // of the claim made last
-	elect *Electorate
-	rng   *rand.Rand
+	cfg        Config
+	id         ClaimID // of the claim made last
+	electorate *Electorate
+	rng        *rand.Rand
 
 	byID    map[uint64]*attempt
 	byKey   map[Key]*attempt
@@ -51,9 +51,9 @@
 	expires time.Time // no first byte at or after it
 	nextAt  time.Time // of the next copy of a claim or report
 
-	homes  []netip.AddrPort
-	kinds  [maxHomes]VoteKind // by home, zero while it hasn't answered
-	retry  time.Duration      // longest wait that a home named
+	voters []netip.AddrPort
+	kinds  [maxVoters]VoteKind // by home, zero while it hasn't answered
+	retry  time.Duration       // longest wait that a home named
 	end    Report
 	copies int
 }
@@ -63,12 +63,12 @@
 // elect. rng spreads come-back times.
 func NewRequester(self netip.AddrPort, incarnation uint64, elect *Electorate, cfg Config, rng *rand.Rand) *Requester {
 	return &Requester{
-		cfg:   cfg.withDefaults(),
-		id:    ClaimID{Agent: self, Incarnation: incarnation},
-		elect: elect,
-		rng:   rng,
-		byID:  make(map[uint64]*attempt),
-		byKey: make(map[Key]*attempt),
+		cfg:        cfg.withDefaults(),
+		id:         ClaimID{Agent: self, Incarnation: incarnation},
+		electorate: elect,
+		rng:        rng,
+		byID:       make(map[uint64]*attempt),
+		byKey:      make(map[Key]*attempt),
 	}
 }
 
@@ -79,7 +79,7 @@
 		q.emit(Effect{Kind: Duplicate, ID: id, Holder: a.claim, State: Claimed})
 		return
 	}
-	if wait := q.elect.wait(now); wait > 0 {
+	if wait := q.electorate.wait(now); wait > 0 {
 		q.emit(Effect{Kind: Unknown, ID: id, RetryAfter: q.spread(wait)})
 		return
 	}
@@ -89,7 +89,7 @@
 		key:     key,
 		claim:   q.id,
 		expires: now.Add(q.cfg.Expiry),
-		homes:   q.elect.homes(key),
+		voters:  q.electorate.voters(key),
 	}
 	q.byID[id] = a
 	q.byKey[key] = a
@@ -100,7 +100,7 @@
 // ask sends the claim to the homes that haven't answered.
 func (q *Requester) ask(now time.Time, a *attempt) {
 	a.nextAt = now.Add(q.cfg.Resend)
-	for i, to := range a.homes {
+	for i, to := range a.voters {
 		if a.kinds[i] == 0 {
 			q.emit(Effect{Kind: SendClaim, To: to, Claim: Claim{Key: a.key, ID: a.claim}})
 		}
@@ -113,7 +113,7 @@
 	if a == nil || a.claim != v.ID || a.phase != asking {
 		return
 	}
-	for i, home := range a.homes {
+	for i, home := range a.voters {
 		if home == from && a.kinds[i] == 0 {
 			a.kinds[i] = v.Kind
 			a.retry = max(a.retry, v.RetryAfter)
@@ -136,7 +136,7 @@
 		q.finish(now, a, Released, 0)
 		return
 	}
-	need := quorum(len(a.homes))
+	need := quorum(len(a.voters))
 	if a.count(Granted) >= need {
 		a.phase = granted
 		q.emit(Effect{Kind: Run, ID: a.id})
@@ -149,7 +149,7 @@
 
 func (a *attempt) count(kind VoteKind) int {
 	n := 0
-	for i := range a.homes {
+	for i := range a.voters {
 		if a.kinds[i] == kind {
 			n++
 		}
@@ -161,7 +161,7 @@
 // gave it their vote that the rest is no majority, no other claim had one.
 func (q *Requester) fail(now time.Time, a *attempt) {
 	kind := Unknown
-	n := len(a.homes)
+	n := len(a.voters)
 	if n-a.count(Granted) < quorum(n) {
 		kind = NotRun
 	}
@@ -245,7 +245,7 @@
 }
 
 func (q *Requester) sendReport(a *attempt, r Report) {
-	for _, to := range a.homes {
+	for _, to := range a.voters {
 		q.emit(Effect{Kind: SendReport, To: to, Report: r})
 	}
 }
--- a/idempotency/world_test.go
+++ b/idempotency/world_test.go
@@ -36,8 +36,8 @@
 type process struct {
 	addr     netip.AddrPort
 	rate     float64 // of its clock against true time
-	home     *Home
-	depot    *Depot
+	home     *Voter
+	depot    *TransferStore
 	inc      uint64
 	elect    *Electorate
 	req      *Requester
@@ -108,8 +108,8 @@
 	w.inc++
 	p.up = true
 	p.inc = w.inc
-	p.depot = NewDepot(w.cfg)
-	p.home = NewHome(p.addr, w.cfg)
+	p.depot = NewTransferStore(w.cfg)
+	p.home = NewVoter(p.addr, w.cfg)
 	p.elect = NewElectorate(w.clock(p), w.cfg)
 	p.req = NewRequester(p.addr, w.inc, p.elect, w.cfg, rand.New(rand.NewPCG(w.inc, 2)))
 	p.pending = map[uint64]time.Time{}
@@ -156,19 +156,19 @@
 		at = p.viewAt
 	}
 	p.viewAt = at
-	r := Roster{Complete: complete}
+	r := MemberList{Complete: complete}
 	for _, o := range w.ps {
 		if o != p && o.joinedAt.After(at) {
 			continue
 		}
 		if !o.goneAt.IsZero() && o.goneAt.Before(at) && o != p {
-			r.Gone = append(r.Gone, Gone{Addr: o.addr, Age: w.now.Sub(o.goneAt), Left: o.left})
+			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr, Age: w.now.Sub(o.goneAt), Left: o.left})
 		} else if w.now.After(p.suspects[o.addr]) {
 			r.Live = append(r.Live, o.addr)
 		} else if p.elect.members[o.addr] == nil {
 			// A roster may drop a process that it named before, but one that
 			// never names an arrival breaks the assumption on Skew.
-			r.Gone = append(r.Gone, Gone{Addr: o.addr})
+			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr})
 		}
 	}
 	now := w.clock(p)
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -34,7 +34,7 @@
 	freshness time.Duration
 	elect     *idempotency.Electorate
 	req       *idempotency.Requester
-	home      *idempotency.Home // nil once the agent leaves: it votes no more
+	home      *idempotency.Voter // nil once the agent leaves: it votes no more
 	nextID    uint64
 	waiting   map[uint64]chan idempotency.Effect
 	effects   []idempotency.Effect
@@ -62,7 +62,7 @@
 		freshness: freshness,
 		elect:     elect,
 		req:       idempotency.NewRequester(self, uint64(now.UnixNano()), elect, cfg, newRand()),
-		home:      idempotency.NewHome(self, cfg),
+		home:      idempotency.NewVoter(self, cfg),
 		waiting:   make(map[uint64]chan idempotency.Effect),
 	}
 }
@@ -196,9 +196,9 @@
 	if m.Seq != c.rosterSeq {
 		return
 	}
-	r := idempotency.Roster{Live: m.Live, Complete: m.Complete}
+	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
 	for _, g := range m.Gone {
-		r.Gone = append(r.Gone, idempotency.Gone{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
+		r.Departed = append(r.Departed, idempotency.DepartedMember{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
 	}
 	c.noteService(now, m)
 	c.elect.Update(now, r)
