--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -340,7 +340,7 @@
 func (b *Balancer) storeRestored(version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.plan.NoteRevision(node.Now(), version)
+	b.plan.ObserveRevision(node.Now(), version)
 }
 
 func (b *Balancer) addIntroducer(g *run.Group) {
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -22,7 +22,7 @@
 func (b *Balancer) propagate(out *node.Output) {
 	now := node.Now()
 	b.mu.Lock()
-	b.plan.NoteRevision(now, b.director.NewestOrders())
+	b.plan.ObserveRevision(now, b.director.NewestOrders())
 	b.director.StoreRead(b.plan.ReadAt())
 	digest, send := b.plan.NextDigest(now)
 	var to []netip.AddrPort
@@ -30,7 +30,7 @@
 		to = b.director.SampleBalancers(now, propagation.Fanout)
 	}
 	due := b.plan.Due(now)
-	watches := b.plan.Watches()
+	watches := b.plan.IsWatcher()
 	b.mu.Unlock()
 	if b.watches.Swap(watches) != watches {
 		b.log.Info("watch of the store", zap.Bool("for_all", watches), zap.Uint64("read", digest.Read.Number))
@@ -87,7 +87,7 @@
 	now := node.Now()
 	c := p.b.plan.StoreCall(now)
 	if c != propagation.None {
-		p.b.plan.Called(now, c)
+		p.b.plan.CallStarted(now, c)
 	}
 	return c
 }
@@ -115,7 +115,7 @@
 	if len(to) == 0 {
 		return nil, false // nobody is known yet
 	}
-	p.b.plan.Fetching(now)
+	p.b.plan.FetchStarted(now)
 	return to, true
 }
 
@@ -123,14 +123,14 @@
 func (p plan) Receiving() {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	p.b.plan.Receiving()
+	p.b.plan.FetchReceiving()
 }
 
 // Fetched implements node.Plan.
 func (p plan) Fetched() {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	p.b.plan.Fetched()
+	p.b.plan.FetchDone()
 }
 
 // newFollower returns what follows the operator's orders.
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -205,14 +205,14 @@
 }
 
 // awaitPeerValue waits until a value has been received from another process, for at most
-// propagation.AskFirst. The store has been restored from an older copy, so its value may be
+// propagation.PeerQueryTimeout. The store has been restored from an older copy, so its value may be
 // older than that of the other processes, and a process that starts must not revert to it.
 func (f *Follower) awaitPeerValue(ctx context.Context, found store.Value) {
 	begun := Now()
 	select {
 	case <-ctx.Done():
 	case <-f.hasValue():
-	case <-time.After(propagation.AskFirst):
+	case <-time.After(propagation.PeerQueryTimeout):
 	}
 	f.Log.Info("waited for other processes' value before using the restored store's value", zap.String("key", f.Source.Name()), VersionField("version", found.Version),
 		zap.Bool("received", f.known().Version != 0), zap.Duration("took", Now().Sub(begun)))
--- a/propagation/content_test.go
+++ b/propagation/content_test.go
@@ -27,9 +27,9 @@
 		if from, ok := started.Fetch(now); !ok || from != address(1) {
 			t.Fatalf("revision %d: asks %v, %v, want the process with the newer content", revision, from, ok)
 		}
-		started.Fetching(now)
+		started.FetchStarted(now)
 		started.ContentApplied(now, 3)
-		started.Fetched()
+		started.FetchDone()
 		if from, ok := started.Fetch(now); ok && from.IsValid() {
 			t.Errorf("revision %d: asks %v for content that it has", revision, from)
 		}
@@ -47,8 +47,8 @@
 	if _, ok := n.Fetch(now); !ok {
 		t.Fatal("the sender is not asked")
 	}
-	n.Fetching(now)
-	n.Fetched()
+	n.FetchStarted(now)
+	n.FetchDone()
 	if from, ok := n.Fetch(now.Add(askEvery)); ok {
 		t.Errorf("asks %v again", from)
 	}
--- a/propagation/example_test.go
+++ b/propagation/example_test.go
@@ -17,7 +17,7 @@
 	second := propagation.New(rand.New(rand.NewPCG(1, 2)))
 
 	call := first.StoreCall(now)
-	first.Called(now, call)
+	first.CallStarted(now, call)
 	first.Applied(now, 7) // what the store answered
 	first.CallDone(now, call, now, propagation.Answered)
 
--- a/propagation/node.go
+++ b/propagation/node.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// Wait is how long a watch waits for a change. One that ends without any shows as
-	// much as a read, so that it is one call of the store a Wait for the whole fleet.
-	Wait = 1200 * time.Millisecond
-	// MinAge is the least age of the latest read at which another process reads: above
+	// WatchTimeout is how long a watch waits for a change. One that ends without any shows as
+	// much as a read, so that it is one call of the store a WatchTimeout for the whole fleet.
+	WatchTimeout = 1200 * time.Millisecond
+	// MinReadAge is the least age of the latest read at which another process reads: above
 	// Wait, with time for the digest of the answer to spread.
-	MinAge = 1500 * time.Millisecond
-	// MaxAge is the greatest such age. With the time that a value takes to all
+	MinReadAge = 1500 * time.Millisecond
+	// MaxReadAge is the greatest such age. With the time that a value takes to all
 	// processes it stays below 3 s, in which a change has to be in force.
-	MaxAge = 2400 * time.Millisecond
+	MaxReadAge = 2400 * time.Millisecond
 	// checkEvery is the time after which a watcher reads the key beside its watches:
 	// a store that drops its history may have watches miss a change, without an error.
-	checkEvery = 2 * Wait
+	checkEvery = 2 * WatchTimeout
 	// startMinAge and startMaxAge are the same while no process is known to have watched:
 	// after a start of the whole fleet nobody does, and what happens to the store shows
 	// nowhere until somebody reads it.
@@ -66,10 +66,10 @@
 	maxSources = 3
 )
 
-// AskFirst is how long a process that starts asks others before it puts in force what a
+// PeerQueryTimeout is how long a process that starts asks others before it puts in force what a
 // store has that came back from an older copy. Others may have something newer; above two
 // exchanges with the farthest process and one with the store.
-const AskFirst = 250 * time.Millisecond
+const PeerQueryTimeout = 250 * time.Millisecond
 
 // Call is a call of the store.
 type Call uint8
@@ -164,8 +164,8 @@
 // is in force.
 func (n *Node) Behind() bool { return n.revision == 0 || n.newestKnown > n.revision }
 
-// Watches reports whether this process watches the store for all.
-func (n *Node) Watches() bool { return n.watcher }
+// IsWatcher reports whether this process watches the store for all.
+func (n *Node) IsWatcher() bool { return n.watcher }
 
 // ReadAt returns when the store was last read by any process, as far as known.
 func (n *Node) ReadAt() time.Time { return n.read.At }
@@ -197,7 +197,7 @@
 // Receive takes the digest of another process. answer is to be sent back if ok is true: the
 // other process knows less than this one.
 func (n *Node) Receive(now time.Time, from netip.AddrPort, d Digest) (answer Digest, ok bool) {
-	n.NoteRevision(now, d.Revision)
+	n.ObserveRevision(now, d.Revision)
 	missed := d.Revision == n.newestKnown && d.Revision > n.revision || d.Content > n.content
 	if missed && len(n.sources) < maxSources {
 		n.sources = append(n.sources, from)
@@ -206,8 +206,8 @@
 	return n.digest(), n.read.Number > d.Read.Number || n.revision > d.Revision || n.content > d.Content
 }
 
-// NoteRevision notes that a revision exists. Whoever named it need not have the value.
-func (n *Node) NoteRevision(now time.Time, revision uint64) {
+// ObserveRevision notes that a revision exists. Whoever named it need not have the value.
+func (n *Node) ObserveRevision(now time.Time, revision uint64) {
 	if revision <= n.newestKnown || revision <= n.rejected && now.Sub(n.rejectedAt) < rejectedFor {
 		return
 	}
@@ -253,7 +253,7 @@
 	if !n.watched {
 		return startMinAge + below(n.rng, startMaxAge-startMinAge)
 	}
-	return MinAge + below(n.rng, MaxAge-MinAge)
+	return MinReadAge + below(n.rng, MaxReadAge-MinReadAge)
 }
 
 // leastAge returns the least such age.
@@ -261,7 +261,7 @@
 	if !n.watched {
 		return startMinAge
 	}
-	return MinAge
+	return MinReadAge
 }
 
 // StoreCall returns the call of the store that is due.
@@ -300,8 +300,8 @@
 	return now.Sub(n.read.At) >= n.maxReadAge && now.Sub(n.ownAt) >= n.leastAge()
 }
 
-// Called notes that a call of the store begins.
-func (n *Node) Called(now time.Time, c Call) {
+// CallStarted notes that a call of the store begins.
+func (n *Node) CallStarted(now time.Time, c Call) {
 	n.calling = true
 	n.number = n.read.Number + 1
 	n.watcher = n.watcher || c == Read && n.revision != 0 && (n.lost() || n.overdue(now))
@@ -330,7 +330,7 @@
 // watch would be called without a pause.
 func (n *Node) watchRefused(begun time.Time) {
 	if n.refused {
-		n.watchAt = begun.Add(Wait)
+		n.watchAt = begun.Add(WatchTimeout)
 	}
 	n.refused = true
 }
@@ -339,7 +339,7 @@
 	n.failures = 0
 	n.refused = n.refused && c != Watch
 	at := begun
-	if took := now.Sub(begun); took <= Wait+answerTime {
+	if took := now.Sub(begun); took <= WatchTimeout+answerTime {
 		at = maxTime(begun, now.Add(-answerTime))
 	}
 	if c == Read {
@@ -404,8 +404,8 @@
 	return netip.AddrPort{}, waited && !now.Before(n.askAt)
 }
 
-// Fetching notes that the value is being taken from others.
-func (n *Node) Fetching(now time.Time) {
+// FetchStarted notes that the value is being taken from others.
+func (n *Node) FetchStarted(now time.Time) {
 	n.fetching = true
 	n.asked = netip.AddrPort{}
 	if len(n.sources) == 0 {
@@ -415,12 +415,12 @@
 	n.asked = n.sources[0]
 }
 
-// Receiving notes that a process has begun to send the value. The store is not read
+// FetchReceiving notes that a process has begun to send the value. The store is not read
 // meanwhile for want of it: both answers would share the link, and arrive later.
-func (n *Node) Receiving() { n.receiving = true }
+func (n *Node) FetchReceiving() { n.receiving = true }
 
-// Fetched takes the end of it. What it brought was handed to Applied before.
-func (n *Node) Fetched() {
+// FetchDone takes the end of it. What it brought was handed to Applied before.
+func (n *Node) FetchDone() {
 	n.fetching, n.receiving = false, false
 	if len(n.sources) > 0 && n.sources[0] == n.asked {
 		n.sources = n.sources[1:]
--- a/propagation/node_test.go
+++ b/propagation/node_test.go
@@ -90,18 +90,18 @@
 func (f *fleet) gossip() {
 	a, b := f.processes[f.rng.IntN(len(f.processes))], f.processes[f.rng.IntN(len(f.processes))]
 	if !a.dead {
-		b.n.NoteRevision(f.now, a.n.newestKnown)
+		b.n.ObserveRevision(f.now, a.n.newestKnown)
 	}
 }
 
 // act does what a process decides.
 func (f *fleet) act(p *process) {
-	if p.call == Watch && (f.forgets || f.revision > p.watched && !f.deaf || f.now.Sub(p.begun) >= Wait) {
+	if p.call == Watch && (f.forgets || f.revision > p.watched && !f.deaf || f.now.Sub(p.begun) >= WatchTimeout) {
 		f.answer(p)
 	}
 	if c := p.n.StoreCall(f.now); c != None {
 		f.calls++
-		p.n.Called(f.now, c)
+		p.n.CallStarted(f.now, c)
 		p.call, p.begun, p.watched = c, f.now, p.n.revision
 		p.refused = f.refuses(p.i)
 		if c == Read || p.refused {
@@ -112,7 +112,7 @@
 		if !from.IsValid() {
 			from = address(f.rng.IntN(len(f.processes)))
 		}
-		p.n.Fetching(f.now)
+		p.n.FetchStarted(f.now)
 		f.after(2*f.hop, func() { f.fetch(p, from) })
 	}
 	if w, ok := p.n.NextDigest(f.now); ok {
@@ -173,7 +173,7 @@
 	if !other.dead {
 		f.take(p, other.n.revision)
 	}
-	p.n.Fetched()
+	p.n.FetchDone()
 }
 
 func (f *fleet) take(p *process, revision uint64) {
@@ -222,7 +222,7 @@
 			f.pass(max(0, span/changes-d))
 		}
 		t.Logf("%d processes: %d calls, in force everywhere after %v, slowest %v", processes, f.calls, sum/changes, slowest)
-		if limit := int(3*span/(2*Wait)) + 2*changes; f.calls > limit {
+		if limit := int(3*span/(2*WatchTimeout)) + 2*changes; f.calls > limit {
 			t.Errorf("%d processes: %d calls in %v with %d changes, want %d at most", processes, f.calls, span, changes, limit)
 		}
 		if slowest >= bound {
@@ -294,7 +294,7 @@
 		f.calls = 0
 		f.pass(span)
 		// A read and a watch a Wait, and as much again for other processes that try.
-		if limit := 4 * int(span/Wait); f.calls > limit {
+		if limit := 4 * int(span/WatchTimeout); f.calls > limit {
 			t.Errorf("%d processes: %d calls in %v, want %d at most", processes, f.calls, span, limit)
 		}
 		if d := f.change(bound); d >= bound {
@@ -361,11 +361,11 @@
 	const span = 10 * time.Second
 	for end := f.now.Add(span); f.now.Before(end); {
 		for _, p := range f.processes {
-			p.n.NoteRevision(f.now, 1<<40)
+			p.n.ObserveRevision(f.now, 1<<40)
 		}
 		f.pass(100 * time.Millisecond)
 	}
-	if limit := int(3*span/(2*Wait)) + len(f.processes)*int(span/rejectedFor+1); f.calls > limit {
+	if limit := int(3*span/(2*WatchTimeout)) + len(f.processes)*int(span/rejectedFor+1); f.calls > limit {
 		t.Errorf("%d calls, want %d at most", f.calls, limit)
 	}
 	if d := f.change(bound); d >= bound {
@@ -378,18 +378,18 @@
 func TestNewerValueThanTheReadBeganWithIsBelieved(t *testing.T) {
 	n := New(rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
-	n.Called(now, Read)
+	n.CallStarted(now, Read)
 	n.Applied(now, 1)
 	n.CallDone(now, Read, now, Answered)
-	n.NoteRevision(now, 2)
+	n.ObserveRevision(now, 2)
 	now = now.Add(storeAfter + storeSpan)
 	if c := n.StoreCall(now); c != Read {
 		t.Fatalf("call %v, want a read", c)
 	}
-	n.Called(now, Read)
+	n.CallStarted(now, Read)
 	begun := now
 	now = now.Add(200 * time.Millisecond)
-	n.NoteRevision(now, 3)
+	n.ObserveRevision(now, 3)
 	now = now.Add(200 * time.Millisecond)
 	n.Applied(now, 2)
 	n.CallDone(now, Read, begun, Answered)
@@ -405,13 +405,13 @@
 	n := New(rand.New(rand.NewPCG(1, 2)))
 	n.Applied(now, 1)
 	n.Receive(now, address(1), Digest{Revision: 2, Read: ReadMark{Number: 1, At: now}})
-	n.Fetching(now)
-	n.Receiving()
+	n.FetchStarted(now)
+	n.FetchReceiving()
 	now = now.Add(storeAfter + storeSpan)
 	if c := n.StoreCall(now); c != None {
 		t.Fatalf("call %v while a process sends the value", c)
 	}
-	n.Fetched()
+	n.FetchDone()
 	if c := n.StoreCall(now); c != Read {
 		t.Fatalf("call %v once no process sends it", c)
 	}
--- a/propagation/watchers_test.go
+++ b/propagation/watchers_test.go
@@ -53,7 +53,7 @@
 			switch rapid.SampledFrom([]string{"begin", "end", "receive", "receive"}).Draw(t, "step") {
 			case "begin":
 				if !n.calling {
-					n.Called(now, Watch)
+					n.CallStarted(now, Watch)
 				}
 			case "end":
 				if n.calling {
--- a/test/packets/config_test.go
+++ b/test/packets/config_test.go
@@ -104,7 +104,7 @@
 		}
 		calls := made() - before
 		// Two a change and, for each Wait, a watch and half a read, twice over.
-		limit := 2*changes + 3*(1+int(time.Since(begun)/propagation.Wait))
+		limit := 2*changes + 3*(1+int(time.Since(begun)/propagation.WatchTimeout))
 		if calls > limit {
 			t.Errorf("%d balancers: %d calls for %d changes, want %d at most", balancers, calls, changes, limit)
 		}
