--- a/connid/connid.go
+++ b/connid/connid.go
@@ -1,10 +1,10 @@
-// Package connid mints and reads routable QUIC connection IDs.
+// Package connid mints and decodes routable QUIC connection IDs.
 //
 // A connection ID is one key number byte followed by one AES block. The block
-// holds the agent's address, the service number and random bytes, so that a
-// balancer without any state per flow can route a packet by the ID alone, and
-// an observer without the fleet key can neither link two IDs of one connection
-// nor forge one for another service.
+// holds the agent's address, the service number and random bytes. A balancer can
+// route a packet by the ID alone, without any state per flow. An observer without
+// the fleet key can neither link two IDs of one connection nor forge an ID for
+// another service.
 package connid
 
 import (
@@ -28,26 +28,26 @@
 	randomOffset  = 10
 )
 
-// Target is what a connection ID says.
+// Target is the content of a connection ID.
 type Target struct {
 	Agent   netip.AddrPort // IPv4 address of the agent that holds the connection
 	Service uint32         // service number in the catalogue
 }
 
-// Key is one fleet key under its number.
+// Key is a fleet key and its number.
 type Key struct {
 	Number byte
 	Secret [KeyLen]byte
 }
 
-// Codec mints IDs under its first key and reads IDs under any of its keys.
-// It is safe for concurrent use.
+// Codec mints IDs with its first key and decodes IDs of any of its keys. It is
+// safe for concurrent use.
 type Codec struct {
-	mint  byte
-	block [256]cipher.Block
+	mintKey byte
+	ciphers [256]cipher.Block
 }
 
-// KeyError tells why a set of keys can't be used.
+// KeyError reports which key of a set is invalid, why, and the remedy.
 type KeyError struct {
 	Number byte
 	Reason string
@@ -58,42 +58,43 @@
 	return fmt.Sprintf("fleet key %d: %s; %s", e.Number, e.Reason, e.Remedy)
 }
 
-// NewCodec returns a codec that mints under keys[0] and accepts all of keys.
-// Two keys are valid at once while a fleet key is being rotated.
+// NewCodec returns a codec that mints with keys[0] and accepts IDs of all keys.
+// Two keys are valid at the same time while a fleet key is being rotated. The
+// error is a *KeyError.
 func NewCodec(keys ...Key) (*Codec, error) {
 	if len(keys) == 0 {
 		return nil, &KeyError{Reason: "no key given", Remedy: "give at least one fleet key"}
 	}
-	c := &Codec{mint: keys[0].Number}
+	c := &Codec{mintKey: keys[0].Number}
 	for _, k := range keys {
-		if c.block[k.Number] != nil {
+		if c.ciphers[k.Number] != nil {
 			return nil, &KeyError{Number: k.Number, Reason: "number used twice", Remedy: "give each key its own number"}
 		}
 		b, err := aes.NewCipher(k.Secret[:])
 		if err != nil {
 			return nil, &KeyError{Number: k.Number, Reason: err.Error(), Remedy: "give 16 random bytes"}
 		}
-		c.block[k.Number] = b
+		c.ciphers[k.Number] = b
 	}
 	return c, nil
 }
 
-// Mint returns a fresh connection ID for t.
+// Mint returns a new connection ID for t, whose agent must have an IPv4 address.
 func (c *Codec) Mint(t Target) [Len]byte {
 	var id [Len]byte
-	id[0] = c.mint
+	id[0] = c.mintKey
 	plain := id[1:]
 	ip := t.Agent.Addr().As4()
 	copy(plain[agentOffset:], ip[:])
 	binary.BigEndian.PutUint16(plain[portOffset:], t.Agent.Port())
 	binary.BigEndian.PutUint32(plain[serviceOffset:], t.Service)
 	rand.Read(plain[randomOffset:])
-	c.block[c.mint].Encrypt(plain, plain)
+	c.ciphers[c.mintKey].Encrypt(plain, plain)
 	return id
 }
 
-// Reader reads connection IDs without allocating. One goroutine uses it at a
-// time; each duty that reads IDs takes its own.
+// Reader decodes connection IDs without allocating. It is not safe for concurrent
+// use: each goroutine that decodes IDs needs its own.
 type Reader struct {
 	codec *Codec
 	plain [aes.BlockSize]byte
@@ -104,14 +105,14 @@
 	return &Reader{codec: c}
 }
 
-// Read returns what id says. ok is false for an ID of another length or under
-// an unknown key. A forged ID decodes to an arbitrary target: the caller must
-// compare Target.Service with the service that it expects.
+// Read decodes id. ok is false for an ID of another length or of an unknown key.
+// A forged ID decodes to an arbitrary target: the caller must compare
+// Target.Service with the service that it expects.
 func (r *Reader) Read(id []byte) (t Target, ok bool) {
 	if len(id) != Len {
 		return Target{}, false
 	}
-	b := r.codec.block[id[0]]
+	b := r.codec.ciphers[id[0]]
 	if b == nil {
 		return Target{}, false
 	}
