--- a/propagation/content_test.go
+++ b/propagation/content_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against an older content that stays in force in a process that read it in a store
-// which came back from an older copy, since the others' newer content has the same revision,
-// or a lower one.
+// Guards against a process that keeps older content in force. It read the content from a
+// store restored from an older copy, and the newer content of other processes has the same
+// revision or a lower one.
 func TestNewerContentIsTakenUnderAnyRevision(t *testing.T) {
 	for _, revision := range []uint64{6, 7, 8} {
 		now := time.Unix(1000, 0)
@@ -20,24 +20,24 @@
 		if d, ok := started.NextDigest(now); ok {
 			answer, ok := kept.Receive(now, address(2), d)
 			if !ok {
-				t.Fatalf("revision %d: a process with older content gets no answer", revision)
+				t.Fatalf("revision %d: no answer to a process with older content", revision)
 			}
 			started.Receive(now, address(1), answer)
 		}
 		if from, ok := started.Fetch(now); !ok || from != address(1) {
-			t.Fatalf("revision %d: asks %v, %v, want the process with the newer content", revision, from, ok)
+			t.Fatalf("revision %d: fetch from %v, %v, want the process with the newer content", revision, from, ok)
 		}
 		started.FetchStarted(now)
 		started.ContentApplied(now, 3)
 		started.FetchDone()
 		if from, ok := started.Fetch(now); ok && from.IsValid() {
-			t.Errorf("revision %d: asks %v for content that it has", revision, from)
+			t.Errorf("revision %d: fetches content from %v that it already has", revision, from)
 		}
 	}
 }
 
-// Guards against a process that asks without end for content which a damaged message
-// claims: each message costs one question to its sender, and no call of the store.
+// Guards against endless queries for content that only a damaged message names: each such
+// message costs one query to its sender, and no call of the store.
 func TestContentThatDoesNotExist(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := New(rand.New(rand.NewPCG(1, 1)))
@@ -45,14 +45,14 @@
 	n.ContentApplied(now, 3)
 	n.Receive(now, address(1), Digest{Revision: 7, Content: 1 << 40})
 	if _, ok := n.Fetch(now); !ok {
-		t.Fatal("the sender is not asked")
+		t.Fatal("no query to the sender of the digest")
 	}
 	n.FetchStarted(now)
 	n.FetchDone()
-	if from, ok := n.Fetch(now.Add(askEvery)); ok {
-		t.Errorf("asks %v again", from)
+	if from, ok := n.Fetch(now.Add(peerQueryInterval)); ok {
+		t.Errorf("a second query to %v", from)
 	}
-	if c := n.StoreCall(now.Add(storeAfter + storeSpan)); c != None {
-		t.Errorf("call %v for content that no process has", c)
+	if c := n.StoreCall(now.Add(storeReadAfter + storeReadSpread)); c != None {
+		t.Errorf("store call %v for content that no process has", c)
 	}
 }
--- a/propagation/doc.go
+++ b/propagation/doc.go
@@ -1,25 +1,25 @@
 // Package propagation decides how the value of one key in a store reaches many
 // processes at a cost to the store that does not grow with their number.
 //
-// If every process watched the key, each change would cost the store a call a process. Here
-// one process at a time watches for all. Each that learns something sends a digest to a few
-// others, which send it on; a process that lacks a value takes it from one that has it, and
-// from the store only if no process sends it.
+// If every process watched the key, each change would cost the store one call per process.
+// Instead one process at a time watches for all. A process that receives a newer value or a
+// later read sends a digest to a few others, which send it on. A process that lacks a value
+// fetches it from a process that has it, and from the store only if no process sends it.
 //
-// No process is appointed. The digest of every read of the store spreads with the read's
-// age. Each process draws an age; the one whose draw is the lowest reads when the latest
-// read gets as old, and goes on as the watcher. If the watcher is killed, cut off or
-// refused by the store, the next one takes over in the same way, at most MaxAge later. Of
-// two watchers the one whose read is the earlier one stops.
+// The watcher is not elected. Digests carry the age of the latest read of the store. Each
+// process draws a random age; the process with the lowest draw reads the store when the
+// latest read reaches that age, and becomes the watcher. If the watcher is killed, cut off or
+// refused by the store, another process takes over in the same way, at most MaxReadAge
+// later. Of two watchers the one with the earlier read stops.
 //
-// A store that comes back from an older copy lacks what was written last. Whoever has that
-// keeps it, and the others take it, by the number that the writer gave to the content: the
-// revision under which the store has something older may be as high. So a process that
-// starts asks the others first.
+// A store that was restored from an older copy lacks the latest writes. Processes that have
+// such content keep it, and the others take it from them. They compare the number that the
+// writer gave to the content, since the store may have older content under a revision that is
+// as high. For the same reason a process that starts asks the others first.
 //
-// A watch that has stopped silently looks like one without changes, so a watcher reads the
-// key as well, after every second watch without a change.
+// A watch that fails without an error looks like a watch without changes, so a watcher also
+// reads the key, after every second watch without a change.
 //
 // A Node is a state machine without I/O and not safe for concurrent use. Times are of
-// the process's own monotonic clock; times in digests are ages.
+// the process's own monotonic clock; the times in digests are sent as ages.
 package propagation
--- a/propagation/example_test.go
+++ b/propagation/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/hemlockscale/hemlockscale/propagation"
 )
 
-// A process that starts reads the store. Another one receives its digest and takes the value
-// from there.
+// A process that starts reads the store. Another process receives its digest and fetches the
+// value from it.
 func Example() {
 	now := time.Unix(1000, 0)
 	first := propagation.New(rand.New(rand.NewPCG(1, 1)))
@@ -18,7 +18,7 @@
 
 	call := first.StoreCall(now)
 	first.CallStarted(now, call)
-	first.Applied(now, 7) // what the store answered
+	first.Applied(now, 7) // the revision that the store answered
 	first.CallDone(now, call, now, propagation.Answered)
 
 	if digest, ok := first.NextDigest(now); ok {
--- a/propagation/watchers_test.go
+++ b/propagation/watchers_test.go
@@ -9,23 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against two processes that both go on watching, each of which pays for every
-// change: one that learns of the other's reads too late goes on for as long as changes come.
+// Guards against two processes that both go on watching, each at a store call per change: a
+// watcher that receives the other's reads too late would go on as long as changes come.
 func TestOfTwoWatchersOneStopsAtTheNextRead(t *testing.T) {
 	const processes, changes = 8, 5
 	for seed := range uint64(200) {
 		f := newFleet(processes, seed)
-		f.hop = time.Millisecond
+		f.delay = time.Millisecond
 		first := f.watchers()[0]
 		second := f.processes[(first.i+1+int(seed)%(processes-1))%processes]
-		second.n.watcher, second.n.ownAt = true, f.now
-		f.pass(time.Duration(seed%40) * step) // the second one has begun at any moment of the first one's watch
+		second.n.watcher, second.n.ownReadAt = true, f.now
+		f.advance(time.Duration(seed%40) * step) // the second watcher starts at any point of the first one's watch
 		f.calls = 0
 		for range changes {
-			f.change(bound)
-			f.pass(4 * step)
+			f.change(maxPropagation)
+			f.advance(4 * step)
 		}
-		// A watch a change, one more of the second watcher, and a read beside of each.
+		// One watch per change, one more by the second watcher, and one read by each.
 		if limit := changes + 3; f.calls > limit {
 			t.Errorf("seed %d: %d calls for %d changes, want %d at most", seed, f.calls, changes, limit)
 		}
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against watchers that all stop for each other's sake, so that nobody watches for
-// seconds: in whatever order they read and learn of each other's reads, one goes on.
+// Guards against watchers that all stop because of each other, so that no process watches for
+// seconds: in any order of reads and digests, one watcher goes on.
 func TestNotAllWatchersStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -52,11 +52,11 @@
 			n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "process")]
 			switch rapid.SampledFrom([]string{"begin", "end", "receive", "receive"}).Draw(t, "step") {
 			case "begin":
-				if !n.calling {
+				if !n.callPending {
 					n.CallStarted(now, Watch)
 				}
 			case "end":
-				if n.calling {
+				if n.callPending {
 					n.CallDone(now, Watch, now, Answered)
 					sent = append(sent, n.digest())
 				}
@@ -67,7 +67,7 @@
 				}
 			}
 			if !slices.ContainsFunc(nodes, func(n *Node) bool { return n.watcher }) {
-				t.Fatal("nobody watches")
+				t.Fatal("no watcher is left")
 			}
 		}
 	})
