--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -13,10 +13,10 @@
 	return k
 }
 
-// BenchmarkHomeClaim measures a vote and the report that follows it.
-func BenchmarkHomeClaim(b *testing.B) {
+// BenchmarkVoterClaim measures a vote and the report that follows it.
+func BenchmarkVoterClaim(b *testing.B) {
 	cfg := Config{MaxKeys: 1 << 30}
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		c := Claim{Key: benchKey(i), ID: claim(uint64(i)).ID}
@@ -32,11 +32,11 @@
 	}
 }
 
-// BenchmarkRequester measures a request from Begin to Finish with five homes,
-// without the homes' own work.
+// BenchmarkRequester measures a request from Begin to Finish with five voters,
+// without the voters' own work.
 func BenchmarkRequester(b *testing.B) {
 	cfg := Config{Window: 1000 * time.Hour, Freshness: 1000 * time.Hour}
-	q, _, now := asker(cfg, 7)
+	q, _, now := newRequester(cfg, 7)
 	var buf []Effect
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -55,8 +55,8 @@
 	}
 }
 
-// BenchmarkHomes measures the choice of five homes among 611 processes.
-func BenchmarkHomes(b *testing.B) {
+// BenchmarkVoters measures the choice of five voters among 611 processes.
+func BenchmarkVoters(b *testing.B) {
 	e := NewElectorate(t0, Config{})
 	var r MemberList
 	for i := range 611 {
@@ -75,7 +75,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		h, now := votingHome(Config{})
+		h, now := newVotingVoter(Config{})
 		for i := range DefaultMaxKeys {
 			h.Claim(now, Claim{Key: benchKey(i), ID: claim(uint64(i)).ID})
 		}
@@ -90,16 +90,16 @@
 	}
 }
 
-// BenchmarkCrashOfOne reports the share of requests with a new key that are
-// refused in the ten seconds after one of n agents crashed, at the others.
+// BenchmarkCrashOfOne reports the share of requests with a new key that the
+// other agents refuse in the ten seconds after one of n agents crashed.
 func BenchmarkCrashOfOne(b *testing.B) {
 	for _, n := range []int{2, 3, 4, 7, 11} {
 		b.Run(string(rune('0'+n/10))+string(rune('0'+n%10)), func(b *testing.B) {
 			refused, total := 0, 0
 			for b.Loop() {
-				w := newWorld(rand.Uint64(), n, testConfig(), faults{delay: 5 * time.Millisecond})
+				w := newSimulation(rand.Uint64(), n, testConfig(), faults{delay: 5 * time.Millisecond})
 				w.check = func(*call) {}
-				w.crash(w.ps[0], time.Second)
+				w.crash(w.processes[0], time.Second)
 				w.run(10*time.Second, func() {
 					if len(w.calls) < 300 {
 						w.begin(1+w.rng.IntN(n-1), benchKey(len(w.calls)))
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -19,20 +19,20 @@
 // field means its default.
 type Config struct {
 	Window    time.Duration // a key runs at most once within it; default DefaultWindow
-	Expiry    time.Duration // from asking for votes to the first byte; default DefaultExpiry
-	Skew      time.Duration // until each requester has heard of a change of the roster; default DefaultSkew
-	Freshness time.Duration // a roster that wasn't confirmed for longer isn't acted on; default DefaultFreshness
-	Retention time.Duration // how long a process that vanished is still counted; default DefaultRetention
-	Resend    time.Duration // until a home that didn't answer is asked again; default DefaultResend
-	Drift     float64       // bound on how fast two clocks drift apart; default DefaultDrift
-	Voters    int           // homes of a key, at most maxHomes; default DefaultHomes
-	MaxKeys   int           // keys that a home remembers; default DefaultMaxKeys
+	Expiry    time.Duration // from the request for votes to the first byte; default DefaultExpiry
+	Skew      time.Duration // until each requester knows of a change of the member list; default DefaultSkew
+	Freshness time.Duration // a member list not confirmed for longer isn't used; default DefaultFreshness
+	Retention time.Duration // how long a failed process is still counted; default DefaultRetention
+	Resend    time.Duration // until the claim is sent again to a voter that didn't answer; default DefaultResend
+	Drift     float64       // bound on the relative drift of two clocks; default DefaultDrift
+	Voters    int           // voters of a key, at most maxVoters; default DefaultVoters
+	MaxKeys   int           // keys that a voter remembers; default DefaultMaxKeys
 }
 
-// maxVoters bounds Config.Homes, so that an attempt has a fixed size.
+// maxVoters bounds Config.Voters, so that an attempt has a fixed size.
 const maxVoters = 16
 
-// withDefaults returns c with its zero fields filled in.
+// withDefaults returns c with its zero fields set to the defaults.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Window, DefaultWindow)
 	setDefault(&c.Expiry, DefaultExpiry)
@@ -54,14 +54,14 @@
 	}
 }
 
-// VoteRetention is how long a home remembers a vote: the window, plus the time by which
-// the run may come after the vote, on clocks that drift apart.
+// VoteRetention is how long a voter remembers a vote: the window, plus the time
+// by which the run may come after the vote, on clocks that drift apart.
 func (c Config) VoteRetention() time.Duration {
 	c = c.withDefaults()
 	return time.Duration(float64(c.Window+2*c.Expiry) * (1 + 2*c.Drift))
 }
 
-// Fence is how long a process that has come into the roster doesn't vote.
+// Fence is how long a process that was added to the member list doesn't vote.
 func (c Config) Fence() time.Duration {
 	c = c.withDefaults()
 	return c.VoteRetention() + time.Duration(float64(c.Skew+c.Freshness+c.Expiry)*(1+2*c.Drift))
--- a/idempotency/effect.go
+++ b/idempotency/effect.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// EffectKind says what an Effect asks for.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 // The kinds of effects. Run, Duplicate, NotRun and Unknown answer a Begin.
 const (
-	SendClaim  EffectKind = iota + 1 // send Claim to To; if To is self, hand it to the own home
-	SendReport                       // send Report to To; if To is self, hand it to the own home
-	Run                              // the votes suffice: call Start right before the first byte
-	Duplicate                        // another attempt with this key ran, or is running; don't start this one
+	SendClaim  EffectKind = iota + 1 // send Claim to To; if To is self, pass it to the agent's own voter
+	SendReport                       // send Report to To; if To is self, pass it to the agent's own voter
+	Run                              // enough votes: call Start right before the first byte
+	Duplicate                        // another attempt with this key ran or is running; don't start this one
 	NotRun                           // not started, and no other attempt ran within the window
-	Unknown                          // not started; whether another attempt ran can't be known
+	Unknown                          // not started; whether another attempt ran isn't known
 )
 
 func (k EffectKind) String() string {
@@ -26,7 +26,7 @@
 	return "invalid"
 }
 
-// Effect is what a Requester asks of its adapter.
+// Effect is an action that the adapter of a Requester must carry out.
 type Effect struct {
 	Kind   EffectKind
 	To     netip.AddrPort // with SendClaim and SendReport
@@ -35,7 +35,7 @@
 
 	ID         uint64        // of the request, as given to Begin
 	Holder     ClaimID       // with Duplicate: the attempt that came first
-	State      State         // with Duplicate: Running, Done, Lost, or Claimed if it is open at this agent
+	State      State         // with Duplicate: Running, Done, Lost, or Claimed if the attempt is open at this agent
 	Status     int           // with Duplicate and Done: its HTTP status
 	RetryAfter time.Duration // with NotRun and Unknown
 }
--- a/idempotency/electorate.go
+++ b/idempotency/electorate.go
@@ -8,46 +8,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberList is what the membership layer knows of the processes that may be homes:
-// the agents of a service, and, if they are fewer than three, other processes
-// of the system beside them.
+// MemberList holds the processes that may be voters, as known to the membership
+// layer: the agents of a service and, if there are fewer than three, other
+// processes of the system as well.
 type MemberList struct {
 	Live     []netip.AddrPort
 	Departed []DepartedMember
-	// Complete tells that Gone names each process that vanished within the
-	// retention. Without it, a requester that has just started waits for the
-	// length of the fence.
+	// Complete means that Departed includes every process that failed within the
+	// retention. Without it, a recently started requester waits for the length
+	// of the fence.
 	Complete bool
 }
 
-// DepartedMember is a process that isn't live any more.
+// DepartedMember is a process that has failed or left.
 type DepartedMember struct {
 	Addr netip.AddrPort
-	Age  time.Duration // how long ago it vanished or left
-	Left bool          // it left by a planned stop, and surely doesn't vote any more
+	Age  time.Duration // time since it failed or left
+	Left bool          // it left by a planned stop, and is known not to vote any more
 }
 
-// Electorate is the set of processes that one agent counts when it asks for
-// votes: the live ones and those that are gone but may have voted, or, if they
-// vanished, may still vote beyond a partition.
+// Electorate is the set of processes that one agent counts when it asks for votes:
+// the live ones, and departed ones that may have voted. Departed processes that
+// didn't leave by a planned stop may still vote on the other side of a partition.
 type Electorate struct {
-	cfg       Config
-	members   map[netip.AddrPort]*member
-	list      []*member
-	live      int
-	confirmed time.Time
-	readyAt   time.Time // from then on no process is missing that voted within Keep
+	cfg         Config
+	members     map[netip.AddrPort]*member
+	list        []*member
+	live        int
+	confirmedAt time.Time
+	readyAt     time.Time // from then on every process that voted within VoteRetention is known
 }
 
 type member struct {
-	addr  netip.AddrPort
-	seed  uint64
-	gone  time.Time // zero while live
-	left  bool
-	fresh bool // seen in the update at work
+	addr       netip.AddrPort
+	seed       uint64
+	departedAt time.Time // zero while live
+	left       bool
+	listed     bool // live in the current update
 }
 
-// NewElectorate returns an empty electorate of an agent that starts at now.
+// NewElectorate returns the empty electorate of an agent that starts at now.
 func NewElectorate(now time.Time, cfg Config) *Electorate {
 	e := &Electorate{
 		cfg:     cfg.withDefaults(),
@@ -57,46 +57,46 @@
 	return e
 }
 
-// Update takes in the roster as known at now.
+// Update applies the member list as known at now.
 func (e *Electorate) Update(now time.Time, r MemberList) {
 	for _, m := range e.list {
-		m.fresh = false
+		m.listed = false
 	}
 	for _, addr := range r.Live {
 		m := e.member(addr)
-		m.gone, m.left, m.fresh = time.Time{}, false, true
+		m.departedAt, m.left, m.listed = time.Time{}, false, true
 	}
 	for _, g := range r.Departed {
 		m := e.member(g.Addr)
-		if m.fresh {
+		if m.listed {
 			continue
 		}
-		if m.gone.IsZero() {
-			m.gone = now.Add(-g.Age)
+		if m.departedAt.IsZero() {
+			m.departedAt = now.Add(-g.Age)
 		}
 		m.left = g.Left
 	}
 	e.live = 0
 	for _, m := range e.list {
-		if m.fresh {
+		if m.listed {
 			e.live++
-		} else if m.gone.IsZero() {
-			m.gone = now
+		} else if m.departedAt.IsZero() {
+			m.departedAt = now
 		}
 	}
 	if r.Complete {
 		e.readyAt = now
 	}
-	e.drop(now)
+	e.dropExpired(now)
 }
 
-// Confirm tells that the roster taken in last was current at the time at. The
-// caller must know that from an exchange that it began at that time: a message
-// that lay in a socket while the process was frozen proves nothing of when it
-// is read.
+// Confirm records that the last member list was current at the time at. The caller
+// must know this from an exchange that it began at that time: if the process was
+// paused, a message may have waited in its socket, so the time at which it is read
+// proves nothing.
 func (e *Electorate) Confirm(at time.Time) {
-	if at.After(e.confirmed) {
-		e.confirmed = at
+	if at.After(e.confirmedAt) {
+		e.confirmedAt = at
 	}
 }
 
@@ -110,10 +110,10 @@
 	return m
 }
 
-// drop forgets the processes that can't have voted for long. It forgets none
-// while half of the processes or more are gone: the agent may then be on the
+// dropExpired removes processes that can't have voted for long. It removes none
+// while half of the processes or more have departed: the agent may then be on the
 // smaller side of a partition, and the other side may still vote.
-func (e *Electorate) drop(now time.Time) {
+func (e *Electorate) dropExpired(now time.Time) {
 	kept := e.list[:0]
 	mayShrink := 2*e.live > len(e.list)
 	for _, m := range e.list {
@@ -128,25 +128,25 @@
 }
 
 func (e *Electorate) expired(now time.Time, m *member) bool {
-	if m.gone.IsZero() {
+	if m.departedAt.IsZero() {
 		return false
 	}
 	keep := e.cfg.Retention
 	if m.left {
 		keep = e.cfg.Fence()
 	}
-	return now.Sub(m.gone) > keep
+	return now.Sub(m.departedAt) > keep
 }
 
-// wait is how long the electorate can't be relied on: zero if it can.
-func (e *Electorate) wait(now time.Time) time.Duration {
-	if now.Sub(e.confirmed) > e.cfg.Freshness || len(e.list) == 0 {
+// waitTime is how long the electorate can't be used yet; zero if it can.
+func (e *Electorate) waitTime(now time.Time) time.Duration {
+	if now.Sub(e.confirmedAt) > e.cfg.Freshness || len(e.list) == 0 {
 		return e.cfg.Freshness
 	}
 	return max(0, e.readyAt.Sub(now))
 }
 
-// voters returns the voters of key, best first.
+// voters returns the voters of key, highest score first.
 func (e *Electorate) voters(key Key) []netip.AddrPort {
 	var score [maxVoters]uint64
 	var best [maxVoters]*member
@@ -172,7 +172,7 @@
 	return addrs
 }
 
-// quorum is the number of votes out of n that no two claims can both have.
+// quorum is the number of votes out of n that no two claims can both get.
 func quorum(n int) int { return n/2 + 1 }
 
 func seed(addr netip.AddrPort) uint64 {
@@ -180,7 +180,7 @@
 	return xxhash.Sum64(b)
 }
 
-// mix is the finalizer of splitmix64: each bit of x moves half of the result.
+// mix is the finalizer of splitmix64: each bit of x affects half of the bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/idempotency/example_test.go
+++ b/idempotency/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/hemlockscale/hemlockscale/idempotency"
 )
 
-// A service with a single agent: it is the only home of its keys.
+// A service with a single agent, which is the only voter on its keys.
 func Example() {
 	var cfg idempotency.Config
 	now := time.Unix(0, 0)
@@ -22,7 +22,7 @@
 	home.Update(now, roster)
 	elect.Update(now, roster)
 
-	now = now.Add(cfg.Fence()) // the home has just started: it doesn't vote yet
+	now = now.Add(cfg.Fence()) // the voter has recently started and is fenced until now
 	home.Confirm(now)
 	elect.Confirm(now)
 	handle := func() {
@@ -39,13 +39,13 @@
 	}
 	key := idempotency.KeyOf(7, "kanatpar", "reserve-4711")
 	req.Begin(now, 1, key)
-	handle() // the votes come in
+	handle() // receives the votes
 	handle()
 	fmt.Println("start", req.Start(now, 1))
 	req.Finish(now, 1, idempotency.Done, 201)
 	handle()
 
-	req.Begin(now.Add(time.Second), 2, key) // the caller repeats it
+	req.Begin(now.Add(time.Second), 2, key) // the caller repeats the request
 	handle()
 	handle()
 	// Output:
--- a/idempotency/handover.go
+++ b/idempotency/handover.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// transferRecords is how many records a Transfer holds, so that it encodes to
+// transferRecords is the number of records in a Transfer, which then encodes to
 // less than 1200 bytes.
 const transferRecords = 12
 
-// Transfer is a part of what a home remembers, handed over at a planned stop.
+// Transfer is a part of a voter's records, handed over at a planned stop.
 type Transfer struct {
-	From        netip.AddrPort   `cbor:"1,keyasint"` // address of the home that stopped
+	From        netip.AddrPort   `cbor:"1,keyasint"` // address of the voter that stopped
 	Incarnation uint64           `cbor:"2,keyasint"` // of its process
 	Part        int              `cbor:"3,keyasint"` // from 0
 	Parts       int              `cbor:"4,keyasint"`
-	Fence       time.Duration    `cbor:"5,keyasint,omitempty"` // what was left of its fence
+	Fence       time.Duration    `cbor:"5,keyasint,omitempty"` // time left of its fence
 	Records     []TransferRecord `cbor:"6,keyasint,omitempty"`
 
-	To  uint64        `cbor:"7,keyasint,omitempty"` // set by Depot.Take: incarnation of the process that may use it
-	Age time.Duration `cbor:"8,keyasint,omitempty"` // set by Depot.Take
+	To  uint64        `cbor:"7,keyasint,omitempty"` // set by TransferStore.Take: incarnation of the process that may use it
+	Age time.Duration `cbor:"8,keyasint,omitempty"` // set by TransferStore.Take: time since the first part was stored
 }
 
-// TransferRecord is what a home knows of one key.
+// TransferRecord is a voter's record of one key.
 type TransferRecord struct {
 	Key    Key     `cbor:"1,keyasint"`
 	ID     ClaimID `cbor:"2,keyasint"`
@@ -30,15 +30,15 @@
 	Status int     `cbor:"4,keyasint,omitempty"`
 }
 
-// maxTransferAge bounds the time between the stop of a home and the start of
-// its successor. Electorates count the stopped home for longer than that, so to
-// them it never was away. The other half of Keep is left for late datagrams.
+// maxTransferAge bounds the time between the stop of a voter and the start of its
+// successor. Electorates count the stopped voter for longer, so they never exclude
+// it. The other half of VoteRetention is left for late datagrams.
 func (c Config) maxTransferAge() time.Duration { return c.VoteRetention() / 2 }
 
-// Handover returns all that the home remembers, for the next process at its
-// address. From then on the home gives no votes: they would be missing there.
+// Handover returns the voter's records for the next process at its address. From
+// then on the voter grants no votes, since they would be missing there.
 func (h *Voter) Handover(now time.Time, incarnation uint64) []Transfer {
-	fence := h.fence(now)
+	fence := h.fenceLeft(now)
 	if !h.listed {
 		fence = h.cfg.Fence()
 	}
@@ -63,68 +63,68 @@
 	return parts
 }
 
-// Accept takes in a part of what the last home at this address remembered.
-// incarnation is that of this process. When all parts are there the home votes
+// Accept stores a part of the records of the last voter at this address.
+// incarnation is that of this process. When all parts have arrived, the voter votes
 // as if it had never stopped, and Accept returns true.
 func (h *Voter) Accept(now time.Time, incarnation uint64, t Transfer) bool {
 	if t.From != h.self || t.To != incarnation || t.Age > h.cfg.maxTransferAge() {
 		return false
 	}
-	// After a vote of its own, an older record in place of a newer one would
-	// free a vote that was given.
+	// After a vote of its own, an older record could replace a newer one and so
+	// release a granted vote.
 	if h.voted {
 		return false
 	}
-	if h.source != t.Incarnation || h.accepted == nil {
-		h.source = t.Incarnation
-		h.accepted = make(map[int]bool)
+	if h.transferFrom != t.Incarnation || h.acceptedParts == nil {
+		h.transferFrom = t.Incarnation
+		h.acceptedParts = make(map[int]bool)
 	}
-	if h.accepted[t.Part] {
+	if h.acceptedParts[t.Part] {
 		return false
 	}
-	h.accepted[t.Part] = true
+	h.acceptedParts[t.Part] = true
 	for _, r := range t.Records {
 		if old, known := h.records[r.Key]; !known || !old.state.ran() {
 			h.put(now, r.Key, record{id: r.ID, state: r.State, status: int32(r.Status)})
 		}
 	}
-	if len(h.accepted) < t.Parts {
+	if len(h.acceptedParts) < t.Parts {
 		return false
 	}
-	h.inheritBy = now.Add(h.cfg.maxTransferAge() - t.Age)
-	if end := now.Add(t.Fence); h.fencedTo.IsZero() || end.Before(h.fencedTo) {
-		h.fencedTo = end
+	h.inheritUntil = now.Add(h.cfg.maxTransferAge() - t.Age)
+	if end := now.Add(t.Fence); h.fencedUntil.IsZero() || end.Before(h.fencedUntil) {
+		h.fencedUntil = end
 	}
 	return true
 }
 
-// TransferStore keeps what stopping homes hand over until their successors ask. Each
-// agent has one. What was taken by one process is never given to another: that
-// one would miss the votes which the first gave.
+// TransferStore keeps the records of stopping voters until their successors ask
+// for them. Each agent has one. Parts taken by one process are never given to
+// another, which would miss the votes that the first process granted since.
 type TransferStore struct {
 	cfg     Config
-	entries map[deposit]*entry
+	entries map[transferID]*entry
 }
 
-type deposit struct {
+type transferID struct {
 	from        netip.AddrPort
 	incarnation uint64
 }
 
 type entry struct {
 	parts   map[int]Transfer
-	at      time.Time // of the first part
-	takenBy uint64    // incarnation of the successor; zero while not taken
+	at      time.Time // when the first part was stored
+	takenBy uint64    // incarnation of the successor; zero until taken
 }
 
-// NewTransferStore returns an empty Depot.
+// NewTransferStore returns an empty TransferStore.
 func NewTransferStore(cfg Config) *TransferStore {
-	return &TransferStore{cfg: cfg.withDefaults(), entries: make(map[deposit]*entry)}
+	return &TransferStore{cfg: cfg.withDefaults(), entries: make(map[transferID]*entry)}
 }
 
-// Put keeps a part.
+// Put stores a part of a handover.
 func (d *TransferStore) Put(now time.Time, t Transfer) {
-	id := deposit{t.From, t.Incarnation}
+	id := transferID{t.From, t.Incarnation}
 	e := d.entries[id]
 	if e == nil {
 		e = &entry{parts: make(map[int]Transfer), at: now}
@@ -133,8 +133,8 @@
 	e.parts[t.Part] = t
 }
 
-// Take returns what was handed over for the process incarnation at addr. It may
-// be asked again by the same process, if the answer was lost.
+// Take returns the parts handed over for the process incarnation at addr. The same
+// process may call it again if the answer was lost.
 func (d *TransferStore) Take(now time.Time, addr netip.AddrPort, incarnation uint64) []Transfer {
 	var parts []Transfer
 	for id, e := range d.entries {
@@ -150,8 +150,8 @@
 	return parts
 }
 
-// Tick forgets what is too old to be used. An entry is remembered for longer
-// than it may be used, so that a late copy of a part doesn't revive it.
+// Tick removes parts that are too old. They are kept for longer than they may be
+// used, so that a late copy of a part doesn't restore a removed handover.
 func (d *TransferStore) Tick(now time.Time) {
 	for id, e := range d.entries {
 		if now.Sub(e.at) > 2*d.cfg.VoteRetention() {
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -8,16 +8,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// stopped returns what a home hands over that voted for claim(1), and the time.
-func stopped(t *testing.T, cfg Config) ([]Transfer, time.Time) {
-	h, now := votingHome(cfg)
+// stopped returns the handover of a voter that voted for claim(1), and the time.
+func newHandover(t *testing.T, cfg Config) ([]Transfer, time.Time) {
+	h, now := newVotingVoter(cfg)
 	wantVote(t, h.Claim(now, claim(1)), Granted)
 	parts := h.Handover(now, 1)
 	wantVote(t, h.Claim(now, claim(1)), Fenced)
 	return parts, now
 }
 
-// successor returns a home that has just started at the same address.
+// successor returns a voter that has just started at the same address.
 func successor(now time.Time, cfg Config) *Voter {
 	h := NewVoter(addr(1), cfg)
 	h.Update(now, MemberList{Live: addrs(1, 1)})
@@ -27,25 +27,24 @@
 
 func TestHandoverEndsFenceAndKeepsVotes(t *testing.T) {
 	cfg := testConfig()
-	parts, now := stopped(t, cfg)
+	parts, now := newHandover(t, cfg)
 	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
 	now = now.Add(time.Second)
 	h := successor(now, cfg)
 	if !h.Accept(now, 2, d.Take(now, addr(1), 2)[0]) {
-		t.Fatal("not taken over")
+		t.Fatal("handover not accepted")
 	}
 	wantVote(t, h.Claim(now, claim(2)), Held)
 	wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
 }
 
-// Symptom: a key runs twice after two restarts.
-// Sequence: a home stops, its successor takes over, votes and crashes. The next
-// one gets the same handover, which doesn't have the successor's votes.
-// Cause: a handover is given to two processes.
+// Guards against a key that runs twice after two restarts: a voter accepts a
+// handover, votes and crashes, and the next process at its address gets the same
+// handover, which lacks those votes.
 func TestHandoverGoesToOneProcess(t *testing.T) {
 	cfg := testConfig()
-	parts, now := stopped(t, cfg)
+	parts, now := newHandover(t, cfg)
 	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
 	first := d.Take(now, addr(1), 2)
@@ -54,38 +53,36 @@
 	}
 	d.Put(now, parts[0]) // a late copy
 	if third := d.Take(now, addr(1), 3); len(third) != 0 {
-		t.Fatal("given to a second process")
+		t.Fatal("handover given to a second process")
 	}
 	h := successor(now, cfg)
 	if h.Accept(now, 3, first[0]) {
-		t.Fatal("a copy meant for the process before was taken over")
+		t.Fatal("accepted a copy meant for the previous process")
 	}
 	wantVote(t, h.Claim(now, claim(2)), Fenced)
 }
 
-// Symptom: a home votes though requesters don't count it.
-// Sequence: it stops as planned and starts again long after.
-// Cause: it takes over a handover from before it was forgotten.
+// Guards against a voter that votes although requesters don't count it any more: it
+// starts long after its planned stop and accepts a handover that is too old.
 func TestOldHandoverIsRefused(t *testing.T) {
 	cfg := testConfig()
-	parts, now := stopped(t, cfg)
+	parts, now := newHandover(t, cfg)
 	d := NewTransferStore(cfg)
 	d.Put(now, parts[0])
 	now = now.Add(cfg.VoteRetention())
 	h := successor(now, cfg)
 	if h.Accept(now, 2, d.Take(now, addr(1), 2)[0]) {
-		t.Fatal("an old handover was taken over")
+		t.Fatal("accepted an old handover")
 	}
 	now = now.Add(2 * cfg.VoteRetention())
 	d.Tick(now)
 	if len(d.Take(now, addr(1), 2)) != 0 {
-		t.Fatal("remembered for good")
+		t.Fatal("an expired handover is still stored")
 	}
 }
 
-// Symptom: a restarted home votes although the one before was still fenced.
-// Sequence: a home crashes, starts, and is stopped as planned soon after.
-// Cause: the handover ends a fence that wasn't over.
+// Guards against a handover that ends a fence early: a voter crashes, starts again,
+// and is stopped as planned before its own fence is over.
 func TestHandoverPassesOnFence(t *testing.T) {
 	cfg := testConfig()
 	before := successor(t0, cfg)
@@ -97,25 +94,24 @@
 	wantVote(t, h.Claim(t0, claim(1)), Fenced)
 }
 
-// Symptom: a vote is given twice.
-// Sequence: a home has begun to vote when a copy of a handover comes.
-// Cause: the older record takes the place of the newer one.
+// Guards against a vote granted twice: a copy of a handover arrives after the voter
+// has begun to vote, and its older record replaces the newer one.
 func TestHandoverAfterVoteIsRefused(t *testing.T) {
 	cfg := testConfig()
-	parts, _ := stopped(t, cfg)
-	h, now := votingHome(cfg)
+	parts, _ := newHandover(t, cfg)
+	h, now := newVotingVoter(cfg)
 	parts[0].To = 2
 	parts[0].Records[0].State = Released
 	wantVote(t, h.Claim(now, claim(5)), Granted)
 	if h.Accept(now, 2, parts[0]) {
-		t.Fatal("taken over after a vote")
+		t.Fatal("handover accepted after a vote")
 	}
 	wantVote(t, h.Claim(now, claim(6)), Held)
 }
 
 func TestHandoverNeedsAllPartsAndFitsDatagrams(t *testing.T) {
 	cfg := testConfig()
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	const keys = 3*transferRecords + 1
 	for i := range keys {
 		id := ClaimID{Agent: addr(255), Incarnation: math.MaxUint64, Seq: math.MaxUint64}
@@ -137,18 +133,17 @@
 	}
 }
 
-// Symptom: a handover has no effect, or has it for good.
-// Sequence: it comes before the first roster; or the roster names the home only
-// long after.
-// Cause: the first roster begins a fence anew; or it never does.
-func TestHandoverBeforeFirstRoster(t *testing.T) {
+// Guards against a handover that arrives before the first member list and has no
+// effect because that list starts a new fence, or one that still has effect when
+// the voter is listed only long after.
+func TestHandoverBeforeFirstMemberList(t *testing.T) {
 	cfg := testConfig()
 	for pause, want := range map[time.Duration]VoteKind{time.Second: Granted, cfg.VoteRetention(): Fenced} {
-		parts, now := stopped(t, cfg)
+		parts, now := newHandover(t, cfg)
 		parts[0].To = 2
 		h := NewVoter(addr(1), cfg)
 		if !h.Accept(now, 2, parts[0]) {
-			t.Fatal("not taken over")
+			t.Fatal("handover not accepted")
 		}
 		now = now.Add(pause)
 		h.Update(now, MemberList{Live: addrs(1, 1)})
@@ -157,15 +152,13 @@
 	}
 }
 
-// Symptom: taking over makes a home wait for longer.
-// Sequence: its own fence is nearly over when the handover comes, from a home
-// that was fenced for longer.
-// Cause: the longer fence replaces the shorter one.
+// Guards against a handover that lengthens a voter's fence: the voter's own fence is
+// nearly over, and the stopped voter was fenced for longer.
 func TestHandoverLengthensNoFence(t *testing.T) {
 	cfg := testConfig()
-	parts, _ := stopped(t, cfg)
+	parts, _ := newHandover(t, cfg)
 	parts[0].To, parts[0].Fence = 2, cfg.Fence()
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	h.Accept(now, 2, parts[0])
 	wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
 }
--- a/idempotency/home_test.go
+++ b/idempotency/home_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// votingHome returns a home whose fence has just passed at the returned time.
-func votingHome(cfg Config) (*Voter, time.Time) {
+// newVotingVoter returns a voter whose fence has just ended at the returned time.
+func newVotingVoter(cfg Config) (*Voter, time.Time) {
 	h := NewVoter(addr(1), cfg)
 	h.Update(t0, MemberList{Live: addrs(1, 1)})
 	now := t0.Add(cfg.Fence())
@@ -41,13 +41,12 @@
 	}
 }
 
-// Symptom: a key runs twice, the second time just after its window began.
-// Sequence: a claim gets its vote, its first byte goes out an expiry later, and
-// the caller repeats it a little less than a window after that.
-// Cause: the home forgets the vote a window after it gave it.
+// Guards against a key that runs twice because its vote is forgotten one window
+// after it was granted: the first byte may be sent an Expiry later, and a repeat a
+// little less than a window after that must still be answered Held.
 func TestVoteOutlastsWindowAfterLateStart(t *testing.T) {
 	cfg := testConfig()
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	wantVote(t, h.Claim(now, claim(1)), Granted)
 	now = now.Add(cfg.Window + cfg.Expiry)
 	h.Confirm(now)
@@ -59,13 +58,11 @@
 	wantVote(t, h.Claim(now, claim(2)), Granted)
 }
 
-// Symptom: a home that others no longer count votes.
-// Sequence: it is frozen or cut off, and answers the claims that lay in its
-// socket before it hears of the present roster.
-// Cause: it believes in the roster of before.
-func TestHomeWithStaleRosterIsFenced(t *testing.T) {
+// Guards against votes of a voter that requesters no longer count: after a pause or
+// cut it answers claims that waited in its socket, with an outdated member list.
+func TestVoterWithStaleMemberListIsFenced(t *testing.T) {
 	cfg := testConfig()
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	now = now.Add(cfg.Freshness + 1)
 	wantVote(t, h.Claim(now, claim(1)), Fenced)
 	h.Confirm(now)
@@ -79,13 +76,12 @@
 	wantVote(t, h.Claim(now, claim(1)), Granted)
 }
 
-// Symptom: a key is blocked for its window though no one runs it.
-// Sequence: a claim is given up; a copy of it comes after the report of that,
-// also at a home that the claim itself never reached.
-// Cause: the home gives its vote to a claim that is over.
+// Guards against a key that is blocked for its window although no request runs it: a
+// copy of a released claim arrives after its report, also at a voter that never
+// received the claim itself, and gets the vote.
 func TestLateCopyOfReleasedClaimGetsNoVote(t *testing.T) {
 	for _, claimFirst := range []bool{true, false} {
-		h, now := votingHome(testConfig())
+		h, now := newVotingVoter(testConfig())
 		if claimFirst {
 			wantVote(t, h.Claim(now, claim(1)), Granted)
 		}
@@ -95,11 +91,10 @@
 	}
 }
 
-// Symptom: a caller is told that its request still runs though it is done.
-// Sequence: a report that it runs is overtaken by the report that it is done.
-// Cause: the older report replaces the newer one.
-func TestReportsThatCross(t *testing.T) {
-	h, now := votingHome(testConfig())
+// Guards against an answer that a request is running although it is done: an older
+// report arrives after the newer one and replaces it.
+func TestReorderedReportsKeepLatestState(t *testing.T) {
+	h, now := newVotingVoter(testConfig())
 	h.Claim(now, claim(1))
 	h.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Done, Status: 201})
 	h.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Running})
@@ -110,20 +105,19 @@
 	}
 }
 
-// Symptom: a key runs twice while a home is short of memory.
-// Sequence: a caller sends more keys than the home has room for.
-// Cause: the home forgets a key before its time.
-func TestFullHomeRefusesAndForgetsNothing(t *testing.T) {
+// Guards against a key that runs twice because a voter without capacity for more
+// keys removes an older one before it expires.
+func TestFullVoterRefusesAndKeepsKeys(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxKeys = 2
-	h, now := votingHome(cfg)
+	h, now := newVotingVoter(cfg)
 	for i := range 2 {
 		wantVote(t, h.Claim(now, Claim{Key: key(i), ID: claim(uint64(i)).ID}), Granted)
 	}
 	v := h.Claim(now, Claim{Key: key(2), ID: claim(2).ID})
 	wantVote(t, v, Full)
 	if v.RetryAfter <= 0 || v.RetryAfter > cfg.VoteRetention() {
-		t.Fatalf("come back after %v", v.RetryAfter)
+		t.Fatalf("RetryAfter %v", v.RetryAfter)
 	}
 	wantVote(t, h.Claim(now, Claim{Key: key(0), ID: claim(7).ID}), Held)
 	now = now.Add(cfg.VoteRetention())
@@ -131,15 +125,15 @@
 	wantVote(t, h.Claim(now, Claim{Key: key(2), ID: claim(2).ID}), Granted)
 }
 
-// asker returns a requester among n live homes, and the time.
-func asker(cfg Config, n int) (*Requester, *Electorate, time.Time) {
+// newRequester returns a requester among n live voters, and the time.
+func newRequester(cfg Config, n int) (*Requester, *Electorate, time.Time) {
 	e := NewElectorate(t0, cfg)
 	e.Update(t0, MemberList{Live: addrs(1, n), Complete: true})
 	e.Confirm(t0)
 	return NewRequester(addr(1), 1, e, cfg, rand.New(rand.NewPCG(1, 2))), e, t0
 }
 
-// votes hands q votes of kind from its first n homes.
+// votes passes votes of kind from the first n voters of q to q.
 func votes(now time.Time, q *Requester, n int, kind VoteKind) []Effect {
 	sent := q.Effects(nil)
 	for _, e := range sent[:n] {
@@ -158,17 +152,16 @@
 	t.Fatalf("no %v among %v", kind, effects)
 }
 
-// Symptom: a key runs twice; the first agent was frozen before its first byte.
-// Sequence: the agent has its votes and freezes. The homes forget, another
-// agent runs the key. The first resumes and sends its first byte.
-// Cause: the agent doesn't look at the clock before it starts.
-func TestFrozenAgentDoesNotStart(t *testing.T) {
+// Guards against a key that runs twice after a pause: an agent with its votes is
+// paused before the first byte, the voters forget, another agent runs the key, and
+// the first one resumes and starts the request without checking the time.
+func TestPausedAgentDoesNotStart(t *testing.T) {
 	cfg := testConfig()
 	for pause, answer := range map[time.Duration]EffectKind{
 		cfg.Expiry:                       NotRun,
 		cfg.VoteRetention() + cfg.Expiry: Unknown,
 	} {
-		q, _, now := asker(cfg, 3)
+		q, _, now := newRequester(cfg, 3)
 		q.Begin(now, 1, key(0))
 		wantEffect(t, votes(now, q, 2, Granted), Run)
 		if q.Start(now.Add(pause), 1) {
@@ -178,10 +171,10 @@
 	}
 }
 
-// Symptom, sequence and cause as above, but the votes lay in the socket.
+// Guards against the same with votes that waited in the socket during the pause.
 func TestLateVotesAreVoid(t *testing.T) {
 	cfg := testConfig()
-	q, _, now := asker(cfg, 3)
+	q, _, now := newRequester(cfg, 3)
 	q.Begin(now, 1, key(0))
 	wantEffect(t, votes(now.Add(cfg.Expiry), q, 2, Granted), Unknown)
 	if q.Start(now.Add(cfg.Expiry), 1) {
@@ -189,14 +182,12 @@
 	}
 }
 
-// Symptom: two majorities share no home.
-// Sequence: an agent is frozen while most homes are replaced, resumes, and asks
-// the homes that it knows; or it has just started and doesn't know the homes
-// that voted before and are gone.
-// Cause: it counts other homes than the rest.
-func TestAgentWithDoubtfulRosterDoesNotAsk(t *testing.T) {
+// Guards against two majorities that share no voter. An agent may count the wrong
+// voters after a pause in which most were replaced, or after a recent start, when
+// it doesn't know departed voters.
+func TestRequesterWithStaleMemberListDoesNotAsk(t *testing.T) {
 	cfg := testConfig()
-	q, e, now := asker(cfg, 3)
+	q, e, now := newRequester(cfg, 3)
 	now = now.Add(cfg.Freshness + 1)
 	q.Begin(now, 1, key(0))
 	wantEffect(t, q.Effects(nil), Unknown)
@@ -212,13 +203,12 @@
 	wantEffect(t, q.Effects(nil), Unknown)
 }
 
-// Symptom: both sides of a long partition run the same key.
-// Sequence: the sides don't hear of each other for longer than the retention.
-// Cause: the smaller side forgets the larger one and takes itself for all.
-func TestSmallerSideForgetsNoOne(t *testing.T) {
+// Guards against a key that runs on both sides of a partition that lasts longer
+// than the retention, because the smaller side stops counting the larger one.
+func TestSmallerPartitionKeepsDepartedMembers(t *testing.T) {
 	cfg := testConfig()
 	for live, want := range map[int]int{2: 5, 3: 3} {
-		_, e, now := asker(cfg, 5)
+		_, e, now := newRequester(cfg, 5)
 		e.Update(now, MemberList{Live: addrs(1, live)})
 		e.Update(now.Add(cfg.Retention+1), MemberList{Live: addrs(1, live)})
 		if got := len(e.list); got != want {
@@ -227,14 +217,14 @@
 	}
 }
 
-func TestHomesAreOrderedAndSpread(t *testing.T) {
+func TestVotersAreOrderedAndSpread(t *testing.T) {
 	cfg := testConfig()
-	_, e, _ := asker(cfg, 20)
+	_, e, _ := newRequester(cfg, 20)
 	count := map[netip.AddrPort]int{}
 	for i := range 10_000 {
 		homes := e.voters(KeyOf(uint32(i), "", ""))
 		if len(homes) != cfg.Voters {
-			t.Fatalf("%d homes", len(homes))
+			t.Fatalf("%d voters", len(homes))
 		}
 		for _, h := range homes {
 			count[h]++
@@ -242,7 +232,7 @@
 	}
 	for h, n := range count {
 		if n < 2200 || n > 2800 {
-			t.Errorf("%v is home of %d keys, want about 2500", h, n)
+			t.Errorf("%v is a voter of %d keys, want about 2500", h, n)
 		}
 	}
 }
@@ -271,12 +261,10 @@
 	}
 }
 
-// Symptom: a caller sends its request twice on two connections of one agent,
-// and neither is run.
-// Sequence: the second begins while the first collects its votes.
-// Cause: both ask for votes, and each gets a part.
+// Guards against a request that is sent on two connections of one agent and runs on
+// neither, because both collect votes and each gets a part of them.
 func TestSecondRequestAtOneAgentDoesNotAsk(t *testing.T) {
-	q, _, now := asker(testConfig(), 3)
+	q, _, now := newRequester(testConfig(), 3)
 	q.Begin(now, 1, key(0))
 	q.Begin(now, 2, key(0))
 	sent := q.Effects(nil)
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -27,24 +27,24 @@
 		return rapid.SampledFrom(append(values, 0)).Draw(t, name)
 	}
 	return faults{
-		loss:          rate("loss", 0.05, 0.3),
-		dup:           rate("dup", 0.1, 0.5),
-		delay:         rapid.SampledFrom([]time.Duration{1e6, 1e8, 1e9, 2e10}).Draw(t, "delay"),
-		crash:         rate("crash", 0.002, 0.02),
-		restart:       rate("restart", 0.005, 0.02),
-		freeze:        rate("freeze", 0.002, 0.02),
-		partition:     rate("partition", 0.002, 0.02),
-		suspect:       rate("suspect", 0.01, 0.1),
-		join:          rate("join", 0.002, 0.01),
-		goes:          rate("leave", 0.001, 0.002),
-		longestFreeze: rapid.SampledFrom([]time.Duration{5e8, 1e10, 3e10}).Draw(t, "freeze time"),
+		loss:      rate("loss", 0.05, 0.3),
+		dup:       rate("dup", 0.1, 0.5),
+		delay:     rapid.SampledFrom([]time.Duration{1e6, 1e8, 1e9, 2e10}).Draw(t, "delay"),
+		crash:     rate("crash", 0.002, 0.02),
+		restart:   rate("restart", 0.005, 0.02),
+		pause:     rate("freeze", 0.002, 0.02),
+		partition: rate("partition", 0.002, 0.02),
+		suspect:   rate("suspect", 0.01, 0.1),
+		join:      rate("join", 0.002, 0.01),
+		leave:     rate("leave", 0.001, 0.002),
+		maxPause:  rapid.SampledFrom([]time.Duration{5e8, 1e10, 3e10}).Draw(t, "freeze time"),
 	}
 }
 
 func key(i int) Key { return KeyOf(7, "kanatpar", string(rune('a'+i))) }
 
-// honest fails unless each answer agrees with the runs so far.
-func (w *world) honest(t *rapid.T) func(*call) {
+// checkAnswers fails the test unless each answer is consistent with the runs so far.
+func (w *simulation) checkAnswers(t *rapid.T) func(*call) {
 	return func(c *call) {
 		var earlier *call
 		for _, r := range w.ran {
@@ -64,54 +64,51 @@
 	}
 }
 
-// Symptom: a reservation locks one serial number to two operators.
-// Sequence: generated: callers repeat their keys at any agent while datagrams
-// are lost, copied, late and crossed, agents crash, freeze, join and leave,
-// take each other for dead and are cut off from each other.
-// Cause: two agents believe that they may run the key.
+// Guards against a key that two agents run within its window, while callers repeat
+// requests at any agent, datagrams are lost, duplicated, delayed and reordered, and
+// agents crash, pause, join, leave, suspect each other and are partitioned.
 func TestNoKeyRunsTwiceWithinItsWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
 		cfg.Voters = rapid.SampledFrom([]int{1, 3, 5, 9}).Draw(t, "homes")
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, cfg, drawFaults(t))
-		w.check = w.honest(t)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, cfg, drawFaults(t))
+		w.check = w.checkAnswers(t)
 		w.run(60*time.Second, func() {
 			if w.rng.IntN(4) == 0 {
-				w.begin(w.rng.IntN(len(w.ps)), key(w.rng.IntN(6)))
+				w.begin(w.rng.IntN(len(w.processes)), key(w.rng.IntN(6)))
 			}
 		}, true)
 	})
 }
 
-// Symptom: every reservation is refused for a minute after a roll of agents.
-// Sequence: all agents are restarted one by one, as planned, a second each.
-// Cause: each one forgets its votes and is fenced.
+// Guards against keys that are refused for a minute after a rolling restart of all
+// agents, one second each, because every voter loses its votes and is fenced.
 func TestPlannedRollFencesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 7).Draw(t, "agents")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
-		w.check = w.honest(t)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		w.check = w.checkAnswers(t)
 		i, next := 0, 0
 		w.run(time.Duration(2*n+8)*time.Second, func() {
 			if w.step()%100 == 0 && next < n {
-				w.restart(w.ps[next], time.Second)
+				w.restart(w.processes[next], time.Second)
 				next++
 			}
-			if p := w.ps[(next+1)%n]; i < 50 && w.step()%10 == 0 && p.up {
+			if p := w.processes[(next+1)%n]; i < 50 && w.step()%10 == 0 && p.up {
 				w.begin((next+1)%n, key(i))
 				i++
 			}
 		}, false)
 		if i != 50 || len(w.ran) != 50 {
-			t.Fatalf("%d of %d keys ran", len(w.ran), i)
+			t.Fatalf("%d of %d keys ran during a rolling restart", len(w.ran), i)
 		}
 	})
 }
 
-// ranOnce is the sequential behaviour of one key: a request runs if none did
-// before, a duplicate comes after a run, not run comes before any, and unknown
-// says nothing.
+// ranOnce is the sequential specification of one key: a run needs that no request
+// ran before, a duplicate comes after a run, not run comes before any run, and
+// unknown implies nothing.
 var ranOnce = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
@@ -133,11 +130,11 @@
 		cfg := testConfig()
 		cfg.Window = time.Minute
 		f := drawFaults(t)
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "agents"), cfg, f)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "agents"), cfg, f)
 		w.check = func(*call) {}
 		w.run(30*time.Second, func() {
 			if w.rng.IntN(50) == 0 {
-				w.begin(w.rng.IntN(len(w.ps)), key(0))
+				w.begin(w.rng.IntN(len(w.processes)), key(0))
 			}
 		}, true)
 		var ops []porcupine.Operation
@@ -157,11 +154,11 @@
 	})
 }
 
-// Without faults every key runs, whichever agent is asked first.
+// Guards against a key that doesn't run although there are no faults.
 func TestEveryKeyRunsWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
 		w.check = func(*call) {}
 		i := 0
 		w.run(4*time.Second, func() {
@@ -176,15 +173,14 @@
 	})
 }
 
-// Symptom: every reservation is refused for a minute after one VM died.
-// Sequence: one agent of three or more crashes; callers come to the others.
-// Cause: keys wait for the one home that is gone.
+// Guards against keys that are refused for a minute after one of three or more
+// agents has crashed, because they wait for the vote of that agent.
 func TestOneCrashFencesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 9).Draw(t, "agents")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
 		w.check = func(*call) {}
-		w.crash(w.ps[0], time.Second)
+		w.crash(w.processes[0], time.Second)
 		i := 0
 		w.run(8*time.Second, func() {
 			if i < 50 && w.step()%5 == 0 {
