--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// AnnouncerConfig describes the process that an Announcer reports.
+// AnnouncerConfig configures the Announcer of a process.
 type AnnouncerConfig struct {
 	Self     Record           // Addr, Role, Service, Incarnation, Zone, Region, Weight, ports; State defaults to starting
-	Seeds    []netip.AddrPort // balancers to turn to when none is known: from settings and contact slots
-	Interval time.Duration    // between heartbeats, default DefaultInterval
-	Seed     uint64           // seeds the choice among Seeds and the jitter
+	Seeds    []netip.AddrPort // balancers contacted while no other is known: from settings and contact slots
+	Interval time.Duration    // between heartbeats, default DefaultHeartbeatInterval
+	Seed     uint64           // seeds the random choice among Seeds and the jitter
 }
 
-// Defaults of an Announcer.
+// Periods and limits of an Announcer.
 const (
 	DefaultHeartbeatInterval = time.Second
-	// A balancer that answered none of so many heartbeats is given up. Every
-	// second one is answered.
-	silentIntervals = 8
-	// An unanswered announcement is sent again after this time, since the
-	// state that it carries must be in force within 2 s.
+	// An observer that sent no ack for this many intervals is replaced. Every
+	// second heartbeat is acknowledged.
+	maxUnansweredIntervals = 8
+	// An unacknowledged announcement is sent again after announceRetry, since the
+	// state in it must be in force within 2 s.
 	announceRetry = 250 * time.Millisecond
-	maxKnown      = 16 // balancers that an agent remembers
-	seedTries     = 2  // seeds that are asked at once when no balancer answers
+	maxKnown      = 16 // balancers kept as replacements of unresponsive observers
+	seedTries     = 2  // seeds contacted at once while the process has no observers
 )
 
 // Announcer reports one process to its observers. The zero value is not
 // usable, see NewAnnouncer.
 type Announcer struct {
-	cfg      AnnouncerConfig
-	rng      *rand.Rand
-	self     Record
-	selfKey  key
-	contacts []contact // the observers in use
-	known    []key     // other balancers, newest last
-	seedAt   time.Time // when seeds are asked next
-	entry    uint64
-	entryOf  netip.AddrPort
-	ackAt    time.Time
-	calledAt time.Time
-	adoptAt  time.Time // when observers were last taken over from an ack
-	out      []Envelope
+	cfg          AnnouncerConfig
+	rng          *rand.Rand
+	self         Record
+	selfKey      key
+	contacts     []contact // the observers
+	known        []key     // other balancers, most recent last
+	nextSeedAt   time.Time // when seeds are contacted next
+	entryVersion uint64
+	entryFrom    netip.AddrPort
+	ackAt        time.Time
+	lastCallAt   time.Time
+	adoptedAt    time.Time // when an ack last replaced the observers
+	out          []Envelope
 }
 
-// NewAnnouncer returns an Announcer in state cfg.Self.State, or a *RecordError.
+// NewAnnouncer returns an Announcer in state cfg.Self.State, or a *RecordError if
+// cfg.Self is invalid.
 func NewAnnouncer(cfg AnnouncerConfig) (*Announcer, error) {
 	if cfg.Self.State == 0 {
 		cfg.Self.State = StateStarting
@@ -65,14 +66,14 @@
 	return a, nil
 }
 
-// Self returns the record as it is announced now.
+// Self returns the record as announced now.
 func (a *Announcer) Self() Record { return a.self }
 
 // EntryVersion returns the highest entry version that an ack carried and the
 // balancer that sent it.
-func (a *Announcer) EntryVersion() (uint64, netip.AddrPort) { return a.entry, a.entryOf }
+func (a *Announcer) EntryVersion() (uint64, netip.AddrPort) { return a.entryVersion, a.entryFrom }
 
-// LastAck returns when a balancer answered last; zero if none ever did.
+// LastAck returns when a balancer last sent an ack; zero if none has.
 func (a *Announcer) LastAck() time.Time { return a.ackAt }
 
 // Observers returns the balancers that the process reports to now.
@@ -87,16 +88,15 @@
 // SetSeeds replaces the seeds, for instance after reading the contact slots.
 func (a *Announcer) SetSeeds(seeds []netip.AddrPort) { a.cfg.Seeds = seeds }
 
-// SetState announces a new state at once. It returns false and changes
-// nothing once the process is leaving, because a balancer that heard of
-// leaving must be able to rely on it.
+// SetState announces a new state at once. It returns false and changes nothing
+// once the process is leaving, because balancers rely on leaving being final.
 func (a *Announcer) SetState(now time.Time, s State) bool {
 	if a.self.State == StateLeaving && s != StateLeaving {
 		return false
 	}
 	if a.self.State != s {
 		a.self.State = s
-		a.bump(now)
+		a.announceNewVersion(now)
 	}
 	return true
 }
@@ -105,26 +105,26 @@
 func (a *Announcer) SetWeight(now time.Time, w uint8) {
 	if a.self.Weight != w {
 		a.self.Weight = w
-		a.bump(now)
+		a.announceNewVersion(now)
 	}
 }
 
-func (a *Announcer) bump(now time.Time) {
+func (a *Announcer) announceNewVersion(now time.Time) {
 	a.self.Version++
 	for i := range a.contacts {
 		a.announce(now, &a.contacts[i])
 	}
 }
 
-// outlive raises the incarnation above one that balancers remember. It happens
-// when the clock went back between two starts: without it the old record
-// would outrank the running process for ever.
-func (a *Announcer) outlive(now time.Time, incarnation uint64) {
+// raiseIncarnation raises the incarnation above one that balancers have stored.
+// This is needed if the clock went back between two starts: otherwise the old
+// record would outrank the running process forever.
+func (a *Announcer) raiseIncarnation(now time.Time, incarnation uint64) {
 	a.self.Incarnation = incarnation + 1
 	for i := range a.contacts {
 		a.contacts[i].acked = false
 	}
-	a.bump(now)
+	a.announceNewVersion(now)
 }
 
 // Outbox returns the messages to send and empties the outbox. The slice is
@@ -135,10 +135,10 @@
 	return out
 }
 
-// NextTick returns when Tick has work to do again.
+// NextTick returns when Tick has work to do next.
 func (a *Announcer) NextTick(now time.Time) time.Time {
 	next := now.Add(announceRetry)
-	if len(a.contacts) > 0 && a.settled() {
+	if len(a.contacts) > 0 && a.allCurrent() {
 		next = now.Add(a.cfg.Interval)
 		for i := range a.contacts {
 			if t := a.contacts[i].sentAt.Add(a.cfg.Interval); t.Before(next) {
@@ -149,7 +149,7 @@
 	return next
 }
 
-func (a *Announcer) settled() bool {
+func (a *Announcer) allCurrent() bool {
 	for i := range a.contacts {
 		if !a.current(&a.contacts[i]) {
 			return false
@@ -160,10 +160,10 @@
 
 func (a *Announcer) current(c *contact) bool { return c.acked && c.version >= a.self.Version }
 
-// Tick sends what is due. Call it at least every 250 ms.
+// Tick sends due announcements and heartbeats. Call it at least every 250 ms.
 func (a *Announcer) Tick(now time.Time) {
-	a.noticePause(now)
-	a.dropSilent(now)
+	a.detectPause(now)
+	a.replaceUnresponsive(now)
 	for i := range a.contacts {
 		c := &a.contacts[i]
 		since := now.Sub(c.sentAt)
@@ -177,15 +177,15 @@
 		}
 	}
 	if len(a.contacts) == 0 {
-		a.askSeeds(now)
+		a.announceToSeeds(now)
 	}
 }
 
-func (a *Announcer) askSeeds(now time.Time) {
-	if now.Before(a.seedAt) || len(a.cfg.Seeds) == 0 {
+func (a *Announcer) announceToSeeds(now time.Time) {
+	if now.Before(a.nextSeedAt) || len(a.cfg.Seeds) == 0 {
 		return
 	}
-	a.seedAt = now.Add(a.cfg.Interval/2 + time.Duration(a.rng.Int64N(int64(a.cfg.Interval))))
+	a.nextSeedAt = now.Add(a.cfg.Interval/2 + time.Duration(a.rng.Int64N(int64(a.cfg.Interval))))
 	first := a.rng.IntN(len(a.cfg.Seeds))
 	for i := 0; i < min(seedTries, len(a.cfg.Seeds)); i++ {
 		seed := a.cfg.Seeds[(first+i)%len(a.cfg.Seeds)]
@@ -218,28 +218,28 @@
 	return hashKeys(keys[:n])
 }
 
-// Receive takes an ack from a balancer; other kinds are ignored.
+// Receive processes an ack from a balancer; other kinds are ignored.
 func (a *Announcer) Receive(now time.Time, from netip.AddrPort, m *Message) {
 	if m.Kind != KindAck {
 		return
 	}
 	if m.Incarnation > a.self.Incarnation {
-		a.outlive(now, m.Incarnation)
+		a.raiseIncarnation(now, m.Incarnation)
 		return
 	}
 	if m.Incarnation < a.self.Incarnation && m.Flags&FlagSendRecord == 0 {
-		return // meant for an earlier incarnation at this address
+		return // for an earlier incarnation at this address
 	}
 	a.ackAt = now
-	if m.EntryVersion > a.entry {
-		a.entry, a.entryOf = m.EntryVersion, from
+	if m.EntryVersion > a.entryVersion {
+		a.entryVersion, a.entryFrom = m.EntryVersion, from
 	}
 	if len(m.Peers) > 0 && a.mayAdopt(now) {
 		a.adopt(now, m.Peers)
 	}
 	if m.Flags&FlagSuspected != 0 && m.Version >= a.self.Version {
 		a.self.Version = m.Version
-		a.bump(now)
+		a.announceNewVersion(now)
 	}
 	a.acknowledge(now, keyOf(from), m)
 }
@@ -254,7 +254,7 @@
 		if c.key != k {
 			continue
 		}
-		c.heardAt = now
+		c.ackAt = now
 		if m.Flags&FlagSendRecord != 0 {
 			c.acked = false
 			a.announce(now, c)
--- a/membership/audit.go
+++ b/membership/audit.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// audit starts watches for processes that should report here but never did.
-// Without it, a process that dies together with all its observers would stay
-// alive in every roster: nobody else would notice its silence.
+// audit starts observing processes that should report here but never did.
+// Otherwise a process that fails together with all its observers would stay alive
+// in every member list, since no other balancer expects its heartbeats.
 func (m *Machine) audit(now time.Time) {
-	cells := m.roster.cells
+	cells := m.members.cells
 	for n := len(cells)/auditSweep + 1; n > 0; n-- {
-		m.auditAt++
-		if m.auditAt >= len(cells) {
-			m.auditAt = 0
+		m.auditIndex++
+		if m.auditIndex >= len(cells) {
+			m.auditIndex = 0
 		}
-		c := &cells[m.auditAt]
+		c := &cells[m.auditIndex]
 		if c.key == 0 || c.key == m.selfKey || c.verdict == VerdictDead || !m.mayObserve(c) {
 			continue
 		}
-		if _, ok := m.watchOf[c.key]; ok {
+		if _, ok := m.observationOf[c.key]; ok {
 			continue
 		}
-		t := m.roster.rank(c.key, c.role, c.zone)
+		t := m.members.rank(c.key, c.role, c.zone)
 		if contains(t.list(), m.selfKey) {
-			m.watchFor(now, c.key)
+			m.observe(now, c.key)
 		}
 	}
 }
 
-// mayObserve is a cheap first test of whether this balancer can be among the
+// mayObserve is a cheap first check whether this balancer can be among the
 // observers of c.
 func (m *Machine) mayObserve(c *cell) bool {
-	if c.zone == m.zone || len(m.roster.live[c.zone]) <= observers {
+	if c.zone == m.zone || len(m.members.live[c.zone]) <= observers {
 		return true
 	}
 	if c.role == RoleAgent {
 		return false
 	}
-	z, ok := m.roster.farZone(c.key, c.zone)
+	z, ok := m.members.farZone(c.key, c.zone)
 	return ok && z == m.zone
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -7,10 +7,10 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// BenchmarkTick measures a tick at the target size: nothing happens but the
-// audit, the watches and one comparison a second.
+// BenchmarkTick measures a tick at the target size without changes: only the audit,
+// the observations and one comparison per second run.
 func BenchmarkTick(b *testing.B) {
-	m, x, all := lab.Target(6)
+	m, x, all := lab.TargetFleet(6)
 	m.MergeAll(x.Now, all)
 	m.Changes()
 	now := x.Now
@@ -18,16 +18,16 @@
 	for b.Loop() {
 		now = now.Add(lab.TickEvery)
 		m.Tick(now)
-		m.HearNow(now)
+		m.MarkConnected(now)
 		m.Outbox()
 		m.Changes()
 	}
 }
 
-// BenchmarkHeartbeat measures one heartbeat of an agent from datagram to
-// datagram: decode, receive, encode the ack.
+// BenchmarkHeartbeat measures one heartbeat of an agent: decode, receive, and
+// encode the ack.
 func BenchmarkHeartbeat(b *testing.B) {
-	m, x, all := lab.Target(6)
+	m, x, all := lab.TargetFleet(6)
 	m.MergeAll(x.Now, all)
 	var from *Record
 	for i := range all {
@@ -55,10 +55,10 @@
 	}
 }
 
-// BenchmarkGossip measures one gossip message with one record that is news,
-// from datagram to the roster.
+// BenchmarkGossip measures one gossip message with one newer record: encode,
+// decode, and update the member list.
 func BenchmarkGossip(b *testing.B) {
-	m, x, all := lab.Target(6)
+	m, x, all := lab.TargetFleet(6)
 	m.MergeAll(x.Now, all)
 	rec := all[len(all)-1]
 	n := 0
--- a/membership/bulk.go
+++ b/membership/bulk.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// bulkZone is the records of one zone, with their labels given once.
+// bulkZone holds the records of one zone; the zone and region names are stored once.
 type bulkZone struct {
 	_       struct{} `cbor:",toarray"`
 	Zone    string
@@ -15,7 +15,7 @@
 	Records []Record
 }
 
-// maxBulkRecords bounds what DecodeAll accepts from one peer.
+// maxBulkRecords bounds the records that DecodeAll accepts.
 const maxBulkRecords = 1 << 20
 
 var bulkDecMode = func() cbor.DecMode {
@@ -31,19 +31,20 @@
 	return mode
 }()
 
-// EncodeAll returns the whole roster for a bulk transfer, without the dead.
+// EncodeAll returns the member list without dead records in CBOR, for a bulk
+// transfer. A *MessageError means a bug in this package.
 func (m *Machine) EncodeAll() ([]byte, error) {
-	zones := make([]bulkZone, len(m.roster.zones))
+	zones := make([]bulkZone, len(m.members.zones))
 	for z := range zones {
-		zones[z].Zone, zones[z].Region = m.roster.zones[z].name, m.roster.zones[z].region
-		zones[z].Records = make([]Record, 0, m.roster.zones[z].cells)
+		zones[z].Zone, zones[z].Region = m.members.zones[z].name, m.members.zones[z].region
+		zones[z].Records = make([]Record, 0, m.members.zones[z].cells)
 	}
-	for i := range m.roster.cells {
-		c := &m.roster.cells[i]
+	for i := range m.members.cells {
+		c := &m.members.cells[i]
 		if c.key == 0 || !c.digested() {
 			continue
 		}
-		rec := m.roster.record(c)
+		rec := m.members.record(c)
 		rec.Zone, rec.Region = "", ""
 		zones[c.zone].Records = append(zones[c.zone].Records, rec)
 	}
@@ -54,11 +55,12 @@
 	return b, nil
 }
 
-// DecodeAll reads what EncodeAll wrote. It checks every record.
+// DecodeAll decodes the result of EncodeAll and checks every record. It returns
+// a *MessageError for invalid data.
 func DecodeAll(b []byte) ([]Record, error) {
 	var zones []bulkZone
 	if err := bulkDecMode.Unmarshal(b, &zones); err != nil {
-		return nil, &MessageError{err.Error(), "load the roster from another balancer"}
+		return nil, &MessageError{err.Error(), "load the member list from another balancer"}
 	}
 	var all []Record
 	for z := range zones {
@@ -66,7 +68,7 @@
 			rec := &zones[z].Records[i]
 			rec.Zone, rec.Region = zones[z].Zone, zones[z].Region
 			if err := rec.Check(); err != nil {
-				return nil, &MessageError{fmt.Sprintf("record %d: %v", len(all), err), "load the roster from another balancer"}
+				return nil, &MessageError{fmt.Sprintf("record %d: %v", len(all), err), "load the member list from another balancer"}
 			}
 			all = append(all, *rec)
 		}
@@ -74,8 +76,8 @@
 	return all, nil
 }
 
-// MergeAll takes in the records of a bulk transfer. They aren't passed on by
-// gossip: the rest of the fleet has them.
+// MergeAll merges the records of a bulk transfer. They are not gossiped, since the
+// rest of the fleet has them.
 func (m *Machine) MergeAll(now time.Time, list []Record) {
 	for i := range list {
 		m.merge(now, &list[i], notGossiped)
--- a/membership/bulk_test.go
+++ b/membership/bulk_test.go
@@ -8,13 +8,11 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// Symptom: a new balancer takes minutes to know a large fleet, or loads the
-// others with repair.
-// Sequence: it joins a fleet of more records than datagrams can carry soon.
-// Cause: the need for a bulk transfer isn't noticed, or the transfer is passed
-// on as news.
+// Guards against a balancer that joins a fleet of more records than datagrams can
+// carry soon, and takes minutes to load them or causes much repair: it must request
+// a bulk transfer, and must not gossip the records of it.
 func TestJoiningBalancerLoadsInBulk(t *testing.T) {
-	x, list, _ := region(t, 8, 2, 4, 400)
+	x, list, _ := newFleet(t, 8, 2, 4, 400)
 	joined := x.Balancer(50, 1, lab.AddrOf(RoleBalancer, 0))
 	var from Record
 	asked := func() bool {
@@ -23,9 +21,9 @@
 		return ok
 	}
 	if !x.Run(10*time.Second, asked) {
-		t.Fatal("no bulk transfer is asked for within 10 s")
+		t.Fatal("no bulk transfer is requested within 10 s")
 	}
-	buf, err := x.At(from.Addr).Machine.EncodeAll()
+	buf, err := x.ProcessAt(from.Addr).Machine.EncodeAll()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,16 +33,16 @@
 	}
 	joined.Machine.MergeAll(x.Now, records)
 	if q := joined.Machine.Stats().Queued; q > 10 {
-		t.Errorf("%d records of the transfer are passed on as news", q)
+		t.Errorf("%d records of the transfer are queued for gossip", q)
 	}
-	if !x.Run(10*time.Second, x.Agree) {
-		t.Fatalf("no agreement 10 s after the transfer:%.500s", x.Differences())
+	if !x.Run(10*time.Second, x.Converged) {
+		t.Fatalf("not converged 10 s after the transfer:%.500s", x.Differences())
 	}
 	_ = list
 }
 
-// FuzzReceive feeds arbitrary datagrams to both state machines: none may
-// panic, be encoded beyond the bound, or be answered by many.
+// FuzzReceive passes arbitrary datagrams to both state machines. No datagram may
+// cause a panic, an answer above MaxMessage, or many answers.
 func FuzzReceive(f *testing.F) {
 	x := newExchange(f, 1)
 	rec := x.NewRecord(RoleAgent, 1, 0)
@@ -86,7 +84,7 @@
 		list[0].Machine.Tick(x.Now.Add(lab.TickEvery))
 		out := list[0].Machine.Outbox()
 		if len(out) > 100 {
-			t.Errorf("%d messages in answer to one", len(out))
+			t.Errorf("one message caused %d answers", len(out))
 		}
 		for _, e := range out {
 			if _, err := Encode(e.Msg); err != nil {
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -5,58 +5,57 @@
 	"time"
 )
 
-// noticePause keeps a process that was stopped from giving up its observers:
-// their answers wait in its socket, and they are not the silent ones.
-func (a *Announcer) noticePause(now time.Time) {
-	gap := now.Sub(a.calledAt)
-	if !a.calledAt.IsZero() && gap > a.cfg.Interval {
+// detectPause resets the contacts after a pause of this process. Their answers
+// wait in its socket, so they must not count as unresponsive.
+func (a *Announcer) detectPause(now time.Time) {
+	gap := now.Sub(a.lastCallAt)
+	if !a.lastCallAt.IsZero() && gap > a.cfg.Interval {
 		for i := range a.contacts {
-			a.contacts[i].heardAt = now
+			a.contacts[i].ackAt = now
 		}
 	}
-	a.calledAt = now
+	a.lastCallAt = now
 }
 
-// dropSilent gives up contacts that no longer answer and replaces them.
-func (a *Announcer) dropSilent(now time.Time) {
-	limit := silentIntervals * a.cfg.Interval
+// replaceUnresponsive drops contacts that no longer answer and replaces them.
+func (a *Announcer) replaceUnresponsive(now time.Time) {
+	limit := maxUnansweredIntervals * a.cfg.Interval
 	kept := a.contacts[:0]
 	for _, c := range a.contacts {
-		if now.Sub(c.heardAt) < limit {
+		if now.Sub(c.ackAt) < limit {
 			kept = append(kept, c)
 		}
 	}
-	lost := len(a.contacts) - len(kept)
+	dropped := len(a.contacts) - len(kept)
 	a.contacts = kept
-	for ; lost > 0 && len(a.known) > 0; lost-- {
-		k := a.takeKnown()
-		a.contacts = append(a.contacts, contact{key: k, heardAt: now})
+	for ; dropped > 0 && len(a.known) > 0; dropped-- {
+		k := a.takeBestKnown()
+		a.contacts = append(a.contacts, contact{key: k, ackAt: now})
 	}
 }
 
-// takeKnown removes the best-scored balancer from known.
-func (a *Announcer) takeKnown() key {
-	t := top{subject: a.selfKey}
+// takeBestKnown removes the balancer with the highest score from known.
+func (a *Announcer) takeBestKnown() key {
+	t := ranking{subject: a.selfKey}
 	t.add(a.known, 1)
 	a.known = without(a.known, t.keys[0])
 	return t.keys[0]
 }
 
-// mayAdopt limits how often acks replace the observers. Two balancers whose
-// rosters differ name different ones; each replacement makes announcements,
-// and each of these an ack that may name others again. Unlimited, that is a
-// storm at the speed of the network, seen as a process that sends thousands
-// of announcements a second.
+// mayAdopt limits how often acks replace the observers. Two balancers with
+// different member lists name different observers, each replacement causes
+// announcements, and each of these an ack that may name other observers. Without
+// the limit one process sends thousands of announcements per second.
 func (a *Announcer) mayAdopt(now time.Time) bool {
-	if len(a.contacts) > 0 && now.Sub(a.adoptAt) < a.cfg.Interval {
+	if len(a.contacts) > 0 && now.Sub(a.adoptedAt) < a.cfg.Interval {
 		return false
 	}
-	a.adoptAt = now
+	a.adoptedAt = now
 	return true
 }
 
-// adopt takes the observers that a balancer named and keeps the former ones
-// as spares.
+// adopt replaces the observers with those that a balancer named, and keeps the
+// former ones in known.
 func (a *Announcer) adopt(now time.Time, peers []netip.AddrPort) {
 	next := make([]contact, 0, observers)
 	for _, p := range peers {
@@ -85,7 +84,7 @@
 			return c
 		}
 	}
-	return contact{key: k, heardAt: now}
+	return contact{key: k, ackAt: now}
 }
 
 func (a *Announcer) remember(k key, used []contact) {
@@ -107,11 +106,11 @@
 	return false
 }
 
-// contact is one balancer as its subject sees it.
+// contact is one observer, as known by the process that reports to it.
 type contact struct {
 	key     key
 	sentAt  time.Time // of the last message
-	heardAt time.Time // of the last ack, or when it was learned
-	version uint32    // highest version that it acknowledged
-	acked   bool      // ever, for this incarnation
+	ackAt   time.Time // of the last ack, or when the contact was added
+	version uint32    // highest version that the contact acknowledged
+	acked   bool      // the contact has acknowledged this incarnation
 }
--- a/membership/delta.go
+++ b/membership/delta.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Delta is what can change of a Record within one incarnation. Most gossip is
-// about processes that the receiver knows, and a Delta takes less than half of
-// a Record.
+// Delta holds the fields of a Record that can change within one incarnation.
+// Most gossip is about processes that the receiver knows, and a Delta takes less
+// than half the bytes of a Record.
 type Delta struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -19,10 +19,10 @@
 	Weight      uint8
 }
 
-// maxWants bounds the records asked for after one message of deltas.
+// maxWants bounds the records requested after one message with deltas.
 const maxWants = 40
 
-const sizeDelta = 10 // the parts of a Delta that always take the same
+const sizeDelta = 10 // the parts of a Delta that have a fixed size
 
 func (d *Delta) size() int {
 	n := sizeDelta + sizeUint(uint64(d.Incarnation))
@@ -32,7 +32,7 @@
 func (d *Delta) check() error {
 	bad := !d.Addr.Addr().Is4() || d.State < StateStarting || d.State > StateLeaving || d.Verdict > VerdictDead
 	if bad {
-		return &MessageError{"delta out of bounds", "count and drop the datagram"}
+		return &MessageError{"delta field out of bounds", "count and drop the datagram"}
 	}
 	return nil
 }
@@ -46,21 +46,21 @@
 	}
 }
 
-// mergeDelta takes in a delta; false if the record that it changes isn't known
-// here and has to be asked for.
+// mergeDelta applies a delta; false if the record of that incarnation isn't known
+// here and has to be requested.
 func (m *Machine) mergeDelta(now time.Time, d *Delta) bool {
-	c := m.roster.find(keyOf(d.Addr))
+	c := m.members.find(keyOf(d.Addr))
 	if c == nil || shortIncarnation(c.incarnation) != d.Incarnation {
 		return false
 	}
-	rec := m.roster.record(c)
+	rec := m.members.record(c)
 	rec.Version, rec.State, rec.Verdict, rec.Weight = d.Version, d.State, d.Verdict, d.Weight
 	m.merge(now, &rec, 0)
 	return true
 }
 
-// mergeDeltas takes in deltas and asks the sender for the records it lacks. A
-// delta of an earlier incarnation is asked for in vain, which costs little.
+// mergeDeltas applies deltas and requests missing records from the sender. For a
+// delta of an earlier incarnation this request is useless, but cheap.
 func (m *Machine) mergeDeltas(now time.Time, from netip.AddrPort, list []Delta) {
 	var want []netip.AddrPort
 	for i := range list {
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// One balancer and one agent, with the messages between them carried by hand.
+// One balancer and one agent. The example carries the messages between them.
 func Example() {
 	now := time.Unix(1_000_000, 0)
 	balancer := netip.MustParseAddrPort("10.0.0.1:7000")
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,65 +7,68 @@
 )
 
 const (
-	// fanOut balancers get each gossip message: with 3 a change is known to
-	// four times as many after each period.
+	// fanOut is the number of balancers that get each gossip message: with 3 a
+	// change is known to four times as many balancers after each period.
 	fanOut = 3
-	// farFanOut of them are picked from the whole fleet, the rest from the
-	// own availability zone, where latency and traffic cost least.
+	// farFanOut of them are picked from the whole fleet, the rest from the own
+	// availability zone, where latency and traffic cost least.
 	farFanOut = 1
-	// repairedLeft transmissions are spent on a record that came by repair:
-	// most others know it already.
-	repairedLeft = 3
-	// backlog of changes above which each gets only backlogTransmissions, so
-	// that a burst reaches most balancers soon; repair fetches the rest.
+	// repairTransmissions is how often a record received by repair is gossiped:
+	// most balancers know it already.
+	repairTransmissions = 3
+	// backlog is the number of waiting changes above which each is sent only
+	// backlogTransmissions times, so that a burst reaches most balancers soon;
+	// repair fetches the rest.
 	backlog              = 16
 	backlogTransmissions = 9
-	// floodedRoom is what a message must hold while changes wait: small ones
-	// would spend the byte rate on headers.
-	floodedRoom = 400
-	// spareTransmissions beyond the logarithm of the fleet make up for loss.
+	// minBackloggedSpace is the least space in bytes for changes in a message
+	// while there is a backlog: small messages would spend the byte rate on headers.
+	minBackloggedSpace = 400
+	// spareTransmissions are added to the logarithm of the fleet size to make up
+	// for lost messages.
 	spareTransmissions = 6
 )
 
-// transmissions is how often each balancer passes on one change. It grows with
-// the logarithm of the fleet: the share that a change misses falls by e with
-// each further transmission, and repair fetches the rest.
+// transmissions returns how often each balancer passes on one change. It grows
+// with the logarithm of the fleet size: each further transmission divides the
+// share of balancers that miss a change by e, and repair fetches the rest.
 func (m *Machine) transmissions() int {
-	n := bits.Len(uint(len(m.roster.liveAll()))) + spareTransmissions
-	if m.flooded() {
+	n := bits.Len(uint(len(m.members.liveAll()))) + spareTransmissions
+	if m.backlogged() {
 		return min(n, backlogTransmissions)
 	}
 	return n
 }
 
-// gossipQueue orders changes by urgency, then by fewest transmissions. The
-// urgent ones take work away from a process: if they are late, work goes to a
-// process that won't do it.
+// gossipQueue orders changes by urgency, then by fewest transmissions. Changes
+// after which a process takes no new work are urgent: until they spread, work is
+// sent to a process that will not do it.
 type gossipQueue struct {
-	level  map[key]queuePos
-	levels [2][32][]key // by class and transmissions, first in first out
+	position map[key]queuePos
+	levels   [2][32][]key // by class and number of transmissions, each first in, first out
 }
 
 type queuePos struct {
 	class uint8
 	sent  uint8
-	full  bool // the receivers don't know the incarnation yet
+	full  bool // send the full record: the receivers don't know this incarnation yet
 }
 
-// add queues a change; full is kept if an earlier change of it waits as such.
+// add queues a change. It stays a full record if an earlier change of it is
+// queued as one.
 func (q *gossipQueue) add(k key, urgent, full bool, sent int) {
-	if q.level == nil {
-		q.level = map[key]queuePos{}
+	if q.position == nil {
+		q.position = map[key]queuePos{}
 	}
-	p := queuePos{class: 1, sent: uint8(min(max(sent, 0), 31)), full: full || q.level[k].full}
+	p := queuePos{class: 1, sent: uint8(min(max(sent, 0), 31)), full: full || q.position[k].full}
 	if urgent {
 		p.class = 0
 	}
-	q.level[k] = p
+	q.position[k] = p
 	q.levels[p.class][p.sent] = append(q.levels[p.class][p.sent], k)
 }
 
-// take removes the next change in order; ok is false when none is left.
+// take removes the next change in order; ok is false if the queue is empty.
 func (q *gossipQueue) take() (k key, p queuePos, ok bool) {
 	for class := range q.levels {
 		for sent := range q.levels[class] {
@@ -73,9 +76,9 @@
 			for len(*list) > 0 {
 				k = (*list)[0]
 				*list = (*list)[1:]
-				p, ok = q.level[k]
+				p, ok = q.position[k]
 				if ok && int(p.class) == class && int(p.sent) == sent {
-					delete(q.level, k)
+					delete(q.position, k)
 					return k, p, true
 				}
 			}
@@ -85,7 +88,7 @@
 	return 0, queuePos{}, false
 }
 
-// gossip sends the changes that have been sent least to a few balancers.
+// gossip sends the changes with the fewest transmissions to a few balancers.
 func (m *Machine) gossip(now time.Time) {
 	targets := m.gossipTargets()
 	if len(targets) == 0 {
@@ -101,44 +104,44 @@
 	}
 }
 
-// gossipMessage packs as many changes as the byte budget allows, nil if there
-// are none.
+// gossipMessage packs as many changes as the byte budget allows. It returns nil
+// if there are none or the budget is too small.
 func (m *Machine) gossipMessage(limit, copies int) *Message {
-	if len(m.queue.level) == 0 && !m.factsWait(limit) {
+	if len(m.queue.position) == 0 && !m.zoneStatusPending(limit) {
 		return nil
 	}
-	room := min(MaxMessage-sizeHead, int(m.tokens)/copies-sizeTypical-sizeOnWire)
+	space := min(MaxMessage-sizeHead, int(m.tokens)/copies-sizeTypical-sizeOnWire)
 	least := maxRecord
-	if m.flooded() {
-		least = max(maxRecord, min(floodedRoom, m.cfg.Rate/2*3/4/copies-sizeTypical-sizeOnWire))
+	if m.backlogged() {
+		least = max(maxRecord, min(minBackloggedSpace, m.cfg.Rate/2*3/4/copies-sizeTypical-sizeOnWire))
 	}
-	if room < least {
+	if space < least {
 		m.stats.RateLimited++
 		return nil
 	}
 	msg := &Message{Kind: KindGossip}
-	room = m.zoneFacts(msg, room)
-	type taken struct {
+	space = m.addZoneStatuses(msg, space)
+	type queued struct {
 		k key
 		p queuePos
 	}
-	var again []taken
-	for room >= maxRecord {
+	var requeue []queued
+	for space >= maxRecord {
 		k, p, ok := m.queue.take()
 		if !ok {
 			break
 		}
-		c := m.roster.find(k)
+		c := m.members.find(k)
 		if c == nil {
 			continue
 		}
-		room -= m.pack(msg, c, p.full)
+		space -= m.pack(msg, c, p.full)
 		p.sent += uint8(copies)
 		if int(p.sent) < limit {
-			again = append(again, taken{k, p})
+			requeue = append(requeue, queued{k, p})
 		}
 	}
-	for _, t := range again {
+	for _, t := range requeue {
 		m.queue.add(t.k, t.p.class == 0, t.p.full, int(t.p.sent))
 	}
 	if len(msg.Records) == 0 && len(msg.Deltas) == 0 && len(msg.Zones) == 0 {
@@ -147,10 +150,10 @@
 	return msg
 }
 
-// pack adds a change to a message and returns its size.
+// pack adds a change to a message and returns its encoded size in bytes.
 func (m *Machine) pack(msg *Message, c *cell, full bool) int {
 	if full {
-		rec := m.roster.record(c)
+		rec := m.members.record(c)
 		msg.Records = append(msg.Records, rec)
 		return rec.size()
 	}
@@ -159,19 +162,19 @@
 	return d.size()
 }
 
-func (m *Machine) factsWait(limit int) bool {
-	for z := range m.views {
-		if m.views[z].sent < limit {
+func (m *Machine) zoneStatusPending(limit int) bool {
+	for z := range m.zoneStates {
+		if m.zoneStates[z].sent < limit {
 			return true
 		}
 	}
 	return false
 }
 
-// gossipTargets picks distinct balancers, mostly of the own zone.
+// gossipTargets picks distinct balancers, most of them in the own zone.
 func (m *Machine) gossipTargets() []netip.AddrPort {
 	targets := make([]netip.AddrPort, 0, fanOut)
-	near, all := m.roster.live[m.zone], m.roster.liveAll()
+	near, all := m.members.live[m.zone], m.members.liveAll()
 	targets = m.pick(targets, near, fanOut-farFanOut)
 	return m.pick(targets, all, fanOut-len(targets))
 }
@@ -200,16 +203,16 @@
 	return false
 }
 
-// onRecords takes in gossip or repair. A repair that is older than what is
-// known here is answered with the newer record; gossip isn't, since the
-// sender will get it by gossip too.
+// onRecords merges the records, deltas and zone statuses of a gossip or repair
+// message. An outdated record in a repair is answered with the newer one. In
+// gossip it is not, since the sender will receive the newer one by gossip too.
 func (m *Machine) onRecords(now time.Time, from netip.AddrPort, msg *Message) {
 	for i := range msg.Zones {
-		m.mergeFact(now, &msg.Zones[i])
+		m.mergeZoneStatus(now, &msg.Zones[i])
 	}
 	sent := 0
 	if msg.Kind == KindRepair {
-		sent = m.transmissions() - repairedLeft
+		sent = m.transmissions() - repairTransmissions
 	}
 	var newer []Record
 	for i := range msg.Records {
@@ -217,8 +220,8 @@
 		if m.merge(now, rec, sent) || msg.Kind != KindRepair {
 			continue
 		}
-		if c := m.roster.find(keyOf(rec.Addr)); c != nil {
-			if own := m.roster.record(c); own.Newer(rec) {
+		if c := m.members.find(keyOf(rec.Addr)); c != nil {
+			if own := m.members.record(c); own.Newer(rec) {
 				newer = append(newer, own)
 			}
 		}
--- a/membership/lab/doc.go
+++ b/membership/lab/doc.go
@@ -1,7 +1,7 @@
-// Package lab measures membership: it drives many state machines in one
-// process through an in-memory exchange of messages in simulated time, with
-// loss, duplication, delay, cuts, pauses and restarts.
+// Package lab measures the membership package. It runs many state machines in one
+// process, in simulated time, and carries their messages in memory, with loss,
+// duplication, delay, cuts, pauses and restarts.
 //
-// The exchange is a fake at the interface of Machine and Announcer: there are
-// no sockets, no kernel and no seal. Everything follows from the seed.
+// The exchange replaces the network at the interface of Machine and Announcer: there
+// are no sockets, no kernel and no seal. All results are determined by the seed.
 package lab
--- a/membership/lab/exchange.go
+++ b/membership/lab/exchange.go
@@ -10,31 +10,31 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Exchange carries messages between state machines in simulated time. Its
-// network's settings may change at any time. It isn't safe for concurrent use.
+// Exchange carries messages between state machines in simulated time. The settings
+// of its network may change at any time. It is not safe for concurrent use.
 type Exchange struct {
 	exchange.Network[*Process]
 	Now       time.Time
 	Start     time.Time
-	Processes []*Process // in the order in which they were added, the stopped included
+	Processes []*Process // in the order of Add, including stopped ones
 
-	Encode   bool                                   // send through Encode and Decode
-	OnChange func(p *Process, c *membership.Change) // sees each change of a roster; may be nil
-	Fail     func(err *FaultError)                  // is told of a fault that no run survives; it must not return
+	Encode   bool                                   // pass each message through Encode and Decode
+	OnChange func(p *Process, c *membership.Change) // called on each change of a member list; may be nil
+	Fail     func(err *FaultError)                  // called on a fault that ends the run; must not return
 
-	by    map[netip.AddrPort]*Process
-	slots [slotCount][]Delivery
-	seed  uint64
+	byAddr map[netip.AddrPort]*Process
+	due    [maxDelaySteps][]Delivery
+	seed   uint64
 }
 
-// Step is the resolution of the simulated time and the delay within a region.
+// Step is the resolution of simulated time and the delay of messages within a region.
 const Step = 5 * time.Millisecond
 
 // TickEvery is the time between two ticks of a process.
 const TickEvery = 100 * time.Millisecond
 
-// slotCount bounds the delay of a message to slotCount times Step.
-const slotCount = 256
+// maxDelaySteps bounds the delay of a message, in units of Step.
+const maxDelaySteps = 256
 
 // FaultError is a fault of a state machine or codec that ends a run.
 type FaultError struct {
@@ -51,33 +51,33 @@
 
 func (e *FaultError) Unwrap() error { return e.Err }
 
-// NewExchange returns an exchange without processes. A fault panics with a
-// FaultError unless Fail is set.
+// NewExchange returns an exchange without processes. Unless Fail is replaced, a
+// fault panics with a *FaultError.
 func NewExchange(seed uint64) *Exchange {
 	start := time.Unix(1_000_000, 0)
-	x := &Exchange{Now: start, Start: start, seed: seed, by: map[netip.AddrPort]*Process{}}
+	x := &Exchange{Now: start, Start: start, seed: seed, byAddr: map[netip.AddrPort]*Process{}}
 	x.Rand = rand.New(rand.NewPCG(seed, 1))
 	x.Delay = func(_, _ *Process) time.Duration { return Step }
 	x.Fail = func(err *FaultError) { panic(err) }
 	return x
 }
 
-// At returns the process that has the address now, or nil.
-func (x *Exchange) At(a netip.AddrPort) *Process { return x.by[a] }
+// ProcessAt returns the process at address a, or nil.
+func (x *Exchange) ProcessAt(a netip.AddrPort) *Process { return x.byAddr[a] }
 
-// Add adds a process. One that has the same address is stopped.
+// Add adds a process and stops a previous process at the same address.
 func (x *Exchange) Add(p *Process) *Process {
-	p.phase = x.Rand.IntN(int(TickEvery / Step))
-	if old := x.by[p.Record.Addr]; old != nil {
+	p.tickStep = x.Rand.IntN(int(TickEvery / Step))
+	if old := x.byAddr[p.Record.Addr]; old != nil {
 		old.Stopped = true
 	}
-	x.by[p.Record.Addr] = p
+	x.byAddr[p.Record.Addr] = p
 	x.Processes = append(x.Processes, p)
 	return p
 }
 
-// Run passes time in steps until d has passed or done, if given, holds. It
-// reports whether done held.
+// Run passes time in steps of Step until d has passed or done returns true. done may
+// be nil. Run reports whether done returned true.
 func (x *Exchange) Run(d time.Duration, done func() bool) bool {
 	for end := x.Now.Add(d); x.Now.Before(end); {
 		x.step()
@@ -91,7 +91,7 @@
 func (x *Exchange) step() {
 	x.Now = x.Now.Add(Step)
 	n := int(x.Now.Sub(x.Start) / Step)
-	slot := &x.slots[n%slotCount]
+	slot := &x.due[n%maxDelaySteps]
 	if len(*slot) > 100*len(x.Processes)+1000 {
 		x.Fail(&FaultError{What: fmt.Sprintf("message storm: %d messages within %v", len(*slot), Step)})
 	}
@@ -101,7 +101,7 @@
 	clear(*slot)
 	*slot = (*slot)[:0]
 	for _, p := range x.Processes {
-		if p.Stopped || p.Paused || n%int(TickEvery/Step) != p.phase {
+		if p.Stopped || p.Paused || n%int(TickEvery/Step) != p.tickStep {
 			continue
 		}
 		p.tick(x.Now)
@@ -124,7 +124,7 @@
 	x.Flush(p)
 }
 
-// Resume lets a paused process go on; it finds what waited in its socket.
+// Resume continues a paused process, which receives the messages in its Inbox.
 func (x *Exchange) Resume(p *Process) {
 	p.Paused = false
 	for _, d := range p.Inbox {
@@ -133,8 +133,8 @@
 	p.Inbox = nil
 }
 
-// Flush sends what a process has to send, after a call of its state machine
-// from outside the exchange.
+// Flush sends the outbox of a process. Call it after a call of its state machine from
+// outside the exchange.
 func (x *Exchange) Flush(p *Process) {
 	out := p.outbox()
 	if p.Machine != nil {
@@ -148,25 +148,25 @@
 	for _, e := range out {
 		p.SentMessages++
 		p.SentBytes += membership.WireSize(e.Msg)
-		x.carry(p, e)
+		x.send(p, e)
 	}
 }
 
-func (x *Exchange) carry(p *Process, e membership.Envelope) {
-	to := x.by[e.To]
+func (x *Exchange) send(p *Process, e membership.Envelope) {
+	to := x.byAddr[e.To]
 	if x.Encode {
-		e.Msg = x.recode(e.Msg)
+		e.Msg = x.roundTrip(e.Msg)
 	}
 	if to == nil {
 		return
 	}
 	x.Carry(p, to, func(delay time.Duration) {
-		n := int(x.Now.Add(delay).Sub(x.Start)/Step) % slotCount
-		x.slots[n] = append(x.slots[n], Delivery{p.Record.Addr, to, e.Msg})
+		n := int(x.Now.Add(delay).Sub(x.Start)/Step) % maxDelaySteps
+		x.due[n] = append(x.due[n], Delivery{p.Record.Addr, to, e.Msg})
 	})
 }
 
-func (x *Exchange) recode(m *membership.Message) *membership.Message {
+func (x *Exchange) roundTrip(m *membership.Message) *membership.Message {
 	b, err := membership.Encode(m)
 	if err != nil {
 		x.Fail(&FaultError{fmt.Sprintf("encode %+v", m), err})
--- a/membership/lab/experiment.go
+++ b/membership/lab/experiment.go
@@ -8,28 +8,28 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// Config is what the experiments take; a zero field means each experiment's
-// own, which is the size of docs/measure/membership.md.
+// Config configures the experiments. A zero field means the default of each
+// experiment, which is the size in docs/measure/membership.md.
 type Config struct {
-	Sizes     []float64     // numbers of balancers, of spread
-	Losses    []float64     // shares of messages lost, of spread
-	Changes   int           // of spread and burst
-	Zones     int           // of the experiments with zones
-	Balancers int           // a zone; in all of burst and reports
-	Agents    int           // a zone
+	Sizes     []float64     // numbers of balancers; spread only
+	Losses    []float64     // shares of messages lost; spread only
+	Changes   int           // number of changes; spread and burst only
+	Zones     int           // number of zones; experiments with zones only
+	Balancers int           // per zone; in total for burst and reports
+	Agents    int           // per zone
 	Duration  time.Duration // simulated time
-	Seed      uint64        // 1 is that of docs/measure/membership.md
+	Seed      uint64        // docs/measure/membership.md uses 1
 }
 
-// DefaultConfig leaves all but the seed to the experiments.
+// DefaultConfig returns a Config with all defaults and seed 1.
 func DefaultConfig() Config { return Config{Seed: 1} }
 
-// ConfigError names a field of Config that can't be used and its remedy.
+// ConfigError reports an invalid field of Config and the remedy.
 type ConfigError struct{ Field, Remedy string }
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("membership/lab: %s: %s", e.Field, e.Remedy) }
 
-// The most processes that fit the addresses of the exchange.
+// maxProcesses is the number of processes of a role that have distinct addresses.
 const maxProcesses = 65_536
 
 func (c Config) check() error {
@@ -43,18 +43,18 @@
 	case c.Zones < 0 || c.Zones > 100:
 		return &ConfigError{"zones", "give 0 to 100"}
 	case c.Balancers < 0 || c.Balancers == 1 || c.Agents < 0 || max(c.Zones, 18)*max(c.Balancers, c.Agents) > maxProcesses:
-		return &ConfigError{"balancers and agents", fmt.Sprintf("give 0 or from 2 on, at most %d in all zones", maxProcesses)}
+		return &ConfigError{"balancers and agents", fmt.Sprintf("give 0, or 2 and more, at most %d in all zones", maxProcesses)}
 	case c.Duration < 0 || c.Duration > 0 && c.Duration < 10*time.Second:
 		return &ConfigError{"duration", "give 0 or at least 10s"}
 	}
 	return nil
 }
 
-// seed returns the seed of an experiment whose own is given.
+// seed returns the seed of an experiment with the default seed own.
 func (c Config) seed(own uint64) uint64 { return own + c.Seed - 1 }
 
-// or returns v, or own if v is zero.
-func or[T comparable](v, own T) T {
+// orDefault returns v, or own if v is zero.
+func orDefault[T comparable](v, own T) T {
 	var zero T
 	if v == zero {
 		return own
@@ -62,18 +62,18 @@
 	return v
 }
 
-// Experiments are all experiments, in the order of docs/measure/membership.md.
-// Their Run returns a ConfigError for a config that can't be used and a
-// FaultError for a fault of a state machine.
+// Experiments lists all experiments, in the order of docs/measure/membership.md.
+// Run returns a *ConfigError for an invalid Config and a *FaultError for a fault of
+// a state machine.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "spread", Run: checked(spread), Tell: "time and bytes until a change is known, by number of balancers and loss"},
-	{Name: "burst", Run: checked(bursts), Tell: "the same for many changes at once and ten a second"},
-	{Name: "reports", Run: checked(reports), Tell: "traffic at rest, with as many agents a balancer as at the target size"},
-	{Name: "memory", Run: checked(memory), Tell: "heap and bulk transfer of a roster of the target size"},
+	{Name: "spread", Run: checked(spread), Tell: "time and bytes until all balancers know a change, by number of balancers and loss"},
+	{Name: "burst", Run: checked(bursts), Tell: "the same for many changes at once, and at ten per second"},
+	{Name: "reports", Run: checked(reports), Tell: "traffic at rest, with as many agents per balancer as at the target size"},
+	{Name: "memory", Run: checked(memory), Tell: "heap and bulk transfer size of a member list of the target size"},
 	{Name: "day", Run: checked(day), Tell: "traffic while processes restart as on an ordinary day"},
-	{Name: "zone-loss", Run: checked(zoneLoss), Tell: "until the loss of a zone is known, and what it costs"},
-	{Name: "region-apart", Run: checked(regionApart), Tell: "until rosters agree after a region was cut off for the duration"},
-	{Name: "rack-loss", Run: checked(rackLoss), Tell: "until the loss of 40 processes of a zone is known"},
+	{Name: "zone-loss", Run: checked(zoneLoss), Tell: "time until all balancers know the loss of a zone, and its traffic"},
+	{Name: "region-apart", Run: checked(regionApart), Tell: "time until member lists converge after a region was cut off for the duration"},
+	{Name: "rack-loss", Run: checked(rackLoss), Tell: "time until all balancers know the loss of 40 processes of a zone"},
 	{Name: "suspicions", Run: checked(suspicions), Tell: "verdicts on healthy processes under loss and pauses"},
 }
 
--- a/membership/lab/failure.go
+++ b/membership/lab/failure.go
@@ -7,24 +7,24 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Losses counts what balancers noted while zones were lost to them.
-type Losses struct {
-	Down     map[*Process]bool // balancers that hold a zone for lost
-	Verdicts int               // about single processes
-	Flaps    int               // changes of zones
+// ZoneChanges counts the changes that balancers reported during a failure of zones.
+type ZoneChanges struct {
+	ZoneDown map[*Process]bool // balancers for which a zone is unreachable
+	Verdicts int               // suspect and dead verdicts on single processes
+	Flaps    int               // changes of a zone's reachability
 }
 
-// WatchLosses takes over x.OnChange.
-func WatchLosses(x *Exchange) *Losses {
-	l := &Losses{Down: map[*Process]bool{}}
+// RecordZoneChanges replaces x.OnChange and returns the counters it updates.
+func RecordZoneChanges(x *Exchange) *ZoneChanges {
+	l := &ZoneChanges{ZoneDown: map[*Process]bool{}}
 	x.OnChange = func(p *Process, c *membership.Change) {
 		switch {
 		case c.Kind == membership.ChangeZone:
 			l.Flaps++
 			if c.Reachable {
-				delete(l.Down, p)
+				delete(l.ZoneDown, p)
 			} else {
-				l.Down[p] = true
+				l.ZoneDown[p] = true
 			}
 		case c.Kind == membership.ChangeRecord && c.Record.Verdict != membership.VerdictAlive:
 			l.Verdicts++
@@ -33,21 +33,21 @@
 	return l
 }
 
-// ZoneLossResult is how the loss of a zone became known.
+// ZoneLossResult is the result of ZoneLoss.
 type ZoneLossResult struct {
 	Balancers, Agents int
-	Outside, Known    int              // balancers outside the zone, and those of them that know
+	Outside, Known    int              // balancers outside the zone, and how many of them know of the loss
 	Took              time.Duration    // until all know; at most a minute
-	Extra             float64          // B sent by a balancer beyond what it sends at rest
-	Verdicts          int              // on single processes, by all
+	Extra             float64          // bytes sent per balancer beyond the traffic at rest
+	Verdicts          int              // on single processes, by all balancers
 	StillReady        []netip.AddrPort // agents of the zone that still get work
 }
 
 // ZoneLoss stops all processes of one zone at once.
 func ZoneLoss(seed uint64, zones, balancers, agents int) ZoneLossResult {
 	x := NewExchange(seed)
-	list, as := Settle(x, zones, balancers, agents)
-	l := WatchLosses(x)
+	list, as := ConvergedFleet(x, zones, balancers, agents)
+	l := RecordZoneChanges(x)
 	outside := list[balancers:]
 	idle := x.Traffic(outside, 10*time.Second)
 	for _, p := range list[:balancers] {
@@ -57,9 +57,9 @@
 		as[i].Stopped = true
 	}
 	start, before := x.Now, Sent(outside)
-	x.Run(60*time.Second, func() bool { return len(l.Down) == len(outside) })
+	x.Run(60*time.Second, func() bool { return len(l.ZoneDown) == len(outside) })
 	r := ZoneLossResult{
-		Balancers: len(list), Agents: len(as), Outside: len(outside), Known: len(l.Down),
+		Balancers: len(list), Agents: len(as), Outside: len(outside), Known: len(l.ZoneDown),
 		Took: x.Now.Sub(start), Verdicts: l.Verdicts,
 	}
 	r.Extra = (Sent(outside).Bytes-before.Bytes)/float64(len(outside)) - idle.Bytes*r.Took.Seconds()
@@ -71,24 +71,24 @@
 	return r
 }
 
-// RegionResult is how a region came back after it was cut off.
+// RegionResult is the result of RegionApart.
 type RegionResult struct {
 	Balancers, Agents, Changes int
-	Down                       int           // balancers that held the other side for lost
-	Verdicts                   int           // on single processes, by all
-	Agreed                     bool          // within two minutes after the cut healed
-	Took                       time.Duration // from there to agreement
-	Extra                      float64       // B sent by a balancer beyond what it sends at rest
-	Idle, Peak                 float64       // B/s sent by a balancer, at rest and in the busiest second
-	Differences                string        // between the rosters, unless Agreed
+	ZoneDown                   int           // balancers for which a zone of the other side was unreachable
+	Verdicts                   int           // on single processes, by all balancers
+	Converged                  bool          // within two minutes after the cut healed
+	Took                       time.Duration // from the end of the cut until convergence
+	Extra                      float64       // bytes sent per balancer beyond the traffic at rest
+	Idle, Peak                 float64       // B/s sent per balancer, at rest and in the busiest second
+	Differences                string        // between the member lists, unless Converged
 }
 
 // RegionApart cuts region 0 off for the time apart, while agents change.
 func RegionApart(seed uint64, zones, balancers, agents int, apart time.Duration) RegionResult {
 	x := NewExchange(seed)
-	list, as := Settle(x, zones, balancers, agents)
+	list, as := ConvergedFleet(x, zones, balancers, agents)
 	idle := x.Traffic(list, 10*time.Second)
-	l := WatchLosses(x)
+	l := RecordZoneChanges(x)
 	x.Cut = func(from, to *Process) bool {
 		return (from.Record.Region == "region-0") != (to.Record.Region == "region-0")
 	}
@@ -98,43 +98,43 @@
 		a.SetWeight(x.Now, a.Self().Weight+1)
 		x.Run(2500*time.Millisecond, nil)
 	}
-	r.Down, r.Verdicts = len(l.Down), l.Verdicts
+	r.ZoneDown, r.Verdicts = len(l.ZoneDown), l.Verdicts
 	x.Cut = nil
 	start, before := x.Now, Sent(list)
 	last := before
-	for x.Now.Sub(start) < 2*time.Minute && !r.Agreed {
-		r.Agreed = x.Run(time.Second, nil) || x.Agree()
+	for x.Now.Sub(start) < 2*time.Minute && !r.Converged {
+		r.Converged = x.Run(time.Second, nil) || x.Converged()
 		sent := Sent(list)
 		r.Peak = max(r.Peak, (sent.Bytes-last.Bytes)/float64(len(list)))
 		last = sent
 	}
 	r.Took = x.Now.Sub(start)
 	r.Extra = (last.Bytes-before.Bytes)/float64(len(list)) - idle.Bytes*r.Took.Seconds()
-	if !r.Agreed {
+	if !r.Converged {
 		r.Differences = x.Differences()
 	}
 	return r
 }
 
-// The processes of the rack that RackLoss stops.
+// Sizes of the rack that RackLoss stops.
 const (
 	rackBalancers = 2
 	rackProcesses = 40
 )
 
-// RackResult is how the loss of a rack became known.
+// RackResult is the result of RackLoss.
 type RackResult struct {
 	Balancers, Agents int
-	Pairs, Known      int           // verdicts that the balancers outside should hold, and do
-	Most, All         time.Duration // until 99.9 % and all of them are known; All at most 30 s
-	Rate              float64       // B/s sent by a balancer meanwhile
+	Pairs, Known      int           // pairs of a balancer outside the rack and a lost process, and how many have the verdict
+	NearlyAll, All    time.Duration // until 99.9 % and until all of them are known; All at most 30 s
+	Rate              float64       // B/s sent per balancer until All
 }
 
 // RackLoss stops 2 balancers and 38 agents of one zone at once; each zone has
 // 60 agents.
 func RackLoss(seed uint64, zones, balancers int) RackResult {
 	x := NewExchange(seed)
-	list, as := Settle(x, zones, balancers, 60)
+	list, as := ConvergedFleet(x, zones, balancers, 60)
 	rack := append([]*Process(nil), list[:rackBalancers]...)
 	for i := 0; len(rack) < rackProcesses; i += zones {
 		rack = append(rack, as[i])
@@ -146,12 +146,12 @@
 	r := RackResult{Balancers: len(list), Agents: len(as), Pairs: (len(list) - rackBalancers) * len(rack)}
 	seen := map[[2]*Process]bool{}
 	x.OnChange = func(b *Process, c *membership.Change) {
-		p := x.At(c.Record.Addr)
+		p := x.ProcessAt(c.Record.Addr)
 		if p != nil && p.Stopped && c.Record.Verdict != membership.VerdictAlive && !b.Stopped {
 			seen[[2]*Process{b, p}] = true
 		}
-		if r.Most == 0 && len(seen)*1000 >= r.Pairs*999 {
-			r.Most = x.Now.Sub(start)
+		if r.NearlyAll == 0 && len(seen)*1000 >= r.Pairs*999 {
+			r.NearlyAll = x.Now.Sub(start)
 		}
 	}
 	x.Run(30*time.Second, func() bool { return len(seen) == r.Pairs })
--- a/membership/lab/fleet.go
+++ b/membership/lab/fleet.go
@@ -13,7 +13,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(role), byte(i >> 8), byte(i)}), uint16(7000+i>>16))
 }
 
-// Seeds returns the addresses of balancers.
+// Seeds returns the addresses of the balancers with the given numbers.
 func Seeds(list ...int) []netip.AddrPort {
 	var s []netip.AddrPort
 	for _, i := range list {
@@ -25,8 +25,8 @@
 // ZoneName returns the name of zone z.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%02d", z) }
 
-// NewRecord returns the record of process i of zone z that starts now; three
-// zones make a region, four agents in a row have different services.
+// NewRecord returns the record of process i of zone z that starts now. Three zones
+// form a region; four consecutive agents have different services.
 func (x *Exchange) NewRecord(role membership.Role, i, z int) membership.Record {
 	r := membership.Record{
 		Addr: AddrOf(role, i), Role: role, State: membership.StateReady, Weight: 100,
@@ -58,20 +58,20 @@
 	return x.Add(&Process{Announcer: a, Record: rec})
 }
 
-// Fleet adds n balancers over the zones, all seeded with the first one, and
-// makes all known to all.
+// Fleet adds n balancers spread over the zones, with the first one as the seed of
+// all, and shares their records.
 func (x *Exchange) Fleet(n, zones int) []*Process {
 	list := make([]*Process, n)
 	for i := range list {
 		list[i] = x.Balancer(i, i*zones/n, AddrOf(membership.RoleBalancer, 0))
 	}
-	x.Acquaint()
+	x.ShareRecords()
 	return list
 }
 
-// Acquaint hands every machine the record of every process, as a bulk
-// transfer would.
-func (x *Exchange) Acquaint() {
+// ShareRecords gives every machine the record of every running process, like a bulk
+// transfer.
+func (x *Exchange) ShareRecords() {
 	var all []membership.Record
 	for _, p := range x.Processes {
 		if !p.Stopped {
@@ -86,38 +86,38 @@
 	}
 }
 
-// farDelay is the one-way time between regions.
-const farDelay = 50 * time.Millisecond
+// interRegionDelay is the one-way delay between regions.
+const interRegionDelay = 50 * time.Millisecond
 
-// Geography delays messages between regions by 50 ms, others by Step.
-func Geography(from, to *Process) time.Duration {
+// RegionDelay delays messages between regions by 50 ms and others by Step.
+func RegionDelay(from, to *Process) time.Duration {
 	if from.Record.Region == to.Record.Region {
 		return Step
 	}
-	return farDelay
+	return interRegionDelay
 }
 
-// Settle builds zones with so many balancers and agents each and waits until
-// they agree; not within 30 s is a fault. It returns balancers and agents;
-// balancer i is in zone i/balancers, agent i in zone i%zones.
-func Settle(x *Exchange, zones, balancers, agents int) (list, as []*Process) {
-	x.Delay = Geography
+// ConvergedFleet builds zones with this many balancers and agents each and waits
+// until their member lists have converged; if this takes more than 30 s, it fails.
+// Balancer i of list is in zone i/balancers, agent i of as in zone i%zones.
+func ConvergedFleet(x *Exchange, zones, balancers, agents int) (list, as []*Process) {
+	x.Delay = RegionDelay
 	list = x.Fleet(zones*balancers, zones)
 	for i := range zones * agents {
 		z := i % zones
 		as = append(as, x.Agent(i, z, Seeds(z*balancers, z*balancers+1)...))
 	}
-	x.Acquaint()
+	x.ShareRecords()
 	x.Run(15*time.Second, nil)
-	if !x.Run(15*time.Second, x.Agree) {
-		x.Fail(&FaultError{What: fmt.Sprintf("no agreement at the start:%s", x.Differences())})
+	if !x.Run(15*time.Second, x.Converged) {
+		x.Fail(&FaultError{What: fmt.Sprintf("member lists not converged at the start:%s", x.Differences())})
 	}
 	return list, as
 }
 
-// Agree reports whether every running machine lists every running process as
-// alive in its own state and version, and no other process as alive.
-func (x *Exchange) Agree() bool {
+// Converged reports whether every running machine lists every running process with
+// its current record in a reachable zone, and no other process as alive.
+func (x *Exchange) Converged() bool {
 	alive := 0
 	for _, p := range x.Processes {
 		if !p.Stopped {
@@ -128,14 +128,14 @@
 		if p.Machine == nil || p.Stopped {
 			continue
 		}
-		if !x.complete(p.Machine, alive) {
+		if !x.listsAll(p.Machine, alive) {
 			return false
 		}
 	}
 	return true
 }
 
-func (x *Exchange) complete(m *membership.Machine, alive int) bool {
+func (x *Exchange) listsAll(m *membership.Machine, alive int) bool {
 	for _, p := range x.Processes {
 		if p.Stopped {
 			continue
@@ -154,7 +154,7 @@
 	return n == alive
 }
 
-// Differences tells where the rosters differ, for the message of a failure.
+// Differences describes the differences between the member lists.
 func (x *Exchange) Differences() string {
 	s := ""
 	for _, p := range x.Processes {
@@ -164,7 +164,7 @@
 		for _, q := range x.Processes {
 			got, _ := p.Machine.Lookup(q.Record.Addr)
 			if !q.Stopped && got != q.Self() {
-				s += "\n" + p.Record.Addr.String() + " holds " + describe(got) + " but it is " + describe(q.Self())
+				s += "\n" + p.Record.Addr.String() + " lists " + describe(got) + ", current record " + describe(q.Self())
 			}
 		}
 	}
--- a/membership/lab/lab_test.go
+++ b/membership/lab/lab_test.go
@@ -13,7 +13,7 @@
 	return Config{Sizes: []float64{4, 8}, Losses: []float64{0.1}, Changes: 3, Zones: 4, Balancers: 4, Agents: 6, Duration: 20 * time.Second, Seed: 1}
 }
 
-// The heap is left out: it depends on the process, not on the seed.
+// The memory experiment is excluded: the heap isn't determined by the seed.
 func TestSameSeedSameFigures(t *testing.T) {
 	for _, e := range Experiments {
 		if e.Name == "memory" {
@@ -41,9 +41,8 @@
 	}
 }
 
-// Symptom: hemlock-lab ends in a stack trace. Sequence: a state machine sends a
-// storm of messages. Cause: the exchange panics, and nothing turns it into an
-// error.
+// Guards against hemlock-lab ending in a stack trace: the exchange panics on a
+// message storm, and Run must return that panic as an error.
 func TestFaultOfARunIsAnError(t *testing.T) {
 	run := checked(func(Config) []figure.Figure {
 		NewExchange(1).Fail(&FaultError{What: "message storm"})
--- a/membership/lab/process.go
+++ b/membership/lab/process.go
@@ -7,32 +7,33 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Process is one process: a balancer if Machine is set, else an agent.
+// Process is a balancer if Machine is set, else an agent.
 type Process struct {
 	Machine   *membership.Machine
 	Announcer *membership.Announcer
 	Record    membership.Record // as it started
-	Stopped   bool              // killed
-	Paused    bool              // runs nothing, its socket buffer fills
-	Inbox     []Delivery        // while paused: what the socket buffer holds
+	Stopped   bool              // killed or replaced
+	Paused    bool              // runs nothing while its socket buffer fills
+	Inbox     []Delivery        // content of the socket buffer while paused
 
 	SentBytes    int // on the wire
 	SentMessages int
 
-	phase int // step within tickEvery at which it ticks
+	tickStep int // step within TickEvery at which the process ticks
 }
 
-// Delivery is a message on its way to a process.
+// Delivery is a message in transit to a process.
 type Delivery struct {
 	From netip.AddrPort
 	To   *Process
 	Msg  *membership.Message
 }
 
-// socketBuffer is how many messages a paused process finds when it goes on.
+// socketBuffer is the number of messages that a paused process receives when it
+// resumes; further ones are lost.
 const socketBuffer = 100
 
-// Self returns the process's own record as it is now.
+// Self returns the process's own current record.
 func (p *Process) Self() membership.Record {
 	if p.Machine != nil {
 		return p.Machine.Self()
--- a/membership/lab/report.go
+++ b/membership/lab/report.go
@@ -8,14 +8,14 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// figures collects the figures of one case.
+// figures collects the figures of the case caseName.
 type figures struct {
-	where string
-	list  []figure.Figure
+	caseName string
+	list     []figure.Figure
 }
 
 func (f *figures) add(quantity, unit string, v float64) {
-	f.list = append(f.list, figure.Figure{Case: f.where, Quantity: quantity, Unit: unit, Value: v})
+	f.list = append(f.list, figure.Figure{Case: f.caseName, Quantity: quantity, Unit: unit, Value: v})
 }
 
 func (f *figures) times(name string, list []time.Duration, quantiles ...float64) {
@@ -36,9 +36,9 @@
 	for _, loss := range losses {
 		var logs, all, cost []float64
 		for _, n := range sizes {
-			s := Spread(c.seed(uint64(n)), int(n), or(c.Changes, 40), loss)
-			f.where = fmt.Sprintf("loss=%g balancers=%g", loss, n)
-			f.times("known to 99.9%", s.Most, 0.5, 1)
+			s := Spread(c.seed(uint64(n)), int(n), orDefault(c.Changes, 40), loss)
+			f.caseName = fmt.Sprintf("loss=%g balancers=%g", loss, n)
+			f.times("known to 99.9%", s.NearlyAll, 0.5, 1)
 			f.times("known to all", s.All, 0.5, 1)
 			f.add("changes not known to all", "", float64(s.Missing))
 			f.add("at rest", "B/s", s.Idle.Bytes)
@@ -52,7 +52,7 @@
 		if len(sizes) < 2 {
 			continue
 		}
-		f.where = fmt.Sprintf("loss=%g fit over log2 n, at 11,000", loss)
+		f.caseName = fmt.Sprintf("loss=%g fit over log2 n, at 11,000", loss)
 		a, b := Fit(logs, all)
 		f.add("known to all p100", "s", a+b*math.Log2(TargetBalancers))
 		a, b = Fit(logs, cost)
@@ -63,19 +63,19 @@
 
 func bursts(c Config) []figure.Figure {
 	f := &figures{}
-	n, changes := or(c.Balancers, 512), or(c.Changes, 400)
+	n, changes := orDefault(c.Balancers, 512), orDefault(c.Changes, 400)
 	for _, every := range []time.Duration{0, 100 * time.Millisecond} {
 		b := Burst(c.seed(9), n, changes, every)
-		f.where = fmt.Sprintf("balancers=%d changes=%d every=%v", n, changes, every)
+		f.caseName = fmt.Sprintf("balancers=%d changes=%d every=%v", n, changes, every)
 		f.times("known to all", b.All, 0.5, 0.99, 1)
-		f.add("all known after 2 minutes, 1 is yes", "", truth(b.AllKnown))
+		f.add("all known after 2 minutes, 1 is yes", "", boolValue(b.AllKnown))
 		f.add("a balancer", "B/s", b.Rate)
 		f.add("a change", "B", b.PerChange)
 	}
 	return f.list
 }
 
-func truth(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -83,8 +83,8 @@
 }
 
 func reports(c Config) []figure.Figure {
-	r := Reports(c.seed(4), or(c.Balancers, 128), or(c.Duration, time.Minute))
-	f := &figures{where: fmt.Sprintf("balancers=%d agents=%d", r.Balancers, r.Agents)}
+	r := Reports(c.seed(4), orDefault(c.Balancers, 128), orDefault(c.Duration, time.Minute))
+	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d", r.Balancers, r.Agents)}
 	f.add("a balancer sends", "B/s", r.Balancer.Bytes)
 	f.add("a balancer sends", "messages/s", r.Balancer.Messages)
 	f.add("a balancer receives", "B/s", r.Received)
@@ -103,7 +103,7 @@
 	if err != nil {
 		panic(&FaultError{"bulk transfer of the target size", err})
 	}
-	f := &figures{where: fmt.Sprintf("records=%d", r.Records)}
+	f := &figures{caseName: fmt.Sprintf("records=%d", r.Records)}
 	f.add("heap", "B", r.Heap)
 	f.add("heap a record", "B", r.Heap/float64(r.Records))
 	f.add("bulk transfer", "B", float64(r.Bulk))
@@ -112,19 +112,19 @@
 }
 
 func day(c Config) []figure.Figure {
-	r := Day(c.seed(12), or(c.Zones, 18), or(c.Balancers, 28), or(c.Agents, 56), or(c.Duration, 20*time.Minute))
-	f := &figures{where: fmt.Sprintf("balancers=%d agents=%d restarts=%d", r.Balancers, r.Agents, r.Restarts)}
+	r := Day(c.seed(12), orDefault(c.Zones, 18), orDefault(c.Balancers, 28), orDefault(c.Agents, 56), orDefault(c.Duration, 20*time.Minute))
+	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d restarts=%d", r.Balancers, r.Agents, r.Restarts)}
 	f.add("a balancer sends", "B/s", r.Sent)
 	f.add("a balancer sends at rest", "B/s", r.Rest)
 	f.add("a balancer receives", "B/s", r.Received)
 	f.add("a restart", "B", r.PerRestart)
-	f.add("rosters agree after 20 s, 1 is yes", "", truth(r.Differences == ""))
+	f.add("rosters agree after 20 s, 1 is yes", "", boolValue(r.Differences == ""))
 	return f.list
 }
 
 func zoneLoss(c Config) []figure.Figure {
-	r := ZoneLoss(c.seed(1), or(c.Zones, 18), or(c.Balancers, 32), or(c.Agents, 120))
-	f := &figures{where: fmt.Sprintf("balancers=%d agents=%d", r.Balancers, r.Agents)}
+	r := ZoneLoss(c.seed(1), orDefault(c.Zones, 18), orDefault(c.Balancers, 32), orDefault(c.Agents, 120))
+	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d", r.Balancers, r.Agents)}
 	f.add("until known", "s", r.Took.Seconds())
 	f.add("balancers that don't know", "", float64(r.Outside-r.Known))
 	f.add("a balancer sends beyond rest", "B", r.Extra)
@@ -134,11 +134,11 @@
 }
 
 func regionApart(c Config) []figure.Figure {
-	r := RegionApart(c.seed(2), or(c.Zones, 18), or(c.Balancers, 16), or(c.Agents, 40), or(c.Duration, time.Hour))
-	f := &figures{where: fmt.Sprintf("balancers=%d agents=%d changes=%d", r.Balancers, r.Agents, r.Changes)}
-	f.add("balancers that held zones for lost", "", float64(r.Down))
+	r := RegionApart(c.seed(2), orDefault(c.Zones, 18), orDefault(c.Balancers, 16), orDefault(c.Agents, 40), orDefault(c.Duration, time.Hour))
+	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d changes=%d", r.Balancers, r.Agents, r.Changes)}
+	f.add("balancers that held zones for lost", "", float64(r.ZoneDown))
 	f.add("verdicts on single records, of all balancers", "", float64(r.Verdicts))
-	f.add("rosters agree after 2 minutes, 1 is yes", "", truth(r.Agreed))
+	f.add("rosters agree after 2 minutes, 1 is yes", "", boolValue(r.Converged))
 	f.add("until they agree", "s", r.Took.Seconds())
 	f.add("a balancer sends beyond rest", "B", r.Extra)
 	f.add("a balancer sends in the busiest second", "B", r.Peak)
@@ -146,9 +146,9 @@
 }
 
 func rackLoss(c Config) []figure.Figure {
-	r := RackLoss(c.seed(13), or(c.Zones, 6), or(c.Balancers, 64))
-	f := &figures{where: fmt.Sprintf("balancers=%d agents=%d processes lost=%d", r.Balancers, r.Agents, rackProcesses)}
-	f.add("until 99.9% of the verdicts are known", "s", r.Most.Seconds())
+	r := RackLoss(c.seed(13), orDefault(c.Zones, 6), orDefault(c.Balancers, 64))
+	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d processes lost=%d", r.Balancers, r.Agents, rackProcesses)}
+	f.add("until 99.9% of the verdicts are known", "s", r.NearlyAll.Seconds())
 	f.add("until all are known", "s", r.All.Seconds())
 	f.add("verdicts not known", "", float64(r.Pairs-r.Known))
 	f.add("a balancer sends", "B/s", r.Rate)
@@ -157,9 +157,9 @@
 
 func suspicions(c Config) []figure.Figure {
 	f := &figures{}
-	balancers, agents, d := or(c.Balancers, 32), or(c.Agents, 272), or(c.Duration, time.Hour)
+	balancers, agents, d := orDefault(c.Balancers, 32), orDefault(c.Agents, 272), orDefault(c.Duration, time.Hour)
 	for _, by := range Disturbances {
-		f.where = fmt.Sprintf("%s, balancers=%d agents=%d, %v", by.Name, 2*balancers, 2*agents, d)
+		f.caseName = fmt.Sprintf("%s, balancers=%d agents=%d, %v", by.Name, 2*balancers, 2*agents, d)
 		r := Suspicions(c.seed(5), balancers, agents, d, by)
 		f.add("verdicts of suspicion", "", float64(r.Verdicts))
 		f.add("wrong ones heard", "", float64(r.Wrong))
--- a/membership/lab/rest.go
+++ b/membership/lab/rest.go
@@ -7,29 +7,30 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// The target size.
+// The target size of a fleet.
 const (
 	TargetBalancers = 11_000
 	TargetAgents    = 94_000
 	targetZones     = 18
 	targetServices  = 33_000
-	targetRestarts  = 11_250 // a day
+	targetRestarts  = 11_250 // per day
 )
 
-// ReportsResult is the traffic of a fleet to which nothing happens.
+// ReportsResult is the result of Reports.
 type ReportsResult struct {
 	Balancers, Agents int
-	Balancer, Agent   Traffic   // of one
-	Received          float64   // B/s of a balancer
-	ByKind            []float64 // B/s sent by a balancer, by membership.Kind
+	Balancer, Agent   Traffic   // per balancer, per agent
+	Received          float64   // B/s per balancer
+	ByKind            []float64 // B/s sent per balancer, by membership.Kind
 }
 
-// Reports runs a zone of n balancers that observe as many agents each as at
-// the target size, twice for d.
+// Reports measures the traffic at rest of a zone of n balancers with as many agents
+// per balancer as at the target size: of the balancers for d, then of the agents
+// for d.
 func Reports(seed uint64, n int, d time.Duration) ReportsResult {
 	x := NewExchange(seed)
 	r := ReportsResult{Balancers: n, Agents: n * TargetAgents / TargetBalancers}
-	list, as := Settle(x, 1, n, r.Agents)
+	list, as := ConvergedFleet(x, 1, n, r.Agents)
 	before := SumStats(list)
 	r.Balancer = x.Traffic(list, d)
 	r.Agent = x.Traffic(as, d)
@@ -42,40 +43,41 @@
 	return r
 }
 
-// Disturbance is what healthy processes have to bear.
+// Disturbance is a disturbance that must cause no suspicion of healthy processes.
 type Disturbance struct {
 	Name  string
 	Loss  float64
 	Pause time.Duration // of one random process every ten seconds
 }
 
-// Disturbances are those of the false-suspicions experiment.
+// Disturbances are those of the suspicions experiment.
 var Disturbances = []Disturbance{
 	{"quiet", 0, 0}, {"loss 5%", 0.05, 0}, {"loss 20%", 0.2, 0},
 	{"pauses of 2 s", 0, 2 * time.Second}, {"pauses of 30 s", 0, 30 * time.Second},
 }
 
-// SuspicionResult is the verdicts that a disturbance brought about.
+// SuspicionResult is the result of Suspicions.
 type SuspicionResult struct {
-	Verdicts uint64 // of suspicion, given by all balancers
-	Wrong    int    // verdicts, heard by rosters, on processes that were not paused
+	Verdicts uint64 // suspect verdicts by all balancers
+	Wrong    int    // changes to suspect or dead, in all member lists, of processes that were not paused
 }
 
-// gossipTail is how long gossip may go on telling of a pause that has ended.
-const gossipTail = 3 * time.Second
+// gossipDelay is how long gossip may still spread verdicts about a pause that has
+// ended.
+const gossipDelay = 3 * time.Second
 
-// Suspicions returns the verdicts that the balancers of two zones, so many
-// balancers and agents each, give within d.
+// Suspicions counts the verdicts within d in a fleet of two zones with this many
+// balancers and agents each, under the disturbance by.
 func Suspicions(seed uint64, balancers, agents int, d time.Duration, by Disturbance) SuspicionResult {
 	x := NewExchange(seed)
-	list, _ := Settle(x, 2, balancers, agents)
+	list, _ := ConvergedFleet(x, 2, balancers, agents)
 	x.Loss = by.Loss
 	before := SumStats(list).Suspected
 	var r SuspicionResult
 	resumed := make(map[*Process]time.Time)
 	x.OnChange = func(_ *Process, c *membership.Change) {
-		p := x.by[c.Record.Addr]
-		if p != nil && c.Record.Verdict != membership.VerdictAlive && !p.Paused && x.Now.Sub(resumed[p]) > gossipTail {
+		p := x.byAddr[c.Record.Addr]
+		if p != nil && c.Record.Verdict != membership.VerdictAlive && !p.Paused && x.Now.Sub(resumed[p]) > gossipDelay {
 			r.Wrong++
 		}
 	}
@@ -95,41 +97,41 @@
 	return r
 }
 
-// DayResult is the traffic while processes restart as on an ordinary day.
+// DayResult is the result of Day.
 type DayResult struct {
 	Balancers, Agents, Restarts int
 	Took                        time.Duration
-	Sent, Rest, Received        float64 // B/s of a balancer; Rest is Sent before the restarts
-	PerRestart                  float64 // B sent by a balancer
-	Differences                 string  // between the rosters 20 s after the last restart; empty is none
+	Sent, Rest, Received        float64 // B/s per balancer; Rest is sent before the restarts
+	PerRestart                  float64 // bytes sent per balancer
+	Differences                 string  // between the member lists 20 s after the last restart; empty if none
 }
 
-// Day restarts agents for d, as often as on the ordinary day of the target
-// size: 11,250 times in 24 hours, whatever the size of the zones.
+// Day restarts agents for d, as often as on an ordinary day at the target size:
+// 11,250 times in 24 hours, for any size of the zones.
 func Day(seed uint64, zones, balancers, agents int, d time.Duration) DayResult {
 	const between = 24 * time.Hour / targetRestarts
 	x := NewExchange(seed)
-	list, as := Settle(x, zones, balancers, agents)
+	list, as := ConvergedFleet(x, zones, balancers, agents)
 	r := DayResult{Balancers: len(list), Agents: len(as), Rest: x.Traffic(list, 30*time.Second).Bytes}
 	start, before, received := x.Now, Sent(list), SumStats(list).ReceivedBytes
 	for ; x.Now.Sub(start) < d; r.Restarts++ {
 		i := x.Rand.IntN(len(as))
-		as[i] = x.restart(as[i], i, i%zones)
+		as[i] = x.restartAgent(as[i], i, i%zones)
 		x.Run(between-6*time.Second, nil)
 	}
 	r.Took = x.Now.Sub(start)
 	per := float64(len(list)) * r.Took.Seconds()
-	r.Sent = Sent(list).since(before, len(list), r.Took).Bytes
+	r.Sent = Sent(list).rateSince(before, len(list), r.Took).Bytes
 	r.Received = float64(SumStats(list).ReceivedBytes-received) / per
 	r.PerRestart = (r.Sent - r.Rest) * between.Seconds()
-	if !x.Run(20*time.Second, x.Agree) {
+	if !x.Run(20*time.Second, x.Converged) {
 		r.Differences = x.Differences()
 	}
 	return r
 }
 
-// restart lets agent i leave, end, start and become ready, in 6 s.
-func (x *Exchange) restart(a *Process, i, z int) *Process {
+// restartAgent has agent i leave, end, start and become ready, within 6 s.
+func (x *Exchange) restartAgent(a *Process, i, z int) *Process {
 	a.SetState(x.Now, membership.StateLeaving)
 	x.Flush(a)
 	x.Run(3*time.Second, nil)
@@ -143,9 +145,9 @@
 	return b
 }
 
-// Target returns a machine and the records of a fleet of the target size,
-// which it doesn't know yet.
-func Target(seed uint64) (*membership.Machine, *Exchange, []membership.Record) {
+// TargetFleet returns a machine and the records of a fleet of the target size, which
+// are not yet in its member list.
+func TargetFleet(seed uint64) (*membership.Machine, *Exchange, []membership.Record) {
 	x := NewExchange(seed)
 	m := x.Balancer(0, 0).Machine
 	var all []membership.Record
@@ -165,17 +167,18 @@
 	return m, x, all
 }
 
-// MemoryResult is what a roster of the target size takes.
+// MemoryResult is the result of Memory.
 type MemoryResult struct {
-	Records int     // in the roster
-	Decoded int     // in the bulk transfer
-	Heap    float64 // B
-	Bulk    int     // B
+	Records int     // in the member list
+	Decoded int     // in the decoded bulk transfer
+	Heap    float64 // bytes used by the member list
+	Bulk    int     // bytes of the bulk transfer
 }
 
-// Memory measures the heap of this process: other work in it disturbs.
+// Memory measures the heap and the bulk transfer of a member list of the target size.
+// Other work in the process distorts the heap.
 func Memory(seed uint64) (MemoryResult, error) {
-	m, x, all := Target(seed)
+	m, x, all := TargetFleet(seed)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/membership/lab/spread.go
+++ b/membership/lab/spread.go
@@ -8,65 +8,65 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// SpreadResult is how changes became known and what they cost.
+// SpreadResult is the result of Spread.
 type SpreadResult struct {
-	Most, All  []time.Duration // a change: until 99.9 % and until all balancers know it
-	Missing    int             // changes that not all knew at the end
-	Idle, Busy Traffic         // of a balancer, before the changes and while they spread
-	PerChange  Traffic         // what a change adds, a balancer
+	NearlyAll, All []time.Duration // per change: until 99.9 % and until all balancers know it
+	Missing        int             // changes that not all balancers know at the end
+	Idle, Busy     Traffic         // per balancer, before the changes and while they spread
+	PerChange      Traffic         // additional traffic of a change, per balancer
 }
 
-// tally counts the balancers that know one change.
-type tally struct {
-	start     time.Time
-	n         int
-	most, all time.Duration
+// changeProgress counts the balancers that know one change.
+type changeProgress struct {
+	start          time.Time
+	n              int
+	nearlyAll, all time.Duration
 }
 
-func (k *tally) note(now time.Time, of int) {
+func (k *changeProgress) recordKnown(now time.Time, of int) {
 	k.n++
 	if k.n == int(math.Ceil(0.999*float64(of))) {
-		k.most = now.Sub(k.start)
+		k.nearlyAll = now.Sub(k.start)
 	}
 	if k.n == of {
 		k.all = now.Sub(k.start)
 	}
 }
 
-// leavers is a settled fleet whose agents leave one after another.
-type leavers struct {
+// leavingAgents is a fleet whose agents leave one after another.
+type leavingAgents struct {
 	*Exchange
 	balancers, agents []*Process
-	known             map[netip.AddrPort]*tally
+	known             map[netip.AddrPort]*changeProgress
 }
 
 func zonesFor(n int) int { return min(max(n/8, 1), 18) }
 
-// newLeavers builds a fleet of n balancers with an agent for each change.
-func newLeavers(seed uint64, n, changes int) *leavers {
-	l := &leavers{Exchange: NewExchange(seed), known: map[netip.AddrPort]*tally{}}
-	l.Delay = Geography
+// newLeavingAgents builds a fleet of n balancers with one agent for each change.
+func newLeavingAgents(seed uint64, n, changes int) *leavingAgents {
+	l := &leavingAgents{Exchange: NewExchange(seed), known: map[netip.AddrPort]*changeProgress{}}
+	l.Delay = RegionDelay
 	zones := zonesFor(n)
 	l.balancers = l.Fleet(n, zones)
 	for i := range changes {
 		z := i % zones
 		l.agents = append(l.agents, l.Agent(i, z, AddrOf(membership.RoleBalancer, z*n/zones)))
 	}
-	l.Acquaint()
+	l.ShareRecords()
 	l.Run(15*time.Second, nil)
 	l.OnChange = func(_ *Process, c *membership.Change) {
 		k := l.known[c.Record.Addr]
 		if k != nil && c.Record.State == membership.StateLeaving && c.Record.Verdict == membership.VerdictAlive {
-			k.note(l.Now, n)
+			k.recordKnown(l.Now, n)
 		}
 	}
 	return l
 }
 
-// leave lets all agents leave, one each time every.
-func (l *leavers) leave(every time.Duration) {
+// leave makes all agents leave, one in each interval every.
+func (l *leavingAgents) leave(every time.Duration) {
 	for _, a := range l.agents {
-		l.known[a.Record.Addr] = &tally{start: l.Now}
+		l.known[a.Record.Addr] = &changeProgress{start: l.Now}
 		a.SetState(l.Now, membership.StateLeaving)
 		l.Flush(a)
 		l.Run(every, nil)
@@ -74,7 +74,7 @@
 }
 
 // allKnown reports whether every balancer knows every change.
-func (l *leavers) allKnown() bool {
+func (l *leavingAgents) allKnown() bool {
 	for _, k := range l.known {
 		if k.n < len(l.balancers) {
 			return false
@@ -83,10 +83,10 @@
 	return true
 }
 
-// Spread lets agents of a fleet of n balancers leave, one every half second,
-// under a share of loss, and notes when the balancers know.
+// Spread makes the agents of a fleet of n balancers leave, one every half second, at
+// the given share of lost messages, and measures when the balancers know.
 func Spread(seed uint64, n, changes int, loss float64) SpreadResult {
-	l := newLeavers(seed, n, changes)
+	l := newLeavingAgents(seed, n, changes)
 	l.Loss = loss
 	var s SpreadResult
 	s.Idle = l.Traffic(l.balancers, 10*time.Second)
@@ -95,11 +95,11 @@
 	l.leave(every)
 	l.Run(rest, nil)
 	d := time.Duration(changes)*every + rest
-	s.Busy = Sent(l.balancers).since(start, n, d)
+	s.Busy = Sent(l.balancers).rateSince(start, n, d)
 	s.PerChange.Bytes = (s.Busy.Bytes - s.Idle.Bytes) * d.Seconds() / float64(changes)
 	s.PerChange.Messages = (s.Busy.Messages - s.Idle.Messages) * d.Seconds() / float64(changes)
 	for _, k := range l.known {
-		s.Most = append(s.Most, k.most)
+		s.NearlyAll = append(s.NearlyAll, k.nearlyAll)
 		if k.n < n {
 			s.Missing++
 			continue
@@ -109,17 +109,17 @@
 	return s
 }
 
-// BurstResult is how many changes at once became known.
+// BurstResult is the result of Burst.
 type BurstResult struct {
-	All       []time.Duration // a change: until all balancers know it
+	All       []time.Duration // per change: until all balancers know it
 	AllKnown  bool            // within two minutes
-	Rate      float64         // B/s sent by a balancer meanwhile
-	PerChange float64         // B sent by a balancer for a change
+	Rate      float64         // B/s sent per balancer while the changes spread
+	PerChange float64         // bytes sent per balancer and change
 }
 
-// Burst lets agents of a fleet of n balancers leave, one each time every.
+// Burst makes the agents of a fleet of n balancers leave, one in each interval every.
 func Burst(seed uint64, n, changes int, every time.Duration) BurstResult {
-	l := newLeavers(seed, n, changes)
+	l := newLeavingAgents(seed, n, changes)
 	start, before := l.Now, Sent(l.balancers)
 	l.leave(every)
 	var b BurstResult
@@ -133,7 +133,7 @@
 	return b
 }
 
-// Fit returns a and b of y = a + b*x by least squares.
+// Fit returns a and b of y = a + b*x, fitted by least squares.
 func Fit(xs, ys []float64) (a, b float64) {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(xs))
--- a/membership/lab/traffic.go
+++ b/membership/lab/traffic.go
@@ -6,14 +6,14 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Traffic is what processes sent: in all from Sent, a second and process from
-// Exchange.Traffic.
+// Traffic is the traffic that processes sent: in total from Sent, per second and
+// process from Exchange.Traffic.
 type Traffic struct {
 	Bytes    float64 // on the wire
 	Messages float64
 }
 
-// Sent returns what the processes have sent so far.
+// Sent returns the total traffic that the processes have sent so far.
 func Sent(list []*Process) Traffic {
 	var t Traffic
 	for _, p := range list {
@@ -23,20 +23,21 @@
 	return t
 }
 
-// since is what was sent after before, a second and process.
-func (t Traffic) since(before Traffic, processes int, d time.Duration) Traffic {
+// rateSince returns the traffic per second and process since before.
+func (t Traffic) rateSince(before Traffic, processes int, d time.Duration) Traffic {
 	per := float64(processes) * d.Seconds()
 	return Traffic{(t.Bytes - before.Bytes) / per, (t.Messages - before.Messages) / per}
 }
 
-// Traffic passes time d and returns what the processes sent meanwhile.
+// Traffic passes time d and returns the traffic that the processes sent, per second
+// and process.
 func (x *Exchange) Traffic(list []*Process, d time.Duration) Traffic {
 	before := Sent(list)
 	x.Run(d, nil)
-	return Sent(list).since(before, len(list), d)
+	return Sent(list).rateSince(before, len(list), d)
 }
 
-// SumStats adds the counters of the machines that experiments read.
+// SumStats returns the sum of the counters that the experiments read.
 func SumStats(list []*Process) membership.Stats {
 	var sum membership.Stats
 	for _, p := range list {
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// Machine is a balancer's view of the fleet. The zero value is not usable,
-// see NewMachine.
+// Machine holds a balancer's member list and runs gossip, repair and failure
+// detection. The zero value is not usable, see NewMachine.
 type Machine struct {
-	cfg     Config
-	rng     *rand.Rand
-	self    *Announcer
-	selfKey key
-	zone    uint16
-	roster  *memberList
-	queue   gossipQueue
-	views   []zoneView
-	watches []watch
-	watchOf map[key]int
-	dead    []tombstone
+	cfg           Config
+	rng           *rand.Rand
+	self          *Announcer
+	selfKey       key
+	zone          uint16
+	members       *memberList
+	queue         gossipQueue
+	zoneStates    []zoneState
+	observations  []observation
+	observationOf map[key]int
+	tombstones    []tombstone
 
-	calledAt   time.Time // last call of Tick or Receive
-	receivedAt time.Time
-	refillAt   time.Time
-	compareAt  time.Time
-	probeAt    time.Time
-	rankGen    uint64
-	tokens     float64 // bytes that may be sent now
-	reports    float64 // of them for reports and acks
-	auditAt    int
-	hotAt      [groupCount]time.Time
-	bulkFrom   netip.AddrPort
+	lastCallAt     time.Time // last call of Tick or Receive
+	receivedAt     time.Time
+	refilledAt     time.Time
+	comparedAt     time.Time
+	probedAt       time.Time
+	rankGen        uint64
+	tokens         float64 // bytes that may be sent now
+	reportTokens   float64 // part of tokens for reports, acks and liveness queries
+	auditIndex     int
+	groupChangedAt [groupCount]time.Time
+	bulkSource     netip.AddrPort
 
 	out     []Envelope
 	changes []Change
 	stats   Stats
 }
 
-// NewMachine returns a Machine that knows only itself, or a *RecordError.
+// NewMachine returns a Machine whose member list contains only itself. It
+// returns a *RecordError if cfg.Self is invalid.
 func NewMachine(cfg Config) (*Machine, error) {
 	if cfg.Self.Role != RoleBalancer {
-		return nil, &RecordError{"Role", cfg.Self.Role.String(), "a Machine reports a balancer: use RoleBalancer"}
+		return nil, &RecordError{"Role", cfg.Self.Role.String(), "use RoleBalancer: a Machine represents a balancer"}
 	}
 	cfg.Timing.setDefaults()
 	if cfg.Rate == 0 {
@@ -55,11 +56,11 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{cfg: cfg, self: self, selfKey: self.selfKey, roster: newMemberList(), watchOf: map[key]int{}}
+	m := &Machine{cfg: cfg, self: self, selfKey: self.selfKey, members: newMemberList(), observationOf: map[key]int{}}
 	m.rng = rand.New(rand.NewPCG(cfg.Seed+1, uint64(m.selfKey)))
 	m.tokens = float64(cfg.Rate) / 2
-	m.zone = m.roster.zoneIndex(cfg.Self.Zone, cfg.Self.Region)
-	m.adoptSelf(time.Time{})
+	m.zone = m.members.zoneIndex(cfg.Self.Zone, cfg.Self.Region)
+	m.storeSelf(time.Time{})
 	return m, nil
 }
 
@@ -69,44 +70,46 @@
 // SetSeeds replaces the seeds.
 func (m *Machine) SetSeeds(seeds []netip.AddrPort) { m.self.SetSeeds(seeds) }
 
-// SetState announces a new state of this balancer; false once it is leaving.
+// SetState announces a new state of this balancer. It returns false once the
+// balancer is leaving, see Announcer.SetState.
 func (m *Machine) SetState(now time.Time, s State) bool {
 	ok := m.self.SetState(now, s)
-	m.adoptSelf(now)
-	m.collectSelf()
+	m.storeSelf(now)
+	m.sendSelfMessages()
 	return ok
 }
 
-// EntryVersion returns the highest entry version that an ack carried and its sender.
+// EntryVersion returns the highest entry version that an ack carried and the
+// address of the ack's sender.
 func (m *Machine) EntryVersion() (uint64, netip.AddrPort) { return m.self.EntryVersion() }
 
-// Tick does what is due. Call it about every 100 ms: this is also the period
-// of gossip.
+// Tick evaluates the observed processes and sends what is due. Call it about
+// every 100 ms: this is also the period of gossip.
 func (m *Machine) Tick(now time.Time) {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.refill(now)
-	m.chooseObservers(now)
+	m.updateObservers(now)
 	m.self.Tick(now)
-	m.adoptSelf(now)
-	m.collectSelf()
-	m.judgeAll(now)
+	m.storeSelf(now)
+	m.sendSelfMessages()
+	m.evaluateAll(now)
 	m.audit(now)
 	m.gossip(now)
 	m.compare(now)
-	m.probeLost(now)
-	m.forgetDead(now)
+	m.probeOutOfContact(now)
+	m.removeDead(now)
 }
 
-// Receive takes a message from the process at from. The caller must have
-// authenticated both: from is the address of the sender's record, not that of
-// a relay between.
+// Receive processes a message from the process at from. The caller must have
+// authenticated both: from is the address in the sender's record, not that of an
+// intermediate relay.
 func (m *Machine) Receive(now time.Time, from netip.AddrPort, msg *Message) {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.receivedAt = now
 	m.stats.ReceivedMessages++
 	m.stats.ReceivedBytes += uint64(WireSize(msg))
-	if c := m.roster.find(keyOf(from)); c != nil {
-		m.reached(now, c)
+	if c := m.members.find(keyOf(from)); c != nil {
+		m.recordContact(now, c)
 	}
 	switch msg.Kind {
 	case KindAnnounce:
@@ -118,9 +121,9 @@
 	case KindGossip, KindRepair:
 		m.onRecords(now, from, msg)
 	case KindLivenessQuery:
-		m.onDoubt(now, from, msg)
+		m.onLivenessQuery(now, from, msg)
 	case KindLivenessReply:
-		m.onOpinion(now, from, msg)
+		m.onLivenessReply(now, from, msg)
 	default:
 		m.onRepairStep(now, from, msg)
 	}
@@ -134,25 +137,25 @@
 	return out
 }
 
-// maxKeptChanges is the largest memory for changes that is used again.
+// maxKeptChanges is the largest capacity of the changes slice that is reused.
 const maxKeptChanges = 1024
 
-// Changes returns the changes of the roster since the last call, oldest first.
-// The slice is valid until the next call of any method.
+// Changes returns the changes of the member list since the last call, oldest
+// first. The slice is valid until the next call of any method.
 func (m *Machine) Changes() []Change {
 	changes := m.changes
 	m.changes = m.changes[:0]
 	if cap(changes) > maxKeptChanges {
-		m.changes = nil // a bulk transfer must not leave its size behind
+		m.changes = nil // release the memory that a bulk transfer needed
 	}
 	return changes
 }
 
-// BulkSource returns a balancer from which to load the roster in bulk, because
-// too much differs for datagrams. It is reported once per need.
+// BulkSource returns a balancer from which to load the member list in bulk,
+// because too many records differ for datagrams. It reports each need once.
 func (m *Machine) BulkSource() (Record, bool) {
-	from := m.bulkFrom
-	m.bulkFrom = netip.AddrPort{}
+	from := m.bulkSource
+	m.bulkSource = netip.AddrPort{}
 	if !from.IsValid() {
 		return Record{}, false
 	}
@@ -161,39 +164,41 @@
 
 // Lookup returns the record at addr.
 func (m *Machine) Lookup(addr netip.AddrPort) (Record, bool) {
-	c := m.roster.find(keyOf(addr))
+	c := m.members.find(keyOf(addr))
 	if c == nil {
 		return Record{}, false
 	}
-	return m.roster.record(c), true
+	return m.members.record(c), true
 }
 
-// ZoneReachable reports whether this balancer holds the zone of the process at
-// addr for reachable; false for a process that it doesn't know.
+// ZoneReachable reports whether the zone of the process at addr is reachable from
+// this balancer's region; false for an unknown process.
 func (m *Machine) ZoneReachable(addr netip.AddrPort) bool {
-	c := m.roster.find(keyOf(addr))
-	return c != nil && !m.roster.zones[c.zone].down
+	c := m.members.find(keyOf(addr))
+	return c != nil && !m.members.zones[c.zone].down
 }
 
-// ReadyAgents iterates over the agents of a service that take new work.
+// ReadyAgents iterates over the agents of a service that take new work and whose
+// zone is reachable.
 func (m *Machine) ReadyAgents(service uint32) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
-		for _, i := range m.roster.services[service] {
-			c := &m.roster.cells[i]
-			rec := m.roster.record(c)
-			if rec.TakesWork() && !m.roster.zones[c.zone].down && !yield(rec) {
+		for _, i := range m.members.services[service] {
+			c := &m.members.cells[i]
+			rec := m.members.record(c)
+			if rec.TakesWork() && !m.members.zones[c.zone].down && !yield(rec) {
 				return
 			}
 		}
 	}
 }
 
-// Records iterates over the whole roster, the dead included until forgotten.
+// Records iterates over the whole member list, including dead records until
+// they are removed.
 func (m *Machine) Records() iter.Seq[Record] {
 	return func(yield func(Record) bool) {
-		for i := range m.roster.cells {
-			c := &m.roster.cells[i]
-			if c.key != 0 && !yield(m.roster.record(c)) {
+		for i := range m.members.cells {
+			c := &m.members.cells[i]
+			if c.key != 0 && !yield(m.members.record(c)) {
 				return
 			}
 		}
@@ -204,8 +209,8 @@
 // included.
 func (m *Machine) Balancers() iter.Seq[Record] {
 	return func(yield func(Record) bool) {
-		for _, k := range m.roster.liveAll() {
-			if !yield(m.roster.record(m.roster.find(k))) {
+		for _, k := range m.members.liveAll() {
+			if !yield(m.members.record(m.members.find(k))) {
 				return
 			}
 		}
@@ -215,18 +220,18 @@
 // Stats returns the counters.
 func (m *Machine) Stats() Stats {
 	s := m.stats
-	s.Records = len(m.roster.index)
-	s.Balancers = len(m.roster.liveAll())
-	s.Observed = len(m.watches)
-	s.Queued = len(m.queue.level)
+	s.Records = len(m.members.index)
+	s.Balancers = len(m.members.liveAll())
+	s.Observed = len(m.observations)
+	s.Queued = len(m.queue.position)
 	return s
 }
 
-// WireSize returns the bytes that msg counts as on the wire: about its encoded
-// length, with seal, UDP and IP.
+// WireSize returns the approximate bytes of msg on the wire: the encoded length
+// with seal, UDP and IP headers.
 func WireSize(msg *Message) int { return msg.size() - sizeHead + sizeTypical + sizeOnWire }
 
-// send puts one message into the outbox.
+// send appends one message to the outbox and charges it to the byte budget.
 func (m *Machine) send(to netip.AddrPort, msg *Message) {
 	n := WireSize(msg)
 	m.charge(msg.Kind, float64(n))
@@ -236,40 +241,41 @@
 	m.out = append(m.out, Envelope{to, msg})
 }
 
-// charge takes n bytes from the budget. Reports, their acks and the questions
-// of observers are sent in any case, and take at most half of it: where many agents report to a balancer,
-// its gossip would otherwise wait for ever, seen as changes that reach nobody.
+// charge takes n bytes from the budget. Reports, their acks and liveness queries
+// are always sent, but use at most half of the budget: otherwise a balancer to
+// which many agents report would never send gossip, and changes would not spread.
 func (m *Machine) charge(kind Kind, n float64) {
 	if kind <= KindAck || kind == KindLivenessQuery || kind == KindLivenessReply {
-		n = min(n, max(m.reports, 0))
-		m.reports -= n
+		n = min(n, max(m.reportTokens, 0))
+		m.reportTokens -= n
 	}
 	m.tokens = max(m.tokens-n, -float64(m.cfg.Rate))
 }
 
-// refill adds to the byte budget, at most half a second's worth, so that no
-// second has more than one and a half times the rate.
+// refill adds to the byte budget, up to the bytes of half a second, so that no
+// second exceeds one and a half times the rate.
 func (m *Machine) refill(now time.Time) {
 	rate := float64(m.cfg.Rate)
-	m.tokens = min(m.tokens+rate*now.Sub(m.refillAt).Seconds(), rate/2)
-	m.reports = min(m.reports+rate/2*now.Sub(m.refillAt).Seconds(), rate/4)
-	m.refillAt = now
+	m.tokens = min(m.tokens+rate*now.Sub(m.refilledAt).Seconds(), rate/2)
+	m.reportTokens = min(m.reportTokens+rate/2*now.Sub(m.refilledAt).Seconds(), rate/4)
+	m.refilledAt = now
 }
 
-// collectSelf moves the messages of this balancer's own Announcer.
-func (m *Machine) collectSelf() {
+// sendSelfMessages sends the messages of this balancer's own Announcer.
+func (m *Machine) sendSelfMessages() {
 	for _, e := range m.self.Outbox() {
 		m.send(e.To, e.Msg)
 	}
 }
 
-// chooseObservers follows the roster with this balancer's own observers.
-func (m *Machine) chooseObservers(now time.Time) {
-	if m.rankGen == m.roster.gen && len(m.self.contacts) > 0 {
+// updateObservers chooses this balancer's own observers anew after a change of
+// the live balancers.
+func (m *Machine) updateObservers(now time.Time) {
+	if m.rankGen == m.members.gen && len(m.self.contacts) > 0 {
 		return
 	}
-	m.rankGen = m.roster.gen
-	t := m.roster.rank(m.selfKey, RoleBalancer, m.zone)
+	m.rankGen = m.members.gen
+	t := m.members.rank(m.selfKey, RoleBalancer, m.zone)
 	if t.n == 0 {
 		return
 	}
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -15,16 +15,17 @@
 	return x
 }
 
-// region builds zones with so many balancers and agents each, and settles.
-func region(t testing.TB, seed uint64, zones, balancers, agents int) (*lab.Exchange, []*lab.Process, []*lab.Process) {
+// newFleet builds zones with this many balancers and agents each, and waits until
+// they have converged.
+func newFleet(t testing.TB, seed uint64, zones, balancers, agents int) (*lab.Exchange, []*lab.Process, []*lab.Process) {
 	x := newExchange(t, seed)
-	list, as := lab.Settle(x, zones, balancers, agents)
+	list, as := lab.ConvergedFleet(x, zones, balancers, agents)
 	return x, list, as
 }
 
-// small builds three balancers and four agents in one zone each, all started
-// with one seed.
-func small(t testing.TB, seed uint64) (*lab.Exchange, []*lab.Process, []*lab.Process) {
+// newSmallFleet builds three balancers and four agents in one zone, all with the
+// same seed address.
+func newSmallFleet(t testing.TB, seed uint64) (*lab.Exchange, []*lab.Process, []*lab.Process) {
 	x := newExchange(t, seed)
 	x.Encode = true
 	seedAddr := lab.AddrOf(RoleBalancer, 0)
@@ -35,42 +36,40 @@
 	for i := range 4 {
 		agents = append(agents, x.Agent(i, 0, seedAddr))
 	}
-	if !x.Run(20*time.Second, x.Agree) {
-		t.Fatal("a fleet of three balancers and four agents doesn't come to agree in 20 s")
+	if !x.Run(20*time.Second, x.Converged) {
+		t.Fatal("a fleet of three balancers and four agents doesn't converge within 20 s")
 	}
-	x.Run(5*time.Second, nil) // until all report to their Observers
+	x.Run(5*time.Second, nil) // until all report to their observers
 	return x, balancers, agents
 }
 
 func TestSmallFleetAgrees(t *testing.T) {
-	x, balancers, _ := small(t, 1)
-	t.Logf("agreed after %v", x.Now.Sub(x.Start))
-	if x.Run(30*time.Second, func() bool { return !x.Agree() }) {
-		t.Fatal("the roster changed although nothing happened")
+	x, balancers, _ := newSmallFleet(t, 1)
+	t.Logf("converged after %v", x.Now.Sub(x.Start))
+	if x.Run(30*time.Second, func() bool { return !x.Converged() }) {
+		t.Fatal("the member list changed although nothing happened")
 	}
 	n := 0
 	for rec := range balancers[2].Machine.ReadyAgents(1) {
 		n++
 		if rec.Service != 1 || rec.Role != RoleAgent {
-			t.Errorf("Ready(1) yields %+v", rec)
+			t.Errorf("ReadyAgents(1) yields %+v", rec)
 		}
 	}
 	if n != 1 {
-		t.Errorf("Ready(1) yields %d agents, want 1", n)
+		t.Errorf("ReadyAgents(1) yields %d agents, want 1", n)
 	}
 }
 
-// Symptom: a backend server that leaves still gets new flows.
-// Sequence: its agent announces leaving; every balancer must hear of it.
-// Cause: the announcement reaches only the agent's observers and is not
-// passed on.
+// Guards against new flows to a backend server that leaves, because only its agent's
+// observers receive the announcement and it isn't passed on.
 func TestLeavingSpreads(t *testing.T) {
-	x, balancers, agents := small(t, 2)
+	x, balancers, agents := newSmallFleet(t, 2)
 	for i := 3; i < 30; i++ {
 		balancers = append(balancers, x.Balancer(i, i/10, lab.AddrOf(RoleBalancer, 0)))
 	}
-	if !x.Run(20*time.Second, x.Agree) {
-		t.Fatal("30 balancers don't come to agree in 20 s")
+	if !x.Run(20*time.Second, x.Converged) {
+		t.Fatal("30 balancers don't converge within 20 s")
 	}
 	agents[0].Announcer.SetState(x.Now, StateLeaving)
 	x.Flush(agents[0])
@@ -107,11 +106,10 @@
 	return true
 }
 
-// Symptom: new flows go to an agent that was killed.
-// Sequence: the agent falls silent without leaving.
-// Cause: its silence isn't noticed by a majority of its observers in time.
+// Guards against new flows to an agent that was killed without leaving, because a
+// majority of its observers doesn't detect the missing reports in time.
 func TestKilledAgentIsSuspectedThenDead(t *testing.T) {
-	x, balancers, agents := small(t, 3)
+	x, balancers, agents := newSmallFleet(t, 3)
 	agents[1].Stopped = true
 	if !x.Run(5*time.Second, func() bool { return verdictEverywhere(balancers, agents[1], VerdictSuspect) }) {
 		t.Fatal("a killed agent isn't suspected everywhere after 5 s")
@@ -121,11 +119,10 @@
 	}
 }
 
-// Symptom: the balancers list a balancer that has died for ever.
-// Sequence: two of three are killed at once; each observed the other.
-// Cause: the last one waits for a majority that no longer exists.
+// Guards against failed balancers that stay in the member list: two of three are
+// killed at once, and the last one waits for a majority that no longer exists.
 func TestLastBalancerDecidesAlone(t *testing.T) {
-	x, balancers, _ := small(t, 4)
+	x, balancers, _ := newSmallFleet(t, 4)
 	balancers[0].Stopped, balancers[1].Stopped = true, true
 	dead := func() bool {
 		return verdictEverywhere(balancers, balancers[0], VerdictDead) && verdictEverywhere(balancers, balancers[1], VerdictDead)
@@ -135,24 +132,22 @@
 	}
 }
 
-// Symptom: a restarted agent is ignored, its old record stays in force.
-// Sequence: killed, started again at once at the same address.
-// Cause: the new incarnation doesn't outrank the old one.
+// Guards against a restart at the same address that is ignored, because the new
+// incarnation doesn't outrank the old one.
 func TestRestartIsNewer(t *testing.T) {
-	x, _, agents := small(t, 5)
+	x, _, agents := newSmallFleet(t, 5)
 	x.Run(time.Second, nil)
 	x.Agent(2, 0, lab.AddrOf(RoleBalancer, 1))
 	_ = agents
-	if !x.Run(5*time.Second, x.Agree) {
+	if !x.Run(5*time.Second, x.Converged) {
 		t.Fatal("a restarted agent isn't known everywhere after 5 s")
 	}
 }
 
-// Symptom: a restarted agent never becomes ready anywhere.
-// Sequence: killed; started again after the machine's clock went back.
-// Cause: the start time as incarnation is lower than the remembered one.
+// Guards against a restarted agent that never becomes ready: the clock went back
+// before the restart, so its start time is below the incarnation that is known.
 func TestRestartAfterClockWentBack(t *testing.T) {
-	x, _, _ := small(t, 6)
+	x, _, _ := newSmallFleet(t, 6)
 	rec := x.NewRecord(RoleAgent, 3, 0)
 	rec.Incarnation = 7
 	a, err := NewAnnouncer(AnnouncerConfig{Self: rec, Seeds: lab.Seeds(0)})
@@ -160,19 +155,16 @@
 		t.Fatal(err)
 	}
 	x.Add(&lab.Process{Announcer: a, Record: rec})
-	if !x.Run(5*time.Second, x.Agree) {
-		t.Fatal("an agent with an old clock isn't known everywhere after 5 s")
+	if !x.Run(5*time.Second, x.Converged) {
+		t.Fatal("an agent whose clock went back isn't known everywhere after 5 s")
 	}
 }
 
-// Symptom: after a stop of 30 s balancers have emptied their rosters, and their
-// verdicts spread.
-// Sequence: all balancers, whose VMs share a machine, are paused and resumed
-// together; what waited in their sockets is lost; no agent has failed.
-// Cause: they take their own silence for that of the others, and confirm it to
-// each other.
+// Guards against verdicts on healthy processes after all balancers, whose VMs share
+// a host, were paused for 30 s together and lost the messages in their sockets. They
+// must not count their own pause as missing reports and confirm it to each other.
 func TestPausedBalancersJudgeNobody(t *testing.T) {
-	x, balancers, _ := small(t, 7)
+	x, balancers, _ := newSmallFleet(t, 7)
 	paused := balancers
 	for _, b := range paused {
 		b.Paused = true
@@ -188,17 +180,15 @@
 			t.Errorf("a paused balancer suspected %d others", n)
 		}
 	}
-	if !x.Agree() {
-		t.Error("the rosters don't agree 30 s after the pause")
+	if !x.Converged() {
+		t.Error("the member lists differ 30 s after the pause")
 	}
 }
 
-// Symptom: a healthy agent is dropped from every roster.
-// Sequence: the way from the agent to one of its observers is cut, the way
-// back and all other ways work.
-// Cause: a single observer's silence counts as the agent's.
-func TestOneWayCutKillsNobody(t *testing.T) {
-	x, balancers, agents := small(t, 8)
+// Guards against a healthy agent that is suspected because the path from it to one
+// of its observers is cut, while the return path and all other paths work.
+func TestOneWayCutCausesNoSuspicion(t *testing.T) {
+	x, balancers, agents := newSmallFleet(t, 8)
 	x.Cut = func(from, to *lab.Process) bool { return from == agents[0] && to == balancers[1] }
 	bad := func() bool {
 		for _, b := range balancers {
@@ -209,16 +199,14 @@
 		return false
 	}
 	if x.Run(60*time.Second, bad) {
-		t.Fatalf("an agent that two of three observers hear is suspected after %v", x.Now.Sub(x.Start))
+		t.Fatalf("an agent that reports to two of three observers is suspected after %v", x.Now.Sub(x.Start))
 	}
 }
 
-// Symptom: an agent sends tens of thousands of announcements a second until
-// the process is killed for its memory.
-// Sequence: two balancers with different rosters name different observers to
-// the same agent; each of the two acks makes it replace its observers and
-// announce itself, and each announcement brings another ack.
-// Cause: nothing limits how often acks replace the Observers.
+// Guards against an agent that sends tens of thousands of announcements per second,
+// until it is killed for its memory. Two balancers with different member lists name
+// different observers, each ack replaces the observers and causes an announcement,
+// and each announcement causes another ack.
 func TestDifferingAcksMakeNoStorm(t *testing.T) {
 	x := newExchange(t, 9)
 	a := x.Agent(0, 0).Announcer
--- a/membership/main_test.go
+++ b/membership/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that the verdict is the
-// same in each run; -rapid.seed overrides it.
+// TestMain fixes the seed of the property tests, so that each run has the same
+// result; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -9,12 +9,11 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// The measurements of docs/measure/membership.md at small sizes;
-// `hemlock-lab membership` runs them at full size.
+// The experiments of docs/measure/membership.md at small sizes; `hemlock-lab
+// membership` runs them at full size.
 
-// Symptom: a balancer never hears of a change. Sequence: agents leave one by
-// one, with and without loss. Cause: gossip that ends before all know, and
-// repair that doesn't find it.
+// Guards against a change that some balancer never receives, with or without loss,
+// because gossip ends before all know it and repair doesn't find it.
 func TestMeasureSpread(t *testing.T) {
 	const changes = 10
 	for _, loss := range []float64{0, 0.2} {
@@ -28,8 +27,8 @@
 	}
 }
 
-// Symptom: changes are lost when many come at once. Sequence: 40 agents leave
-// at once or ten a second. Cause: the byte rate drops what it holds back.
+// Guards against changes that are lost when 40 agents leave at once or ten a
+// second, because changes held back by the byte rate are dropped.
 func TestMeasureBurst(t *testing.T) {
 	for _, every := range []time.Duration{0, 100 * time.Millisecond} {
 		if b := lab.Burst(9, 32, 40, every); !b.AllKnown {
@@ -38,9 +37,8 @@
 	}
 }
 
-// Symptom: control traffic exceeds its rate with nothing happening. Sequence:
-// a balancer observes as many agents as at the target size. Cause: reports and
-// acks, which pass beyond the rate.
+// Guards against control traffic above its rate at rest, with as many agents per
+// balancer as at the target size. Reports and acks are sent beyond the rate.
 func TestMeasureReports(t *testing.T) {
 	r := lab.Reports(4, 16, 20*time.Second)
 	if r.Balancer.Bytes > DefaultRate {
@@ -48,37 +46,36 @@
 	}
 }
 
-// Symptom: healthy processes get no work. Sequence: messages are lost, or
-// processes pause for a moment. Cause: a short silence taken for a failure.
+// Guards against suspicions of healthy processes under message loss and short
+// pauses.
 func TestMeasureFalseSuspicions(t *testing.T) {
 	for _, by := range lab.Disturbances {
 		got := lab.Suspicions(5, 6, 20, 5*time.Minute, by)
-		t.Logf("%-14s %d verdicts of suspicion, %d wrong ones heard", by.Name, got.Verdicts, got.Wrong)
+		t.Logf("%-14s %d suspect verdicts, %d changes to suspect or dead of processes that were not paused", by.Name, got.Verdicts, got.Wrong)
 		if by.Loss <= 0.05 && by.Pause < 2500*time.Millisecond && got.Verdicts > 0 || by.Loss == 0 && got.Wrong > 0 {
 			t.Errorf("%s: %d suspicions, %d of healthy processes", by.Name, got.Verdicts, got.Wrong)
 		}
 	}
 }
 
-// Symptom: a balancer exceeds its 64 MB. Sequence: it knows the whole fleet.
-// Cause: what a record takes.
+// Guards against a member list of the whole fleet that exceeds the 64 MB of a
+// balancer.
 func TestMeasureMemory(t *testing.T) {
 	r, err := lab.Memory(6)
 	if err != nil || r.Decoded != r.Records {
-		t.Fatalf("bulk: %d records of %d, %v", r.Decoded, r.Records, err)
+		t.Fatalf("bulk transfer: %d records of %d, %v", r.Decoded, r.Records, err)
 	}
 	if r.Heap > 32e6 {
-		t.Errorf("the roster takes %.1f MB, want at most half of the 64 MB", r.Heap/1e6)
+		t.Errorf("the member list takes %.1f MB, want at most half of the 64 MB", r.Heap/1e6)
 	}
 }
 
-// Symptom: control traffic exceeds its 8 KB/s, or rosters stay different.
-// Sequence: agents restart as often as on the ordinary day. Cause: what a
-// restart costs every balancer.
+// Guards against control traffic above 8 KB/s, or member lists that stay different,
+// while agents restart as often as on an ordinary day.
 func TestMeasureDay(t *testing.T) {
 	r := lab.Day(12, 3, 4, 6, 2*time.Minute)
 	if r.Differences != "" {
-		t.Errorf("rosters differ 20 s after the last restart:%.1000s", r.Differences)
+		t.Errorf("member lists differ 20 s after the last restart:%.1000s", r.Differences)
 	}
 	if both := r.Sent + r.Received; both > 8192 {
 		t.Errorf("%.0f B/s sent and received", both)
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// adoptSelf enters this balancer's own record into its roster.
-func (m *Machine) adoptSelf(now time.Time) {
-	c := m.roster.find(m.selfKey)
+// storeSelf stores this balancer's own record in the member list.
+func (m *Machine) storeSelf(now time.Time) {
+	c := m.members.find(m.selfKey)
 	rec := m.self.self
 	if c != nil {
-		if old := m.roster.record(c); !rec.Newer(&old) {
+		if old := m.members.record(c); !rec.Newer(&old) {
 			return
 		}
 	}
 	m.apply(now, &rec, 0)
 }
 
-// merge takes in a record and reports whether it was news.
+// merge stores a record if it is newer than the stored one, and reports whether
+// it was.
 func (m *Machine) merge(now time.Time, rec *Record, sent int) bool {
 	if keyOf(rec.Addr) == m.selfKey {
 		m.refute(now, rec)
 		return false
 	}
-	if c := m.roster.find(keyOf(rec.Addr)); c != nil {
-		old := m.roster.record(c)
+	if c := m.members.find(keyOf(rec.Addr)); c != nil {
+		old := m.members.record(c)
 		if !rec.Newer(&old) {
 			return false
 		}
@@ -33,59 +34,58 @@
 	return true
 }
 
-// notGossiped in place of a number of transmissions keeps a record from being
-// passed on.
+// notGossiped, passed as the number of transmissions, keeps a record from being
+// gossiped.
 const notGossiped = -1
 
-// apply stores a record, reports the change and queues it for gossip as one
-// that was sent so many times already.
+// apply stores a record, reports the change, and queues it for gossip with sent
+// transmissions already counted.
 func (m *Machine) apply(now time.Time, rec *Record, sent int) {
-	known := m.roster.find(keyOf(rec.Addr))
+	known := m.members.find(keyOf(rec.Addr))
 	full := known == nil || known.incarnation != rec.Incarnation
-	c := m.roster.put(rec)
-	m.hotAt[bucketOf(c.key)/groupSize] = now
+	c := m.members.put(rec)
+	m.groupChangedAt[bucketOf(c.key)/groupSize] = now
 	m.changes = append(m.changes, Change{Kind: ChangeRecord, Record: *rec})
 	if rec.Verdict == VerdictDead {
-		m.dead = append(m.dead, tombstone{c.key, rec.Incarnation, now})
+		m.tombstones = append(m.tombstones, tombstone{c.key, rec.Incarnation, now})
 	}
 	if sent != notGossiped {
 		m.queue.add(c.key, !rec.TakesWork(), full, sent)
 	}
 }
 
-// refute answers a verdict about this balancer with a higher version.
+// refute answers a verdict about this balancer by announcing a higher version.
 func (m *Machine) refute(now time.Time, rec *Record) {
 	own := &m.self.self
 	if rec.Incarnation > own.Incarnation {
-		m.self.outlive(now, rec.Incarnation)
+		m.self.raiseIncarnation(now, rec.Incarnation)
 	} else if rec.Incarnation == own.Incarnation && rec.Version >= own.Version && rec.Verdict != VerdictAlive {
 		own.Version = rec.Version
-		m.self.bump(now)
+		m.self.announceNewVersion(now)
 	} else {
 		return
 	}
 	m.stats.Refuted++
-	m.adoptSelf(now)
-	m.collectSelf()
+	m.storeSelf(now)
+	m.sendSelfMessages()
 }
 
-// forgetDead removes dead records after Timing.ForgetAfter. They are kept for
-// so long because a balancer that was cut off for hours would otherwise bring
-// them back as alive.
-func (m *Machine) forgetDead(now time.Time) {
-	for len(m.dead) > 0 && now.Sub(m.dead[0].at) >= m.cfg.Timing.ForgetAfter {
-		t := m.dead[0]
-		m.dead = m.dead[1:]
-		c := m.roster.find(t.key)
+// removeDead removes dead records after Timing.ForgetAfter. If they were removed
+// earlier, a balancer that was cut off for hours would bring them back as alive.
+func (m *Machine) removeDead(now time.Time) {
+	for len(m.tombstones) > 0 && now.Sub(m.tombstones[0].at) >= m.cfg.Timing.ForgetAfter {
+		t := m.tombstones[0]
+		m.tombstones = m.tombstones[1:]
+		c := m.members.find(t.key)
 		if c == nil || c.verdict != VerdictDead || c.incarnation != t.incarnation {
 			continue
 		}
-		m.changes = append(m.changes, Change{Kind: ChangeRemove, Record: m.roster.record(c)})
-		m.roster.forget(t.key)
+		m.changes = append(m.changes, Change{Kind: ChangeRemove, Record: m.members.record(c)})
+		m.members.remove(t.key)
 	}
 }
 
-// tombstone is a dead record to forget later.
+// tombstone is a dead record that is removed later.
 type tombstone struct {
 	key         key
 	incarnation uint64
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -8,8 +8,9 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// known returns a machine that holds rec, with its own gossip emptied.
-func known(t *testing.T, rec Record) (*lab.Exchange, *Machine) {
+// newMachineWith returns a machine whose member list contains rec, with empty
+// outbox and changes.
+func newMachineWith(t *testing.T, rec Record) (*lab.Exchange, *Machine) {
 	x := newExchange(t, 10)
 	m := x.Balancer(0, 0).Machine
 	m.Tick(x.Now)
@@ -26,12 +27,12 @@
 	}
 }
 
-// Symptom: a restarted agent is listed under its predecessor's service or zone.
-// Sequence: a delta of the new process arrives before its full record.
-// Cause: the delta is applied to the record of another incarnation.
-func TestDeltaOfAnotherIncarnationAsksForTheRecord(t *testing.T) {
+// Guards against a restarted agent that is listed under its predecessor's service or
+// zone: a delta of the new process arrives before its full record, and is applied to
+// the record of another incarnation.
+func TestDeltaOfAnotherIncarnationRequestsTheRecord(t *testing.T) {
 	rec := agentRecord()
-	x, m := known(t, rec)
+	x, m := newMachineWith(t, rec)
 	d := Delta{Addr: rec.Addr, Incarnation: ShortIncarnation(501), Version: 4, State: StateLeaving}
 	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Deltas: []Delta{d}})
 	if got, _ := m.Lookup(rec.Addr); got != rec {
@@ -39,18 +40,16 @@
 	}
 	out := m.Outbox()
 	if len(out) != 1 || out[0].Msg.Kind != KindRecordRequest {
-		t.Errorf("the new record isn't asked for: %v", out)
+		t.Errorf("the new record isn't requested: %v", out)
 	}
 }
 
-// Symptom: an agent that leaves gets new work again.
-// Sequence: a record of the same incarnation with a higher version and state
-// ready arrives, from a faulty process.
-// Cause: leaving isn't final where records are merged.
+// Guards against new work for an agent that leaves, after a faulty process sent a
+// record of the same incarnation with a higher version and state ready.
 func TestLeavingIsFinalWithinAnIncarnation(t *testing.T) {
 	rec := agentRecord()
 	rec.State = StateLeaving
-	x, m := known(t, rec)
+	x, m := newMachineWith(t, rec)
 	back := rec
 	back.State, back.Version = StateReady, 9
 	gossip := &Message{Kind: KindGossip, Records: []Record{back}, Deltas: []Delta{{
@@ -67,13 +66,11 @@
 	}
 }
 
-// Symptom: dead processes are never forgotten, each comparison brings them
-// back.
-// Sequence: one balancer has forgotten a dead record, another still has it.
-// Cause: the difference counts as one that repair has to mend.
-func TestForgottenDeadStayForgotten(t *testing.T) {
+// Guards against dead records that are never removed: one balancer has removed a
+// dead record, another still has it, and repair treats that as a difference.
+func TestRemovedDeadRecordIsNotRequested(t *testing.T) {
 	rec := agentRecord()
-	x, m := known(t, rec)
+	x, m := newMachineWith(t, rec)
 	gone := rec
 	gone.Verdict = VerdictDead
 	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Records: []Record{gone}})
@@ -81,40 +78,39 @@
 		m.Tick(x.Now)
 	}
 	if _, ok := m.Lookup(rec.Addr); ok {
-		t.Fatal("a dead record is still there after 25 h")
+		t.Fatal("a dead record isn't removed after 25 h")
 	}
 	m.Outbox()
 	summary := &Message{Kind: KindRecordDigests, Buckets: []uint16{uint16(BucketOf(rec.Addr))}}
 	summary.Peers = append(summary.Peers, rec.Addr)
-	summary.Hashes = make([]byte, HashLen) // what a dead record looks like
+	summary.Hashes = make([]byte, HashLen) // the digest of a dead record
 	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), summary)
 	for _, e := range m.Outbox() {
-		t.Errorf("a forgotten dead record is answered with %+v", e.Msg)
+		t.Errorf("a removed dead record is answered with %+v", e.Msg)
 	}
 }
 
-// Symptom: a region that only one other can't reach gets no work from any.
-// Sequence: regions 0 and 1 lose each other; region 2 reaches both.
-// Cause: what one region sees of a zone is taken over by another.
-func TestRegionsJudgeZonesForThemselves(t *testing.T) {
-	x, list, _ := region(t, 11, 9, 6, 2)
+// Guards against a zone that a region treats as lost because another region can't
+// reach it: regions 0 and 1 lose contact, and region 2 reaches both.
+func TestRegionsEvaluateZonesIndependently(t *testing.T) {
+	x, list, _ := newFleet(t, 11, 9, 6, 2)
 	x.Cut = func(from, to *lab.Process) bool {
 		a, b := from.Record.Region, to.Record.Region
 		return a == "region-0" && b == "region-1" || a == "region-1" && b == "region-0"
 	}
-	l := lab.WatchLosses(x)
+	l := lab.RecordZoneChanges(x)
 	x.Run(2*time.Minute, nil)
 	cut := 0
 	for _, p := range list {
-		if p.Record.Region == "region-2" && l.Down[p] {
-			t.Errorf("%v of region 2 takes a zone for lost", p.Record.Addr)
+		if p.Record.Region == "region-2" && l.ZoneDown[p] {
+			t.Errorf("%v of region 2 treats a zone as lost", p.Record.Addr)
 		}
-		if l.Down[p] {
+		if l.ZoneDown[p] {
 			cut++
 		}
 	}
-	t.Logf("%d of %d balancers take a zone for lost, %d verdicts on single records", cut, len(list), l.Verdicts)
+	t.Logf("%d of %d balancers treat a zone as lost, %d verdicts on single processes", cut, len(list), l.Verdicts)
 	if cut == 0 {
-		t.Error("regions 0 and 1 don't notice that they lost each other")
+		t.Error("regions 0 and 1 don't detect that they lost contact")
 	}
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -14,23 +14,23 @@
 // UDP and IP headers it still fits an unfragmented datagram.
 const MaxMessage = 1200
 
-// Kind says what a message is for.
+// Kind is the kind of a Message.
 type Kind uint8
 
 // The kinds of messages and the fields that each of them uses.
 const (
-	KindAnnounce      Kind = 1  // subject to observer: Records[0], Hash of its observers
-	KindHeartbeat     Kind = 2  // subject to observer: Incarnation, Version, Hash of its observers
-	KindAck           Kind = 3  // observer to subject: Incarnation, Version, Flags, Entry, Peers
+	KindAnnounce      Kind = 1  // subject to observer: Records[0], Hash of the subject's observers
+	KindHeartbeat     Kind = 2  // subject to observer: Incarnation, Version, Hash of the subject's observers
+	KindAck           Kind = 3  // observer to subject: Incarnation, Version, Flags, EntryVersion, Peers
 	KindGossip        Kind = 4  // balancer to balancer: Records, Deltas, Zones
-	KindLivenessQuery Kind = 5  // observer to observer: Peers[0] is silent here, Incarnation
-	KindLivenessReply Kind = 6  // answer to KindDoubt: Peers[0], Incarnation, Flags
-	KindRootDigest    Kind = 7  // digest of the whole roster: Hash, Count
+	KindLivenessQuery Kind = 5  // observer to observer: Peers[0] does not report to the sender; Incarnation
+	KindLivenessReply Kind = 6  // answer to KindLivenessQuery: Peers[0], Incarnation, Flags
+	KindRootDigest    Kind = 7  // digest of the whole member list: Hash, Count
 	KindGroupDigests  Kind = 8  // digests of the groups of buckets: Hashes
 	KindBucketDigests Kind = 9  // digests of the buckets of group Index: Hashes
-	KindRecordDigests Kind = 10 // all records of Buckets: Peers, Hashes
-	KindRecordRequest Kind = 11 // asks for the records of Peers
-	KindRepair        Kind = 12 // records that a comparison found to differ: Records
+	KindRecordDigests Kind = 10 // digests of all records of Buckets: Peers, Hashes
+	KindRecordRequest Kind = 11 // requests the records of Peers
+	KindRepair        Kind = 12 // records that differ according to a comparison: Records
 )
 
 // Flags qualify a message.
@@ -38,10 +38,10 @@
 
 // The flags.
 const (
-	FlagSendRecord   Flags = 1 << iota // KindAck: announce the full record
-	FlagSuspected                      // KindAck: Version is suspected or dead, announce a higher one
-	FlagUnresponsive                   // KindOpinion: the subject is silent here too
-	FlagResponsive                     // KindOpinion: the subject was heard here
+	FlagSendRecord   Flags = 1 << iota // KindAck: the subject is to announce its full record
+	FlagSuspected                      // KindAck: Version is suspect or dead, the subject is to announce a higher one
+	FlagUnresponsive                   // KindLivenessReply: the subject does not report to the sender either
+	FlagResponsive                     // KindLivenessReply: the subject reports to the sender
 )
 
 // Message is one control datagram between processes.
@@ -53,7 +53,7 @@
 	Hash         uint64           `cbor:"5,keyasint,omitempty"`
 	Count        uint32           `cbor:"6,keyasint,omitempty"`
 	Index        uint16           `cbor:"7,keyasint,omitempty"`
-	EntryVersion uint64           `cbor:"8,keyasint,omitempty"` // opaque to this package, see Config.Entry
+	EntryVersion uint64           `cbor:"8,keyasint,omitempty"` // opaque to this package, see Config.EntryVersion
 	Hashes       []byte           `cbor:"9,keyasint,omitempty"` // 4 bytes each, big endian
 	Peers        []netip.AddrPort `cbor:"10,keyasint,omitempty"`
 	Records      []Record         `cbor:"11,keyasint,omitempty"`
@@ -62,8 +62,8 @@
 	Deltas       []Delta          `cbor:"14,keyasint,omitempty"`
 }
 
-// Envelope is a message and the process it goes to. Several envelopes may
-// share one message: neither sender nor receiver may change it.
+// Envelope is a message and its destination. Several envelopes may share one
+// message: neither sender nor receiver may change it.
 type Envelope struct {
 	To  netip.AddrPort
 	Msg *Message
@@ -71,15 +71,15 @@
 
 // Encoded sizes in bytes.
 const (
-	sizeHead    = 60 // upper bound of a Message whose lists are empty
-	sizeTypical = 16 // a Message with the few scalars that its kind uses
-	sizePeer    = 7
-	sizeBucket  = 3
-	sizeWitness = 9
-	sizeFact    = 12 // upper bound of a ZoneFact without its labels and witnesses
-	sizeOnWire  = 60 // seal, UDP and IP headers, counted against the byte rate
-	sizeRecord  = 11 // the parts of a Record that always take the same
-	maxRecord   = 50 + 2*MaxLabel
+	sizeHead       = 60 // upper bound of a Message whose lists are empty
+	sizeTypical    = 16 // a Message with the few scalar fields that its kind uses
+	sizePeer       = 7
+	sizeBucket     = 3
+	sizeWitness    = 9
+	sizeZoneStatus = 12 // upper bound of a ZoneStatus without its labels and witnesses
+	sizeOnWire     = 60 // seal, UDP and IP headers, counted against the byte rate
+	sizeRecord     = 11 // the parts of a Record that have a fixed size
+	maxRecord      = 50 + 2*MaxLabel
 )
 
 // sizeUint returns the encoded size of v.
@@ -108,7 +108,7 @@
 }
 
 func (f *ZoneStatus) size() int {
-	n := sizeFact + sizeText(f.Zone) + sizeText(f.Region) + sizeText(f.ViewerRegion)
+	n := sizeZoneStatus + sizeText(f.Zone) + sizeText(f.Region) + sizeText(f.ViewerRegion)
 	return n + sizeWitness*len(f.Witnesses)
 }
 
@@ -127,7 +127,8 @@
 	return n
 }
 
-// MessageError tells why a datagram is no message.
+// MessageError reports why a message can't be encoded or decoded, and what to
+// do about it.
 type MessageError struct {
 	Reason string
 	Remedy string
@@ -151,20 +152,21 @@
 	return mode
 }()
 
-// Encode returns m in CBOR, at most MaxMessage bytes long.
+// Encode returns m in CBOR, at most MaxMessage bytes long. A *MessageError
+// means a bug in this package.
 func Encode(m *Message) ([]byte, error) {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, &MessageError{err.Error(), "report a bug"}
 	}
 	if len(b) > MaxMessage {
-		return nil, &MessageError{fmt.Sprintf("%d bytes", len(b)), "report a bug: messages are built within the bound"}
+		return nil, &MessageError{fmt.Sprintf("encoded message has %d bytes", len(b)), "report a bug: messages are built to fit MaxMessage"}
 	}
 	return b, nil
 }
 
-// Decode reads one message. It checks every record, so that what it returns
-// is safe to hand to Receive.
+// Decode decodes one message and checks every record in it, so that the result
+// can be passed to Receive. It returns a *MessageError for an invalid datagram.
 func Decode(b []byte) (*Message, error) {
 	m := &Message{}
 	if err := decMode.Unmarshal(b, m); err != nil {
@@ -177,7 +179,7 @@
 	}
 	for _, p := range m.Peers {
 		if !p.Addr().Is4() {
-			return nil, &MessageError{"peer without IPv4 address", "count and drop the datagram"}
+			return nil, &MessageError{"peer address is not IPv4", "count and drop the datagram"}
 		}
 	}
 	for i := range m.Deltas {
@@ -191,7 +193,7 @@
 		}
 	}
 	if len(m.Hashes)%hashLen != 0 {
-		return nil, &MessageError{"hashes cut short", "count and drop the datagram"}
+		return nil, &MessageError{"hashes are truncated", "count and drop the datagram"}
 	}
 	return m, nil
 }
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -35,18 +35,17 @@
 			rt.Fatal(err)
 		}
 		if len(b) != r.size() {
-			rt.Fatalf("%+v takes %d bytes, size says %d", r, len(b), r.size())
+			rt.Fatalf("%+v takes %d bytes, size returns %d", r, len(b), r.size())
 		}
 		d := Delta{Addr: r.Addr, Incarnation: r.Service, Version: r.Version, State: r.State, Weight: r.Weight}
 		if b, err = cbor.Marshal(&d); err != nil || len(b) != d.size() {
-			rt.Fatalf("%+v takes %d bytes, size says %d (%v)", d, len(b), d.size(), err)
+			rt.Fatalf("%+v takes %d bytes, size returns %d (%v)", d, len(b), d.size(), err)
 		}
 	})
 }
 
-// Symptom: datagrams above the bound are dropped, always those that carry most.
-// Sequence: a message is filled up to the bound by its estimated size.
-// Cause: the estimate is lower than what the codec makes of it.
+// Guards against messages above the size limit, which are dropped: a message is
+// filled by its estimated size, and the encoding is larger than the estimate.
 func TestFullMessagesFit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &Message{
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -11,43 +11,41 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// Symptom: rosters differ for ever, a healthy process stays dead, or one that
-// leaves is ready again.
-// Sequence: generated: loss, duplicates, reordering, kills, restarts, pauses,
-// one-way cuts, partitions and state changes in any order.
-// Cause: any record order or repair step that isn't a function of the records
-// alone.
+// Guards against member lists that stay different, a healthy process that stays dead,
+// or a leaving process that is ready again, after loss, duplicates, reordering, kills,
+// restarts, pauses, one-way cuts, partitions and state changes in any order. Merge
+// and repair must depend on the records alone.
 func TestFleetConvergesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFaults(rt, t)
+		f := newFaultSchedule(rt, t)
 		for range rapid.IntRange(1, 8).Draw(rt, "faults") {
-			f.one()
+			f.inject()
 			f.x.Run(time.Duration(rapid.IntRange(0, 12_000).Draw(rt, "ms"))*time.Millisecond, nil)
 		}
 		f.heal()
-		if !f.x.Run(90*time.Second, f.x.Agree) {
-			rt.Fatalf("rosters differ 90 s after the last fault: %s", f.x.Differences())
+		if !f.x.Run(90*time.Second, f.x.Converged) {
+			rt.Fatalf("member lists differ 90 s after the last fault: %s", f.x.Differences())
 		}
 	})
 }
 
-// faults drives one generated schedule and checks what must hold at each
-// change of a roster.
-type faults struct {
-	rt         *rapid.T
-	x          *lab.Exchange
-	cutFrom    map[*lab.Process]map[*lab.Process]bool
-	split      int                                        // zones below it can't talk to the others
-	leftBefore map[*lab.Process]map[netip.AddrPort]uint64 // incarnation that was seen leaving
-	newest     map[*lab.Process]map[netip.AddrPort]uint64
+// faultSchedule injects one generated schedule of faults and checks the
+// invariants at each change of a member list.
+type faultSchedule struct {
+	rt      *rapid.T
+	x       *lab.Exchange
+	cutFrom map[*lab.Process]map[*lab.Process]bool
+	split   int                                        // zones below it are partitioned from the others
+	leaving map[*lab.Process]map[netip.AddrPort]uint64 // incarnation that was leaving
+	newest  map[*lab.Process]map[netip.AddrPort]uint64
 }
 
-func newFaults(rt *rapid.T, t testing.TB) *faults {
+func newFaultSchedule(rt *rapid.T, t testing.TB) *faultSchedule {
 	x := newExchange(t, rapid.Uint64().Draw(rt, "seed"))
 	x.Encode = true
-	f := &faults{
+	f := &faultSchedule{
 		rt: rt, x: x, cutFrom: map[*lab.Process]map[*lab.Process]bool{},
-		leftBefore: map[*lab.Process]map[netip.AddrPort]uint64{}, newest: map[*lab.Process]map[netip.AddrPort]uint64{},
+		leaving: map[*lab.Process]map[netip.AddrPort]uint64{}, newest: map[*lab.Process]map[netip.AddrPort]uint64{},
 	}
 	zones := rapid.IntRange(1, 4).Draw(rt, "zones")
 	seeds := lab.Seeds(0, 1)
@@ -64,41 +62,43 @@
 		return f.split > 0 && (f.zone(from) < f.split) != (f.zone(to) < f.split)
 	}
 	x.OnChange = f.check
-	if !x.Run(30*time.Second, x.Agree) {
-		rt.Fatal("the fleet doesn't agree at the start")
+	if !x.Run(30*time.Second, x.Converged) {
+		rt.Fatal("the fleet doesn't converge at the start")
 	}
 	return f
 }
 
-func (f *faults) zone(p *lab.Process) int { return int(p.Record.Zone[len(p.Record.Zone)-1] - '0') }
+func (f *faultSchedule) zone(p *lab.Process) int {
+	return int(p.Record.Zone[len(p.Record.Zone)-1] - '0')
+}
 
-// check fails if a newer incarnation yields to an older, or a process that
-// was leaving is anything else within its incarnation.
-func (f *faults) check(p *lab.Process, c *Change) {
+// check fails if an older incarnation replaces a newer one, or if a leaving process
+// changes its state within its incarnation.
+func (f *faultSchedule) check(p *lab.Process, c *Change) {
 	if c.Kind != ChangeRecord {
 		return
 	}
 	k, inc := c.Record.Addr, c.Record.Incarnation
 	if f.newest[p] == nil {
-		f.newest[p], f.leftBefore[p] = map[netip.AddrPort]uint64{}, map[netip.AddrPort]uint64{}
+		f.newest[p], f.leaving[p] = map[netip.AddrPort]uint64{}, map[netip.AddrPort]uint64{}
 	}
 	if inc < f.newest[p][k] {
 		f.rt.Fatalf("%v: incarnation %d of %v replaced by %d", p.Record.Addr, f.newest[p][k], c.Record.Addr, inc)
 	}
 	f.newest[p][k] = inc
-	if f.leftBefore[p][k] == inc && c.Record.State != StateLeaving {
+	if f.leaving[p][k] == inc && c.Record.State != StateLeaving {
 		f.rt.Fatalf("%v: %v was leaving and is %v", p.Record.Addr, c.Record.Addr, c.Record.State)
 	}
 	if c.Record.State == StateLeaving {
-		f.leftBefore[p][k] = inc
+		f.leaving[p][k] = inc
 	}
 }
 
-func (f *faults) pick() *lab.Process {
+func (f *faultSchedule) pick() *lab.Process {
 	return f.x.Processes[rapid.IntRange(0, len(f.x.Processes)-1).Draw(f.rt, "process")]
 }
 
-func (f *faults) one() {
+func (f *faultSchedule) inject() {
 	p := f.pick()
 	switch rapid.IntRange(0, 7).Draw(f.rt, "fault") {
 	case 0:
@@ -123,7 +123,7 @@
 	}
 }
 
-func (f *faults) setState(p *lab.Process, s State) {
+func (f *faultSchedule) setState(p *lab.Process, s State) {
 	if p.Stopped || p.Paused {
 		return
 	}
@@ -131,9 +131,9 @@
 	f.x.Flush(p)
 }
 
-// restart replaces p by a new process at the same address.
-func (f *faults) restart(p *lab.Process) {
-	if p.Stopped && f.x.At(p.Record.Addr) != p {
+// restart replaces p with a new process at the same address.
+func (f *faultSchedule) restart(p *lab.Process) {
+	if p.Stopped && f.x.ProcessAt(p.Record.Addr) != p {
 		return
 	}
 	ip := p.Record.Addr.Addr().As4()
@@ -146,16 +146,16 @@
 	}
 }
 
-// heal ends all faults and starts again what isn't running, since a fleet
-// without its seeds has nobody to turn to.
-func (f *faults) heal() {
+// heal ends all faults and restarts stopped processes, since a fleet without its
+// seeds can't be joined.
+func (f *faultSchedule) heal() {
 	f.x.Loss, f.x.Duplicate, f.split = 0, 0, 0
 	clear(f.cutFrom)
 	for _, p := range append([]*lab.Process(nil), f.x.Processes...) {
 		if p.Paused {
 			f.x.Resume(p)
 		}
-		if p.Stopped && f.x.At(p.Record.Addr) == p {
+		if p.Stopped && f.x.ProcessAt(p.Record.Addr) == p {
 			f.restart(p)
 		}
 	}
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -1,26 +1,26 @@
 package membership
 
-// observers is the number of balancers that observe one process. Three let a
-// majority of two decide while one of them is cut off or dead.
+// observers is the number of balancers that observe one process. With three, a
+// majority of two decides while one of them is cut off or dead.
 const observers = 3
 
-// nearObservers of them sit in a balancer's own availability zone; the rest
-// sit outside, so that somebody notices when the whole zone is lost.
+// nearObservers of them are in a balancer's own availability zone; the rest are
+// outside, so that the loss of the whole zone is detected.
 const nearObservers = 2
 
-// score is the rendezvous weight of balancer b for the subject s.
+// score is the rendezvous hash score of balancer b for the subject s.
 func score(s, b key) uint64 { return mix(mix(uint64(s)+0x9e3779b97f4a7c15) ^ uint64(b)) }
 
-// top collects the best-scored balancers for one subject.
-type top struct {
+// ranking collects the balancers with the highest scores for one subject.
+type ranking struct {
 	subject key
 	keys    [observers]key
 	scores  [observers]uint64
 	n       int
 }
 
-// add offers balancers from list; at most limit of all are kept.
-func (t *top) add(list []key, limit int) {
+// add ranks the balancers of list; at most limit balancers are kept in total.
+func (t *ranking) add(list []key, limit int) {
 	base := t.n
 	for _, b := range list {
 		if b == t.subject || t.has(b, base) {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (t *top) has(b key, n int) bool {
+func (t *ranking) has(b key, n int) bool {
 	for _, k := range t.keys[:n] {
 		if k == b {
 			return true
@@ -39,8 +39,8 @@
 	return false
 }
 
-// insert keeps keys[base:n] ordered by falling score.
-func (t *top) insert(b key, base, limit int) {
+// insert keeps keys[base:n] in descending order of score.
+func (t *ranking) insert(b key, base, limit int) {
 	s := score(t.subject, b)
 	i := t.n
 	for i > base && t.scores[i-1] < s {
@@ -57,9 +57,9 @@
 	t.keys[i], t.scores[i] = b, s
 }
 
-func (t *top) list() []key { return t.keys[:t.n] }
+func (t *ranking) list() []key { return t.keys[:t.n] }
 
-// hash identifies the set of observers regardless of their order.
+// hashKeys identifies a set of observers regardless of their order.
 func hashKeys(keys []key) uint64 {
 	var h uint64
 	for _, k := range keys {
@@ -68,11 +68,11 @@
 	return h & 0xffffffff
 }
 
-// rank returns the observers of the subject. Every balancer with the same
-// roster returns the same ones. An agent has all in its own zone, a balancer
-// has nearObservers there; what a small zone lacks comes from the others.
-func (r *memberList) rank(subject key, role Role, zone uint16) top {
-	t := top{subject: subject}
+// rank returns the observers of the subject. Every balancer with the same member
+// list returns the same ones. All observers of an agent are in its zone, and
+// nearObservers of a balancer's; if a zone has too few, the rest are in others.
+func (r *memberList) rank(subject key, role Role, zone uint16) ranking {
+	t := ranking{subject: subject}
 	if role == RoleAgent {
 		t.add(r.live[zone], observers)
 	} else {
@@ -87,7 +87,7 @@
 	return t
 }
 
-// farZone picks the zone of the outside observer by rendezvous over zones.
+// farZone picks the zone of the outside observer by rendezvous hashing over zones.
 func (r *memberList) farZone(subject key, zone uint16) (uint16, bool) {
 	best, found := uint64(0), false
 	var pick uint16
--- a/membership/record.go
+++ b/membership/record.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// Role is what a process does.
+// Role is the kind of a process.
 type Role uint8
 
-// The roles of processes that the roster lists.
+// The roles of the processes in the member list.
 const (
 	RoleBalancer Role = 1
 	RoleAgent    Role = 2
@@ -25,11 +25,11 @@
 	return fmt.Sprintf("role(%d)", uint8(r))
 }
 
-// State is what a process says about itself. Leaving is final within an
+// State is what a process announces about itself. Leaving is final within an
 // incarnation.
 type State uint8
 
-// The states of a process, in the order in which it usually passes them.
+// The states of a process, in their usual order.
 const (
 	StateStarting State = 1 // not yet able to work
 	StateReady    State = 2 // takes new work
@@ -52,15 +52,16 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Verdict is what the observers of a process say about it. A verdict holds for
-// one version of a record: the process refutes it by announcing a higher one.
+// Verdict is the result of failure detection by the observers of a process. A
+// verdict applies to one version of a record: the process refutes it by
+// announcing a higher version.
 type Verdict uint8
 
 // The verdicts, weakest first.
 const (
 	VerdictAlive   Verdict = 0
-	VerdictSuspect Verdict = 1 // observers agree that it is silent; gets no new work
-	VerdictDead    Verdict = 2 // still silent after Timing.DeadAfter
+	VerdictSuspect Verdict = 1 // a majority of observers receives no reports; gets no new work
+	VerdictDead    Verdict = 2 // still no report after Timing.DeadAfter
 )
 
 // String returns the verdict's name.
@@ -79,8 +80,8 @@
 // MaxLabel is the longest zone or region name in bytes.
 const MaxLabel = 32
 
-// Record is one process as the roster knows it. Its identity is Addr; a
-// process that restarts at the same address has a higher Incarnation.
+// Record describes one process in the member list. Addr identifies it; a process
+// that restarts at the same address has a higher Incarnation.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -90,16 +91,16 @@
 	Verdict     Verdict
 	Weight      uint8  // relative share of new work, 0 to 255
 	Service     uint32 // service number in the catalogue; 0 for a balancer
-	Incarnation uint64 // start time of the process in nanoseconds
-	Version     uint32 // counts the announcements within an incarnation
+	Incarnation uint64 // start time of the process in Unix nanoseconds, or higher if balancers knew a later one
+	Version     uint32 // number of announcements within an incarnation
 	Bulk        uint16 // port for bulk transfers, 0 if none
 	Admin       uint16 // port of the admin address, 0 if none
 	Zone        string // availability zone
 	Region      string
 }
 
-// Newer reports whether r replaces o: a later incarnation, then a later
-// version, then a stronger verdict on the same version.
+// Newer reports whether r replaces o: it has a later incarnation, or the same and
+// a later version, or the same version and a stronger verdict.
 func (r *Record) Newer(o *Record) bool {
 	if r.Incarnation != o.Incarnation {
 		return r.Incarnation > o.Incarnation
@@ -110,12 +111,13 @@
 	return r.Verdict > o.Verdict
 }
 
-// TakesWork reports whether the record alone allows new work for the process.
+// TakesWork reports whether the record allows new work for the process. The
+// reachability of its zone is not considered.
 func (r *Record) TakesWork() bool {
 	return r.State == StateReady && r.Verdict == VerdictAlive && r.Weight > 0
 }
 
-// RecordError tells why a record can't be used.
+// RecordError reports which field of a record is invalid, why, and the remedy.
 type RecordError struct {
 	Field  string
 	Reason string
@@ -126,7 +128,7 @@
 	return fmt.Sprintf("membership record, %s: %s; %s", e.Field, e.Reason, e.Remedy)
 }
 
-// Check returns a *RecordError if r breaks the bounds of the roster.
+// Check returns a *RecordError if a field of r is out of bounds.
 func (r *Record) Check() error {
 	if !r.Addr.Addr().Is4() || r.Addr.Port() == 0 {
 		return &RecordError{"Addr", "not an IPv4 address with a port", "give the address of the internal UDP socket"}
@@ -163,7 +165,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(k))
 }
 
-// mix is the finalizer of splitmix64: a cheap, well spread 64-bit hash.
+// mix is the finalizer of splitmix64: a cheap 64-bit hash with good distribution.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -7,92 +7,92 @@
 )
 
 // Repair compares digests with one random balancer at a time, from the whole
-// roster down to single records, and exchanges what differs:
+// member list down to single records, and exchanges the records that differ:
 //
-//	Root -> Groups -> Buckets -> Summary -> Repair and Want -> Repair
+//	RootDigest -> GroupDigests -> BucketDigests -> RecordDigests -> Repair and RecordRequest -> Repair
 //
-// Each step is sent only where the previous one differs, so that two equal
-// rosters cost one small message.
+// Each step covers only what differed in the previous one, so that two equal
+// member lists cost one small message.
 const (
-	// bulkDifference in records is better loaded in bulk than by datagrams.
+	// bulkDifference is the difference in records above which the member list
+	// is loaded in bulk instead of by datagrams.
 	bulkDifference = 512
 	// groupsPerRound bounds the answers to one message of group digests.
 	groupsPerRound = 4
-	// hotFor is the time in which gossip is still spreading a change. A group
-	// that changed so lately differs for that reason, and isn't descended.
-	hotFor = 3 * time.Second
-	// farCompare is how many comparisons pass between two with a balancer of
-	// another zone.
-	farCompare = 4
+	// recentChange is the time in which gossip still spreads a change. A group
+	// that changed within it is expected to differ and is not compared further.
+	recentChange = 3 * time.Second
+	// One in farComparePeriod comparisons, at random, is with a balancer of any
+	// zone, the others with one of the own zone.
+	farComparePeriod = 4
 )
 
-// flooded tells that many changes still wait for gossip. Rosters differ then
-// for that reason alone, and comparing them would take the bytes that the
-// changes need.
-func (m *Machine) flooded() bool { return len(m.queue.level) > backlog }
+// backlogged reports whether many changes wait for gossip. Member lists are then
+// expected to differ, and a comparison would use the bytes that the changes need.
+func (m *Machine) backlogged() bool { return len(m.queue.position) > backlog }
 
-// compare starts a comparison when one is due.
+// compare starts a comparison if one is due.
 func (m *Machine) compare(now time.Time) {
-	if now.Sub(m.compareAt) < m.cfg.Timing.CompareInterval {
+	if now.Sub(m.comparedAt) < m.cfg.Timing.CompareInterval {
 		return
 	}
-	m.compareAt = now
-	if m.flooded() {
+	m.comparedAt = now
+	if m.backlogged() {
 		return
 	}
-	list := m.roster.live[m.zone]
-	if len(list) < 2 || m.rng.IntN(farCompare) == 0 {
-		list = m.roster.liveAll()
+	list := m.members.live[m.zone]
+	if len(list) < 2 || m.rng.IntN(farComparePeriod) == 0 {
+		list = m.members.liveAll()
 	}
 	for _, t := range m.pick(nil, list, 1) {
-		m.sendRoot(t)
+		m.sendRootDigest(t)
 	}
 }
 
-// probeLost sends a digest to a balancer that is out of contact: in a zone that
-// is down, dead, or a seed that is in no roster. Two sides of a partition that
-// have given each other up would otherwise stay apart after it has healed,
-// each with a roster in which the other is dead.
-func (m *Machine) probeLost(now time.Time) {
-	if now.Sub(m.probeAt) < m.cfg.Timing.ProbeInterval {
+// probeOutOfContact sends a digest to a balancer that is out of contact: its zone
+// is down, it is dead, or it is a seed that is not in the member list. Otherwise
+// two sides of a partition that have declared each other dead would stay separate
+// after the partition has healed.
+func (m *Machine) probeOutOfContact(now time.Time) {
+	if now.Sub(m.probedAt) < m.cfg.Timing.ProbeInterval {
 		return
 	}
-	m.probeAt = now.Add(-time.Duration(m.rng.Int64N(int64(m.cfg.Timing.ProbeInterval) / 4)))
-	for _, t := range m.pick(nil, m.lost(), 1) {
-		m.sendRoot(t)
+	m.probedAt = now.Add(-time.Duration(m.rng.Int64N(int64(m.cfg.Timing.ProbeInterval) / 4)))
+	for _, t := range m.pick(nil, m.outOfContact(), 1) {
+		m.sendRootDigest(t)
 	}
 }
 
-func (m *Machine) lost() []key {
+func (m *Machine) outOfContact() []key {
 	var list []key
-	for z := range m.roster.zones {
-		if m.roster.zones[z].down {
-			list = append(list, m.roster.live[z]...)
+	for z := range m.members.zones {
+		if m.members.zones[z].down {
+			list = append(list, m.members.live[z]...)
 		}
 	}
-	for _, t := range m.dead {
-		c := m.roster.find(t.key)
+	for _, t := range m.tombstones {
+		c := m.members.find(t.key)
 		if c != nil && c.verdict == VerdictDead && c.role == RoleBalancer {
 			list = append(list, t.key)
 		}
 	}
 	for _, a := range m.self.cfg.Seeds {
-		if m.roster.find(keyOf(a)) == nil {
+		if m.members.find(keyOf(a)) == nil {
 			list = append(list, keyOf(a))
 		}
 	}
 	return list
 }
 
-func (m *Machine) sendRoot(to netip.AddrPort) {
+func (m *Machine) sendRootDigest(to netip.AddrPort) {
 	m.send(to, &Message{
-		Kind: KindRootDigest, Hash: m.roster.root, Count: uint32(m.roster.count),
+		Kind: KindRootDigest, Hash: m.members.root, Count: uint32(m.members.count),
 		Records: []Record{m.self.self},
 	})
 }
 
-// onRepairStep handles the messages of a comparison. All of them are answers
-// to something this balancer may ignore, so none is sent beyond the budget.
+// onRepairStep handles the messages of a comparison. All answers to them are
+// optional, so none is sent beyond the byte budget.
 func (m *Machine) onRepairStep(now time.Time, from netip.AddrPort, msg *Message) {
 	if msg.Kind == KindRootDigest && len(msg.Records) > 0 && msg.Records[0].Addr == from {
 		m.merge(now, &msg.Records[0], 0)
@@ -101,66 +101,66 @@
 		m.stats.RateLimited++
 		return
 	}
-	if m.flooded() && msg.Kind != KindRecordRequest && int(msg.Count) <= m.roster.count+bulkDifference {
+	if m.backlogged() && msg.Kind != KindRecordRequest && int(msg.Count) <= m.members.count+bulkDifference {
 		return
 	}
 	switch msg.Kind {
 	case KindRootDigest:
-		m.onRoot(from, msg)
+		m.onRootDigest(from, msg)
 	case KindGroupDigests:
-		m.onGroups(now, from, msg)
+		m.onGroupDigests(now, from, msg)
 	case KindBucketDigests:
-		m.onBuckets(from, msg)
+		m.onBucketDigests(from, msg)
 	case KindRecordDigests:
-		m.onSummary(from, msg)
+		m.onRecordDigests(from, msg)
 	case KindRecordRequest:
-		m.onWant(from, msg)
+		m.onRecordRequest(from, msg)
 	}
 }
 
-func (m *Machine) onRoot(from netip.AddrPort, msg *Message) {
-	r := m.roster
+func (m *Machine) onRootDigest(from netip.AddrPort, msg *Message) {
+	r := m.members
 	if msg.Hash == r.root {
 		return
 	}
 	theirs, own := int(msg.Count), r.count
 	switch {
 	case theirs > own+bulkDifference:
-		m.bulkFrom = from
+		m.bulkSource = from
 	case own > theirs+bulkDifference:
-		m.sendRoot(from) // so that the sender notices what it lacks
+		m.sendRootDigest(from) // the sender then sees which records it lacks
 	default:
 		m.send(from, &Message{Kind: KindGroupDigests, Hashes: packHashes(r.groups[:])})
 	}
 }
 
-func (m *Machine) onGroups(now time.Time, from netip.AddrPort, msg *Message) {
+func (m *Machine) onGroupDigests(now time.Time, from netip.AddrPort, msg *Message) {
 	if len(msg.Hashes) != groupCount*hashLen {
 		return
 	}
 	first, sent := m.rng.IntN(groupCount), 0
 	for i := 0; i < groupCount && sent < groupsPerRound; i++ {
 		g := (first + i) % groupCount
-		if hashAt(msg.Hashes, g) == uint32(m.roster.groups[g]) || now.Sub(m.hotAt[g]) < hotFor {
+		if hashAt(msg.Hashes, g) == uint32(m.members.groups[g]) || now.Sub(m.groupChangedAt[g]) < recentChange {
 			continue
 		}
-		buckets := m.roster.buckets[g*groupSize : (g+1)*groupSize]
+		buckets := m.members.buckets[g*groupSize : (g+1)*groupSize]
 		m.send(from, &Message{Kind: KindBucketDigests, Index: uint16(g), Hashes: packHashes(buckets)})
 		sent++
 	}
 }
 
-func (m *Machine) onBuckets(from netip.AddrPort, msg *Message) {
+func (m *Machine) onBucketDigests(from netip.AddrPort, msg *Message) {
 	if len(msg.Hashes) != groupSize*hashLen || msg.Index >= groupCount {
 		return
 	}
 	sum := &Message{Kind: KindRecordDigests}
 	for i := 0; i < groupSize; i++ {
 		b := int(msg.Index)*groupSize + i
-		if hashAt(msg.Hashes, i) == uint32(m.roster.buckets[b]) {
+		if hashAt(msg.Hashes, i) == uint32(m.members.buckets[b]) {
 			continue
 		}
-		if !m.summarize(sum, b) {
+		if !m.addBucket(sum, b) {
 			break
 		}
 	}
@@ -169,27 +169,27 @@
 	}
 }
 
-// summarize adds bucket b to sum; false if it doesn't fit any more.
-func (m *Machine) summarize(sum *Message, b int) bool {
+// addBucket adds the records of bucket b to sum; false if they don't fit.
+func (m *Machine) addBucket(sum *Message, b int) bool {
 	const each = sizePeer + hashLen
 	n := 0
-	m.roster.eachInBucket(b, func(*cell) { n++ })
+	m.members.eachInBucket(b, func(*cell) { n++ })
 	full := len(sum.Buckets) > 0 && sum.size()+n*each > MaxMessage
 	if full || len(sum.Buckets) == maxBuckets {
 		return false
 	}
 	sum.Buckets = append(sum.Buckets, uint16(b))
-	m.roster.eachInBucket(b, func(c *cell) {
+	m.members.eachInBucket(b, func(c *cell) {
 		if sum.size()+each > MaxMessage {
 			return
 		}
 		sum.Peers = append(sum.Peers, c.key.addrPort())
-		sum.Hashes = binary.BigEndian.AppendUint32(sum.Hashes, c.short())
+		sum.Hashes = binary.BigEndian.AppendUint32(sum.Hashes, c.recordDigest())
 	})
 	return true
 }
 
-func (m *Machine) onSummary(from netip.AddrPort, msg *Message) {
+func (m *Machine) onRecordDigests(from netip.AddrPort, msg *Message) {
 	if len(msg.Hashes) != hashLen*len(msg.Peers) || len(msg.Buckets) > maxBuckets {
 		return
 	}
@@ -198,7 +198,7 @@
 	for i, p := range msg.Peers {
 		h := hashAt(msg.Hashes, i)
 		listed[keyOf(p)] = h
-		if h != 0 && m.roster.find(keyOf(p)) == nil {
+		if h != 0 && m.members.find(keyOf(p)) == nil {
 			want.Peers = append(want.Peers, p)
 		}
 	}
@@ -207,10 +207,10 @@
 		if b >= bucketCount {
 			return
 		}
-		m.roster.eachInBucket(int(b), func(c *cell) {
+		m.members.eachInBucket(int(b), func(c *cell) {
 			h, ok := listed[c.key]
-			if ok && h != c.short() || !ok && c.digested() {
-				differ = append(differ, m.roster.record(c))
+			if ok && h != c.recordDigest() || !ok && c.digested() {
+				differ = append(differ, m.members.record(c))
 			}
 		})
 	}
@@ -220,24 +220,24 @@
 	}
 }
 
-func (m *Machine) onWant(from netip.AddrPort, msg *Message) {
+func (m *Machine) onRecordRequest(from netip.AddrPort, msg *Message) {
 	var list []Record
 	for _, p := range msg.Peers {
-		if c := m.roster.find(keyOf(p)); c != nil {
-			list = append(list, m.roster.record(c))
+		if c := m.members.find(keyOf(p)); c != nil {
+			list = append(list, m.members.record(c))
 		}
 	}
 	m.sendRecords(from, list)
 }
 
-// sendRecords sends records as repair, as far as the budget reaches. What is
-// left out differs at the next comparison again.
+// sendRecords sends records as repair while the byte budget lasts. The rest
+// differs again in the next comparison.
 func (m *Machine) sendRecords(to netip.AddrPort, list []Record) {
 	for len(list) > 0 && m.tokens > 0 {
 		msg := &Message{Kind: KindRepair}
-		room := MaxMessage - sizeHead
-		for len(list) > 0 && list[0].size() <= room {
-			room -= list[0].size()
+		space := MaxMessage - sizeHead
+		for len(list) > 0 && list[0].size() <= space {
+			space -= list[0].size()
 			msg.Records = append(msg.Records, list[0])
 			list = list[1:]
 		}
@@ -248,9 +248,9 @@
 	}
 }
 
-// short is the digest of one record in a summary, 0 for a dead one: a balancer
-// that has forgotten a dead record must not ask for it.
-func (c *cell) short() uint32 {
+// recordDigest is the digest of one record in a KindRecordDigests message, 0 for
+// a dead record: a balancer that has removed a dead record must not request it.
+func (c *cell) recordDigest() uint32 {
 	if !c.digested() {
 		return 0
 	}
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -2,7 +2,8 @@
 
 import "hash/fnv"
 
-// Buckets of the digest: groups of buckets, both in one message of hashes.
+// Sizes of the digest tree. Records are hashed into buckets, buckets form groups.
+// The digests of all groups, or of all buckets of a group, fit into one message.
 const (
 	groupCount  = 64
 	groupSize   = 64
@@ -11,14 +12,14 @@
 )
 
 // cell is a Record without pointers: 40 bytes, so that the garbage collector
-// never scans the roster and 105,000 of them take about 4 MB.
+// never scans the member list and 105,000 of them take about 4 MB.
 type cell struct {
 	key         key
 	incarnation uint64
 	version     uint32
 	service     uint32
 	bulk, admin uint16
-	zone        uint16 // index into roster.zones
+	zone        uint16 // index into memberList.zones
 	role        Role
 	state       State
 	verdict     Verdict
@@ -26,32 +27,32 @@
 	next        int32 // next cell of the same bucket, -1 at the end
 }
 
-// zone is a zone's name, stored once.
+// zone is an availability zone; its name is stored once for all records.
 type zone struct {
 	name, region string
 	hash         uint64
-	down         bool // unreachable from this region, see ZoneFact
+	down         bool // unreachable from this region, see ZoneStatus
 	cells        int
 }
 
 // memberList is the compact table of all records, with the digests and indices
-// that have to follow each change.
+// that are updated on each change.
 type memberList struct {
 	index    map[key]int32
 	cells    []cell
 	free     []int32
 	zones    []zone
 	zoneOf   map[string]uint16
-	live     [][]key // by zone: balancers that may observe and be gossiped to
-	all      []key   // cache of live, flat
+	live     [][]key // by zone: balancers that may observe and receive gossip
+	all      []key   // all of live in one list, cached
 	allGen   uint64
-	gen      uint64 // counts changes of live
+	gen      uint64 // incremented on each change of live
 	services map[uint32][]int32
 	buckets  [bucketCount]uint64
 	heads    [bucketCount]int32
 	groups   [groupCount]uint64
 	root     uint64
-	count    int // records in the digest
+	count    int // number of records in the digest
 }
 
 func newMemberList() *memberList {
@@ -68,7 +69,7 @@
 
 func bucketOf(k key) int { return int(mix(uint64(k)) % bucketCount) }
 
-// zoneIndex interns a zone.
+// zoneIndex returns the index of a zone, which it adds if it is new.
 func (r *memberList) zoneIndex(name, region string) uint16 {
 	full := region + "/" + name
 	if i, ok := r.zoneOf[full]; ok {
@@ -83,24 +84,24 @@
 	return i
 }
 
-// hash covers all that makes one version of a record differ from another.
+// hash covers the fields that tell the versions of a record apart.
 func (c *cell) hash() uint64 {
 	h := mix(uint64(c.key) + 1)
 	h = mix(h ^ c.incarnation)
 	return mix(h ^ uint64(c.version)<<8 ^ uint64(c.verdict))
 }
 
-// digested tells whether c counts in the digest. Dead records don't: each
-// balancer forgets them in its own time, and that must not look like a
-// difference that repair has to mend.
+// digested reports whether c is part of the digest. Dead records are not: each
+// balancer removes them at its own time, and repair must not treat that as a
+// difference.
 func (c *cell) digested() bool { return c.verdict != VerdictDead }
 
-// observes tells whether c may observe others.
+// observes reports whether c may observe other processes.
 func (c *cell) observes() bool {
 	return c.role == RoleBalancer && c.verdict == VerdictAlive && c.state != StateLeaving
 }
 
-func (r *memberList) toggle(c *cell) {
+func (r *memberList) toggleDigest(c *cell) {
 	if !c.digested() {
 		return
 	}
@@ -128,7 +129,8 @@
 	}
 }
 
-// put stores rec, whether newer or not; the caller has compared.
+// put stores rec without comparing it with the stored record; the caller has
+// compared them.
 func (r *memberList) put(rec *Record) *cell {
 	k := keyOf(rec.Addr)
 	i, known := r.index[k]
@@ -163,10 +165,10 @@
 	return i
 }
 
-// link adds cell i to the digests and indices, unlink takes it out.
+// link adds cell i to the digests and indices, unlink removes it from them.
 func (r *memberList) link(i int32) {
 	c := &r.cells[i]
-	r.toggle(c)
+	r.toggleDigest(c)
 	r.zones[c.zone].cells++
 	if c.digested() {
 		r.count++
@@ -182,7 +184,7 @@
 
 func (r *memberList) unlink(i int32) {
 	c := &r.cells[i]
-	r.toggle(c)
+	r.toggleDigest(c)
 	r.zones[c.zone].cells--
 	if c.digested() {
 		r.count--
@@ -196,8 +198,8 @@
 	}
 }
 
-// forget removes the record of k.
-func (r *memberList) forget(k key) {
+// remove removes the record of k.
+func (r *memberList) remove(k key) {
 	i, ok := r.index[k]
 	if !ok {
 		return
@@ -228,7 +230,7 @@
 	return r.all
 }
 
-// without removes v from list, not keeping the order.
+// without removes v from list without keeping the order.
 func without[T comparable](list []T, v T) []T {
 	for i := range list {
 		if list[i] == v {
--- a/membership/slots_test.go
+++ b/membership/slots_test.go
@@ -11,7 +11,7 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// slotStore is the platform's store as far as Slots uses it.
+// slotStore simulates the operations of the platform's store that Slots uses.
 type slotStore struct {
 	now    time.Time
 	values map[string]slotValue
@@ -77,13 +77,13 @@
 }
 
 type slotFleet struct {
-	store *slotStore
-	list  []*Slots
-	down  map[int]bool // paused or dead
+	store   *slotStore
+	list    []*Slots
+	stopped map[int]bool // paused or failed
 }
 
 func newSlotFleet(n int) *slotFleet {
-	f := &slotFleet{store: newSlotStore(time.Unix(1000, 0)), down: map[int]bool{}}
+	f := &slotFleet{store: newSlotStore(time.Unix(1000, 0)), stopped: map[int]bool{}}
 	for i := range n {
 		f.list = append(f.list, NewSlots(f.store.now, SlotsConfig{
 			Zone: "a", Self: lab.AddrOf(RoleBalancer, i), Incarnation: 1, ClaimsSlots: true, Seed: uint64(i),
@@ -93,11 +93,11 @@
 	return f
 }
 
-// candidate ranks the processes that are up, as rosters would.
+// candidate ranks the running processes, as SlotCandidate does.
 func (f *slotFleet) candidate(i int) bool {
 	better := 0
 	for j := range f.list {
-		if !f.down[j] && Score(1, j+1) > Score(1, i+1) {
+		if !f.stopped[j] && Score(1, j+1) > Score(1, i+1) {
 			better++
 		}
 	}
@@ -107,7 +107,7 @@
 func (f *slotFleet) run(d time.Duration, result func(Call) Result) {
 	for end := f.store.now.Add(d); f.store.now.Before(end); f.store.now = f.store.now.Add(250 * time.Millisecond) {
 		for i, s := range f.list {
-			if f.down[i] {
+			if f.stopped[i] {
 				continue
 			}
 			if c, ok := s.Next(f.store.now); ok {
@@ -123,7 +123,7 @@
 		f := newSlotFleet(n)
 		f.run(2*time.Minute, f.store.do)
 		if got := f.store.held("a"); got != SlotsPerZone {
-			t.Errorf("%d of %d slots are held among %d balancers", got, SlotsPerZone, n)
+			t.Errorf("%d of %d slots are held by %d balancers", got, SlotsPerZone, n)
 		}
 		f.store.calls = map[Op]int{}
 		f.run(10*time.Minute, f.store.do)
@@ -137,11 +137,10 @@
 	}
 }
 
-// Symptom: no process can be found through the store after failures.
-// Sequence: the holders die, pause or lose answers; the store is out for a
-// while; claims take effect although their answers were lost.
-// Cause: a process that waits for an answer that never comes, or one that
-// takes a lapsed lease for valid and never claims again.
+// Guards against slots that stay empty after faults: holders fail, pause or lose
+// answers, the store has an outage, and claims take effect although their answers
+// were lost. A process must not wait for a lost answer forever, nor take a lapsed
+// lease as valid.
 func TestSlotsRecover(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newSlotFleet(rapid.IntRange(4, 12).Draw(rt, "balancers"))
@@ -149,7 +148,7 @@
 			outcome := rapid.SampledFrom([]Outcome{OutcomeOK, OutcomeRefused, OutcomeUnknown}).Draw(rt, "outcome")
 			effect := rapid.Bool().Draw(rt, "effect")
 			i := rapid.IntRange(0, len(f.list)-1).Draw(rt, "process")
-			f.down[i] = !f.down[i] && len(f.down) < len(f.list)-SlotsPerZone
+			f.stopped[i] = !f.stopped[i] && len(f.stopped) < len(f.list)-SlotsPerZone
 			seconds := rapid.IntRange(1, 90).Draw(rt, "seconds")
 			f.run(time.Duration(seconds)*time.Second, func(c Call) Result {
 				if outcome == OutcomeOK || effect {
@@ -161,7 +160,7 @@
 				return Result{ID: c.ID, Outcome: outcome}
 			})
 		}
-		clear(f.down)
+		clear(f.stopped)
 		f.run(5*time.Minute, f.store.do)
 		if got := f.store.held("a"); got != SlotsPerZone {
 			rt.Fatalf("%d slots are held 5 minutes after the last fault", got)
@@ -169,11 +168,10 @@
 	})
 }
 
-// Symptom: after a power cut the store is over its 2,000 reads a second and
-// refuses the edits of operators as well.
-// Sequence: 105,000 processes start within a minute, all slots are empty.
-// Cause: processes that find nothing read again at once.
-func TestPowerCutStaysWithinReads(t *testing.T) {
+// Guards against a store above its 2,000 reads per second, which then also refuses
+// the operators' edits: 105,000 processes start within a minute while all slots are
+// empty, and must not read again at once.
+func TestSimultaneousStartStaysWithinReadLimit(t *testing.T) {
 	const zones, balancers, agents, limit = 18, 11_000, 94_000, 2_000
 	start := time.Unix(1000, 0)
 	store := newSlotStore(start)
@@ -240,11 +238,10 @@
 	}
 }
 
-// Symptom: a process that knows no balancer waits half a minute for a contact.
-// Sequence: three balancers start together and turn to the same slot; one takes
-// it, the others look at the next one half a minute later; the process finds two
-// empty slots, with a longer wait after each. Cause: candidates took their time
-// with slots that nobody had read yet.
+// Guards against a process that waits half a minute for a contact: three balancers
+// start together and choose the same slot, and the two that lost the race read the
+// next one half a minute later. The process reads two empty slots, with a longer
+// wait after each.
 func TestSlotsFillSoon(t *testing.T) {
 	f := newSlotFleet(3)
 	f.run(8*time.Second, f.store.do)
--- a/membership/watch.go
+++ b/membership/watch.go
@@ -6,189 +6,190 @@
 )
 
 const (
-	// doubtFor is the least time from the first doubt to a suspicion. In it the
-	// process and its other observers are asked every doubtRetry, so that lost
-	// heartbeats alone don't make a suspicion; after it only every slowRetry.
-	doubtFor   = time.Second
-	doubtRetry = 250 * time.Millisecond
-	slowRetry  = time.Second
-	// majority of the observers makes a suspicion.
+	// minOverdue is the least time from the first missing report to a suspicion.
+	// In it the process and its other observers are queried every queryRetry, so
+	// that lost heartbeats alone cause no suspicion; after it every slowQueryRetry.
+	minOverdue     = time.Second
+	queryRetry     = 250 * time.Millisecond
+	slowQueryRetry = time.Second
+	// majority is the number of observers that must agree on a suspicion.
 	majority = 2
-	// auditSweep is the number of ticks in which the audit passes the whole
-	// roster once.
+	// auditSweep is the number of ticks in which the audit checks the whole
+	// member list once.
 	auditSweep = 200
-	// maxAlone bounds how far refuted lonely suspicions stretch AloneAfter.
-	maxAlone = 32
+	// maxSoleObserverFactor bounds how far refuted suspicions of a sole observer
+	// lengthen SoleObserverAfter.
+	maxSoleObserverFactor = 32
 )
 
-// watch is what this balancer, as an observer, holds of one process.
-type watch struct {
-	key       key
-	since     time.Time // watched without interruption since
-	heardAt   time.Time // last heard, or vouched for by another observer
-	directAt  time.Time // last heard directly
-	doubtFrom time.Time // zero while there is no doubt
-	askedAt   time.Time
-	suspectAt time.Time // when the verdict suspect was first seen here
-	version   uint32    // that the verdict holds for
-	agree     [observers]key
-	agreed    int
-	skipped   bool // the last heartbeat got no ack
-	alone     int  // factor of AloneAfter
-	gen       uint64
-	rank      top
+// observation is the state that this balancer keeps of one process it observes.
+type observation struct {
+	key                key
+	observedSince      time.Time // start of the uninterrupted observation
+	aliveAt            time.Time // last report received here or by another observer
+	reportAt           time.Time // last report received here
+	overdueSince       time.Time // since when reports are missing; zero if none is
+	queriedAt          time.Time
+	suspectAt          time.Time // when this balancer first saw the verdict suspect
+	version            uint32    // version that has the verdict suspect
+	confirmedBy        [observers]key
+	confirmations      int
+	ackOmitted         bool // the last heartbeat was not acknowledged
+	soleObserverFactor int  // multiplies SoleObserverAfter
+	gen                uint64
+	rank               ranking
 }
 
-func (w *watch) clear() {
-	w.doubtFrom = time.Time{}
-	w.agreed = 0
+func (o *observation) clearOverdue() {
+	o.overdueSince = time.Time{}
+	o.confirmations = 0
 }
 
-// noticePause gives everybody a fresh start after a pause of this process. It
-// was us who did not listen: without this, a balancer that was stopped for
-// 30 s would find everybody silent, and say so to others.
-func (m *Machine) noticePause(now time.Time) {
-	gap := now.Sub(m.calledAt)
-	first := m.calledAt.IsZero()
-	m.calledAt = now
+// detectPause resets all observations after a pause of this process. Otherwise a
+// balancer that was stopped for 30 s would take every process as failed and
+// report this to others.
+func (m *Machine) detectPause(now time.Time) {
+	gap := now.Sub(m.lastCallAt)
+	first := m.lastCallAt.IsZero()
+	m.lastCallAt = now
 	if first || gap < m.cfg.Timing.PauseAfter {
 		return
 	}
 	m.stats.Pauses++
-	for i := range m.watches {
-		m.watches[i].renew(now)
+	for i := range m.observations {
+		m.observations[i].reset(now)
 	}
 }
 
-func (w *watch) renew(now time.Time) {
-	w.since, w.heardAt, w.suspectAt = now, now, now
-	w.clear()
+func (o *observation) reset(now time.Time) {
+	o.observedSince, o.aliveAt, o.suspectAt = now, now, now
+	o.clearOverdue()
 }
 
-// renewWatches gives a fresh start to the processes of a zone that is back.
-func (m *Machine) renewWatches(now time.Time, z uint16) {
-	for i := range m.watches {
-		if c := m.roster.find(m.watches[i].key); c != nil && c.zone == z {
-			m.watches[i].renew(now)
+// resetZoneObservations resets the observations of a zone that is reachable again.
+func (m *Machine) resetZoneObservations(now time.Time, z uint16) {
+	for i := range m.observations {
+		if c := m.members.find(m.observations[i].key); c != nil && c.zone == z {
+			m.observations[i].reset(now)
 		}
 	}
 }
 
-// watchFor returns the watch of k, a new one if there is none.
-func (m *Machine) watchFor(now time.Time, k key) *watch {
-	if i, ok := m.watchOf[k]; ok {
-		return &m.watches[i]
+// observe returns the observation of k and starts it if there is none.
+func (m *Machine) observe(now time.Time, k key) *observation {
+	if i, ok := m.observationOf[k]; ok {
+		return &m.observations[i]
 	}
-	m.watchOf[k] = len(m.watches)
-	m.watches = append(m.watches, watch{key: k, since: now, heardAt: now, alone: 1})
-	return &m.watches[len(m.watches)-1]
+	m.observationOf[k] = len(m.observations)
+	m.observations = append(m.observations, observation{key: k, observedSince: now, aliveAt: now, soleObserverFactor: 1})
+	return &m.observations[len(m.observations)-1]
 }
 
-func (m *Machine) unwatch(i int) {
-	last := len(m.watches) - 1
-	delete(m.watchOf, m.watches[i].key)
+func (m *Machine) stopObserving(i int) {
+	last := len(m.observations) - 1
+	delete(m.observationOf, m.observations[i].key)
 	if i != last {
-		m.watches[i] = m.watches[last]
-		m.watchOf[m.watches[i].key] = i
+		m.observations[i] = m.observations[last]
+		m.observationOf[m.observations[i].key] = i
 	}
-	m.watches = m.watches[:last]
+	m.observations = m.observations[:last]
 }
 
-func (m *Machine) heard(now time.Time, k key) {
-	w := m.watchFor(now, k)
-	w.heardAt, w.directAt = now, now
-	w.clear()
+func (m *Machine) recordReport(now time.Time, k key) {
+	o := m.observe(now, k)
+	o.aliveAt, o.reportAt = now, now
+	o.clearOverdue()
 }
 
-func (m *Machine) rankOf(w *watch, c *cell) *top {
-	if w.gen != m.roster.gen || w.rank.n == 0 {
-		w.rank = m.roster.rank(w.key, c.role, c.zone)
-		w.gen = m.roster.gen
+func (m *Machine) rankOf(o *observation, c *cell) *ranking {
+	if o.gen != m.members.gen || o.rank.n == 0 {
+		o.rank = m.members.rank(o.key, c.role, c.zone)
+		o.gen = m.members.gen
 	}
-	return &w.rank
+	return &o.rank
 }
 
-// isolated tells that nothing at all reaches this balancer, so that the fault
-// is more likely its own.
+// isolated reports whether this balancer receives no messages at all, so that the
+// fault is more likely its own.
 func (m *Machine) isolated(now time.Time) bool {
 	return now.Sub(m.receivedAt) > m.cfg.Timing.IsolatedAfter
 }
 
-func (m *Machine) judgeAll(now time.Time) {
-	for i := len(m.watches) - 1; i >= 0; i-- {
-		if m.judge(now, &m.watches[i]) {
-			m.unwatch(i)
+func (m *Machine) evaluateAll(now time.Time) {
+	for i := len(m.observations) - 1; i >= 0; i-- {
+		if m.evaluate(now, &m.observations[i]) {
+			m.stopObserving(i)
 		}
 	}
 }
 
-// judge looks at one process and reports whether to stop watching it.
-func (m *Machine) judge(now time.Time, w *watch) (done bool) {
-	if now.Sub(w.heardAt) < m.cfg.Timing.SuspectAfter {
+// evaluate evaluates one process and reports whether to stop observing it.
+func (m *Machine) evaluate(now time.Time, o *observation) (done bool) {
+	if now.Sub(o.aliveAt) < m.cfg.Timing.SuspectAfter {
 		return false
 	}
-	c := m.roster.find(w.key)
+	c := m.members.find(o.key)
 	if c == nil || c.verdict == VerdictDead {
 		return true
 	}
-	rank := m.rankOf(w, c)
+	rank := m.rankOf(o, c)
 	if !contains(rank.list(), m.selfKey) {
 		return true
 	}
-	if m.isolated(now) || m.roster.zones[c.zone].down {
+	if m.isolated(now) || m.members.zones[c.zone].down {
 		return false
 	}
 	if c.verdict == VerdictSuspect {
-		m.judgeSuspect(now, w, c)
+		m.evaluateSuspect(now, o, c)
 		return false
 	}
-	m.doubt(now, w, c, rank)
+	m.confirmFailure(now, o, c, rank)
 	return false
 }
 
-func (m *Machine) judgeSuspect(now time.Time, w *watch, c *cell) {
-	if w.suspectAt.IsZero() || w.version != c.version {
-		w.suspectAt, w.version = now, c.version
+func (m *Machine) evaluateSuspect(now time.Time, o *observation, c *cell) {
+	if o.suspectAt.IsZero() || o.version != c.version {
+		o.suspectAt, o.version = now, c.version
 	}
-	if now.Sub(w.suspectAt) >= m.cfg.Timing.DeadAfter {
+	if now.Sub(o.suspectAt) >= m.cfg.Timing.DeadAfter {
 		m.stats.DeclaredDead++
-		m.sentence(now, c, VerdictDead)
+		m.setVerdict(now, c, VerdictDead)
 	}
 }
 
-// doubt asks the other observers and suspects the process once a majority of
-// them finds it silent. One observer is not enough: the way to it may be cut
-// while the process works well.
-func (m *Machine) doubt(now time.Time, w *watch, c *cell, rank *top) {
-	if w.doubtFrom.IsZero() {
-		w.doubtFrom = now
+// confirmFailure queries the other observers and suspects the process once a
+// majority of them receives no reports. One observer is not enough: its path from
+// the process may be cut while the process works.
+func (m *Machine) confirmFailure(now time.Time, o *observation, c *cell, rank *ranking) {
+	if o.overdueSince.IsZero() {
+		o.overdueSince = now
 	}
-	lasted := now.Sub(w.doubtFrom)
-	if w.agreed+1 >= majority && lasted >= doubtFor {
-		m.suspect(now, w, c)
+	overdue := now.Sub(o.overdueSince)
+	if o.confirmations+1 >= majority && overdue >= minOverdue {
+		m.suspect(now, o, c)
 		return
 	}
-	if m.foldable(c) && lasted >= m.cfg.Timing.ZoneLossAfter {
-		m.witness(now, c.zone)
+	if m.evaluatedByZone(c) && overdue >= m.cfg.Timing.ZoneLossAfter {
+		m.recordUnreachable(now, c.zone)
 	}
-	if !m.foldable(c) && lasted >= time.Duration(w.alone)*m.cfg.Timing.SoleObserverAfter {
-		w.alone = min(w.alone*2, maxAlone)
-		m.suspect(now, w, c)
+	if !m.evaluatedByZone(c) && overdue >= time.Duration(o.soleObserverFactor)*m.cfg.Timing.SoleObserverAfter {
+		o.soleObserverFactor = min(o.soleObserverFactor*2, maxSoleObserverFactor)
+		m.suspect(now, o, c)
 		return
 	}
-	retry := doubtRetry
-	if lasted > doubtFor {
-		retry = slowRetry
+	retry := queryRetry
+	if overdue > minOverdue {
+		retry = slowQueryRetry
 	}
-	if now.Sub(w.askedAt) < retry {
+	if now.Sub(o.queriedAt) < retry {
 		return
 	}
-	w.askedAt = now
+	o.queriedAt = now
 	m.ping(c)
 	for _, k := range rank.list() {
 		if k != m.selfKey {
 			m.send(k.addrPort(), &Message{
-				Kind: KindLivenessQuery, Incarnation: c.incarnation, Peers: []netip.AddrPort{w.key.addrPort()},
+				Kind: KindLivenessQuery, Incarnation: c.incarnation, Peers: []netip.AddrPort{o.key.addrPort()},
 			})
 		}
 	}
@@ -196,47 +197,48 @@
 
 // ping asks a process to announce itself at once.
 func (m *Machine) ping(c *cell) {
-	m.send(c.key.addrPort(), &Message{Kind: KindAck, Flags: FlagSendRecord, Incarnation: c.incarnation, EntryVersion: m.entry(c.service)})
+	m.send(c.key.addrPort(), &Message{Kind: KindAck, Flags: FlagSendRecord, Incarnation: c.incarnation, EntryVersion: m.ackEntryVersion(c.service)})
 }
 
-// foldable tells that the silence of c and of its observers is judged as that
-// of its whole zone: this balancer sits outside, and the zone is not small.
-func (m *Machine) foldable(c *cell) bool {
-	return c.zone != m.zone && len(m.roster.live[c.zone]) >= foldBalancers && !m.view(c.zone).partial
+// evaluatedByZone reports whether missing reports of c and its observers count as
+// those of its whole zone: this balancer is outside, and the zone is not small.
+func (m *Machine) evaluatedByZone(c *cell) bool {
+	return c.zone != m.zone && len(m.members.live[c.zone]) >= minZoneStatusBalancers && !m.zoneState(c.zone).agentsOnly
 }
 
-func (m *Machine) suspect(now time.Time, w *watch, c *cell) {
-	w.clear()
+func (m *Machine) suspect(now time.Time, o *observation, c *cell) {
+	o.clearOverdue()
 	m.stats.Suspected++
-	m.sentence(now, c, VerdictSuspect)
+	m.setVerdict(now, c, VerdictSuspect)
 }
 
-func (m *Machine) sentence(now time.Time, c *cell, v Verdict) {
-	rec := m.roster.record(c)
+func (m *Machine) setVerdict(now time.Time, c *cell, v Verdict) {
+	rec := m.members.record(c)
 	rec.Verdict = v
 	m.apply(now, &rec, 0)
 }
 
-// onDoubt tells another observer what is known here. There is no answer while
-// this balancer can't judge: not watching for long enough, or isolated.
-func (m *Machine) onDoubt(now time.Time, from netip.AddrPort, msg *Message) {
+// onLivenessQuery answers another observer whether the process reports here. There
+// is no answer while this balancer can't decide: it has not observed the process
+// for long enough, or is isolated.
+func (m *Machine) onLivenessQuery(now time.Time, from netip.AddrPort, msg *Message) {
 	if len(msg.Peers) != 1 {
 		return
 	}
-	c := m.roster.find(keyOf(msg.Peers[0]))
+	c := m.members.find(keyOf(msg.Peers[0]))
 	if c == nil || c.incarnation != msg.Incarnation || c.key == m.selfKey {
 		return
 	}
-	w := m.watchFor(now, c.key)
-	silent := now.Sub(w.directAt)
-	if silent >= m.cfg.Timing.SuspectAfter/2 {
+	o := m.observe(now, c.key)
+	sinceReport := now.Sub(o.reportAt)
+	if sinceReport >= m.cfg.Timing.SuspectAfter/2 {
 		m.ping(c)
 	}
 	answer := &Message{Kind: KindLivenessReply, Incarnation: msg.Incarnation, Peers: msg.Peers}
 	switch limit := m.cfg.Timing.SuspectAfter * 2 / 3; {
-	case silent < limit:
+	case sinceReport < limit:
 		answer.Flags = FlagResponsive
-	case now.Sub(w.since) >= limit && now.Sub(w.heardAt) >= limit && now.Sub(m.receivedAt) <= m.cfg.Timing.IsolatedAfter:
+	case now.Sub(o.observedSince) >= limit && now.Sub(o.aliveAt) >= limit && now.Sub(m.receivedAt) <= m.cfg.Timing.IsolatedAfter:
 		answer.Flags = FlagUnresponsive
 	default:
 		return
@@ -244,23 +246,23 @@
 	m.send(from, answer)
 }
 
-func (m *Machine) onOpinion(now time.Time, from netip.AddrPort, msg *Message) {
+func (m *Machine) onLivenessReply(now time.Time, from netip.AddrPort, msg *Message) {
 	if len(msg.Peers) != 1 {
 		return
 	}
-	i, ok := m.watchOf[keyOf(msg.Peers[0])]
-	if !ok || m.watches[i].doubtFrom.IsZero() {
+	i, ok := m.observationOf[keyOf(msg.Peers[0])]
+	if !ok || m.observations[i].overdueSince.IsZero() {
 		return
 	}
-	w := &m.watches[i]
+	o := &m.observations[i]
 	if msg.Flags&FlagResponsive != 0 {
-		w.heardAt = now
-		w.clear()
+		o.aliveAt = now
+		o.clearOverdue()
 		return
 	}
 	k := keyOf(from)
-	if msg.Flags&FlagUnresponsive != 0 && w.agreed < len(w.agree) && !contains(w.agree[:w.agreed], k) {
-		w.agree[w.agreed] = k
-		w.agreed++
+	if msg.Flags&FlagUnresponsive != 0 && o.confirmations < len(o.confirmedBy) && !contains(o.confirmedBy[:o.confirmations], k) {
+		o.confirmedBy[o.confirmations] = k
+		o.confirmations++
 	}
 }
--- a/membership/zonefact.go
+++ b/membership/zonefact.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// ZoneStatus says whether one availability zone can be reached from one region.
-// It stands in place of thousands of suspicions when a zone is lost, or when
-// regions lose each other. It is a fact about a viewer, since a zone that one
-// region can't reach may well be in contact with a third: balancers of other
-// regions ignore it.
+// ZoneStatus is the reachability of one availability zone from one region. It
+// replaces thousands of verdicts on single processes when a zone is lost or
+// regions lose contact. It holds for the region of the viewer only, and balancers
+// of other regions ignore it: a zone that one region can't reach may be reachable
+// from a third.
 //
-// An odd Epoch means doubted: the zone is taken as unreachable once enough
-// Witnesses, all outside the zone, say that neither the balancer that they
-// observe nor its observers inside the zone answer. The first message that
-// comes straight from the zone raises the epoch to an even one, reachable.
-// If it came from an agent, the zone's balancers may still be gone; they are
-// then judged one by one, because a zone that works isn't lost.
+// An odd Epoch means suspected: the zone counts as unreachable once there are
+// enough Witnesses. A witness is a balancer outside the zone for which neither
+// the balancer it observes in the zone nor that balancer's observers inside the
+// zone answer. The first message directly from the zone raises the epoch to an
+// even one: reachable. If an agent sent it, the zone's balancers may still have
+// failed; they are then evaluated one by one, because a zone that works isn't
+// lost.
 type ZoneStatus struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -21,43 +22,43 @@
 	Zone         string
 	Region       string
 	Epoch        uint32
-	AgentsOnly   bool     // agents of the zone were heard, but no balancer since
+	AgentsOnly   bool     // since then only agents of the zone have sent messages, no balancer
 	Witnesses    []uint64 // packed addresses, at most maxWitnesses
 }
 
 const (
 	maxWitnesses = 5
-	// Zones with fewer balancers are judged record by record: there are few.
-	foldBalancers = 4
-	// One of so many possible witnesses has to be one.
-	possiblePerWitness = 3
-	// A doubt isn't raised again so soon after the zone was heard, so that a
-	// flapping link can't fill the gossip with epochs.
-	zoneSettle = 5 * time.Second
+	// Zones with fewer balancers are evaluated process by process.
+	minZoneStatusBalancers = 4
+	// One witness is required for each observersPerWitness possible ones.
+	observersPerWitness = 3
+	// A zone is not suspected again within zoneHoldDown of the last change, so
+	// that a flapping link can't fill the gossip with epochs.
+	zoneHoldDown = 5 * time.Second
 )
 
 func (f *ZoneStatus) check() error {
 	if f.Zone == "" || len(f.Zone) > MaxLabel || len(f.Region) > MaxLabel || len(f.ViewerRegion) > MaxLabel {
-		return &MessageError{"zone fact with a label out of bounds", "count and drop the datagram"}
+		return &MessageError{"zone status with a label out of bounds", "count and drop the datagram"}
 	}
 	if len(f.Witnesses) > maxWitnesses {
-		return &MessageError{"zone fact with too many witnesses", "count and drop the datagram"}
+		return &MessageError{"zone status with too many witnesses", "count and drop the datagram"}
 	}
 	return nil
 }
 
-// zoneView is what this balancer's region holds of one zone.
-type zoneView struct {
-	epoch     uint32
-	partial   bool
-	witnesses []key
-	changedAt time.Time
-	sent      int // gossip transmissions of this content
+// zoneState is the status of one zone as seen from this balancer's region.
+type zoneState struct {
+	epoch      uint32
+	agentsOnly bool
+	witnesses  []key
+	changedAt  time.Time
+	sent       int // gossip transmissions of the current content
 }
 
-func (v *zoneView) doubted() bool { return v.epoch%2 == 1 }
+func (v *zoneState) suspected() bool { return v.epoch%2 == 1 }
 
-func (v *zoneView) add(k key) bool {
+func (v *zoneState) addWitness(k key) bool {
 	for _, w := range v.witnesses {
 		if w == k {
 			return false
@@ -70,119 +71,121 @@
 	return true
 }
 
-// view returns the view of zone z.
-func (m *Machine) view(z uint16) *zoneView {
-	for len(m.views) <= int(z) {
-		m.views = append(m.views, zoneView{sent: 1 << 20})
+// zoneState returns the state of zone z.
+func (m *Machine) zoneState(z uint16) *zoneState {
+	for len(m.zoneStates) <= int(z) {
+		m.zoneStates = append(m.zoneStates, zoneState{sent: 1 << 20})
 	}
-	return &m.views[z]
+	return &m.zoneStates[z]
 }
 
-// witness records that this balancer can't reach zone z.
-func (m *Machine) witness(now time.Time, z uint16) {
-	v := m.view(z)
-	if !v.doubted() {
-		if now.Sub(v.changedAt) < zoneSettle {
+// recordUnreachable records this balancer as a witness that zone z is unreachable.
+func (m *Machine) recordUnreachable(now time.Time, z uint16) {
+	v := m.zoneState(z)
+	if !v.suspected() {
+		if now.Sub(v.changedAt) < zoneHoldDown {
 			return
 		}
 		v.epoch++
-		v.partial = false
+		v.agentsOnly = false
 		v.witnesses = v.witnesses[:0]
 	}
-	if v.add(m.selfKey) {
-		m.viewChanged(now, z)
+	if v.addWitness(m.selfKey) {
+		m.zoneStateChanged(now, z)
 	}
 }
 
-// reached notes that a message came straight from c.
-func (m *Machine) reached(now time.Time, c *cell) {
-	v := m.view(c.zone)
+// recordContact records that a message came directly from c.
+func (m *Machine) recordContact(now time.Time, c *cell) {
+	v := m.zoneState(c.zone)
 	fromAgent := c.role == RoleAgent
 	switch {
-	case v.doubted():
+	case v.suspected():
 		v.epoch++
-	case v.partial && !fromAgent:
+	case v.agentsOnly && !fromAgent:
 		v.epoch += 2
 	default:
 		return
 	}
-	v.partial = fromAgent
+	v.agentsOnly = fromAgent
 	v.witnesses = v.witnesses[:0]
-	m.viewChanged(now, c.zone)
+	m.zoneStateChanged(now, c.zone)
 }
 
-// mergeFact takes in what another balancer of this region says.
-func (m *Machine) mergeFact(now time.Time, f *ZoneStatus) {
-	z, ok := m.roster.zoneOf[f.Region+"/"+f.Zone]
+// mergeZoneStatus merges the zone status sent by another balancer of this region.
+func (m *Machine) mergeZoneStatus(now time.Time, f *ZoneStatus) {
+	z, ok := m.members.zoneOf[f.Region+"/"+f.Zone]
 	if !ok || f.ViewerRegion != m.self.self.Region || z == m.zone {
 		return
 	}
-	v := m.view(z)
+	v := m.zoneState(z)
 	if f.Epoch < v.epoch {
 		return
 	}
 	changed := f.Epoch > v.epoch
 	if changed {
-		v.epoch, v.partial = f.Epoch, f.AgentsOnly
+		v.epoch, v.agentsOnly = f.Epoch, f.AgentsOnly
 		v.witnesses = v.witnesses[:0]
 	}
 	for _, w := range f.Witnesses {
-		changed = v.add(key(w)) || changed
+		changed = v.addWitness(key(w)) || changed
 	}
 	if changed {
-		m.viewChanged(now, z)
+		m.zoneStateChanged(now, z)
 	}
 }
 
-// viewChanged spreads the new content and settles whether the zone is down.
-func (m *Machine) viewChanged(now time.Time, z uint16) {
-	v := m.view(z)
+// zoneStateChanged queues the new content for gossip and updates whether the zone
+// is down.
+func (m *Machine) zoneStateChanged(now time.Time, z uint16) {
+	v := m.zoneState(z)
 	v.changedAt = now
 	v.sent = 0
-	info := &m.roster.zones[z]
-	down := v.doubted() && z != m.zone && len(v.witnesses) >= m.quorum(z)
+	info := &m.members.zones[z]
+	down := v.suspected() && z != m.zone && len(v.witnesses) >= m.quorum(z)
 	if down == info.down {
 		return
 	}
 	info.down = down
-	m.roster.gen++
+	m.members.gen++
 	if !down {
-		m.renewWatches(now, z)
+		m.resetZoneObservations(now, z)
 	}
 	m.changes = append(m.changes, Change{Kind: ChangeZone, Zone: info.name, Region: info.region, Reachable: !down})
 }
 
-// quorum is the number of witnesses that it takes. The possible ones are the
-// observers, in this region, of the zone's balancers.
+// quorum is the number of witnesses required. The possible ones are the observers,
+// in this region, of the zone's balancers.
 func (m *Machine) quorum(z uint16) int {
 	possible := 0
-	for _, k := range m.roster.live[z] {
-		far, ok := m.roster.farZone(k, z)
-		if ok && m.roster.zones[far].region == m.self.self.Region {
+	for _, k := range m.members.live[z] {
+		far, ok := m.members.farZone(k, z)
+		if ok && m.members.zones[far].region == m.self.self.Region {
 			possible++
 		}
 	}
-	return min(max(possible/possiblePerWitness, 1), maxWitnesses)
+	return min(max(possible/observersPerWitness, 1), maxWitnesses)
 }
 
-// zoneFacts adds the facts that still have to spread to a gossip message.
-func (m *Machine) zoneFacts(msg *Message, room int) int {
-	for z := range m.views {
-		v := &m.views[z]
+// addZoneStatuses adds the statuses that still have to spread to a gossip message
+// and returns the space left in it, in bytes.
+func (m *Machine) addZoneStatuses(msg *Message, space int) int {
+	for z := range m.zoneStates {
+		v := &m.zoneStates[z]
 		if v.sent >= m.transmissions() {
 			continue
 		}
-		info := &m.roster.zones[z]
-		f := ZoneStatus{ViewerRegion: m.self.self.Region, Zone: info.name, Region: info.region, Epoch: v.epoch, AgentsOnly: v.partial}
+		info := &m.members.zones[z]
+		f := ZoneStatus{ViewerRegion: m.self.self.Region, Zone: info.name, Region: info.region, Epoch: v.epoch, AgentsOnly: v.agentsOnly}
 		for _, w := range v.witnesses {
 			f.Witnesses = append(f.Witnesses, uint64(w))
 		}
-		if f.size() > room {
+		if f.size() > space {
 			break
 		}
-		room -= f.size()
+		space -= f.size()
 		v.sent += fanOut
 		msg.Zones = append(msg.Zones, f)
 	}
-	return room
+	return space
 }
