--- a/catalogue/authority.go
+++ b/catalogue/authority.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// ReceiveHead takes the store's head. It reports whether a load from the
-// store is needed: the head alone does not lead on from here, or the store's
-// chain is another one.
+// ReceiveHead processes the head read from the store. It reports whether a load
+// from the store is needed, because the changes in the head do not follow the
+// replica's revision or the checksums differ.
 func (r *Replica) ReceiveHead(now time.Time, h Head) (load bool) {
 	switch {
 	case h.Revision < r.state.revision:
-		// An answer overtaken by gossip, or a store that lost accepted edits.
-		// Neither may revert what is in force.
+		// Newer changes arrived by gossip while the head was being read, or the
+		// store has lost accepted edits. Neither may revert the replica.
 		r.stats.StoreBehind++
 		return false
 	case h.Revision == r.state.revision:
@@ -35,12 +35,13 @@
 	return !r.confirmed
 }
 
-// ReceiveLoad adopts what was loaded from the store itself.
+// ReceiveLoad adopts a bulk loaded from the store. It returns the errors of
+// ReceiveBulk.
 func (r *Replica) ReceiveLoad(now time.Time, b Bulk) error {
 	b.Confirmed = true
 	d := b.Digest()
 	if d.Revision == r.state.revision && d.Checksum != r.state.checksum {
-		r.confirmed = false // whatever vouched for the other chain, the store no longer does
+		r.confirmed = false // the store now holds another state of this revision
 	}
 	return r.ReceiveBulk(now, netip.AddrPort{}, b)
 }
--- a/catalogue/bench_test.go
+++ b/catalogue/bench_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// targetEntries is the target's catalogue: 33,000 addresses, one an entry,
-// which is the worst split for size.
+// targetEntries is the target number of entries: 33,000 addresses with one per
+// entry, the division that gives the largest catalogue.
 const targetEntries = 33_000
 
+// targetWriter returns a writer whose catalogue has targetEntries entries.
 func targetWriter() *writer {
 	w := newWriter()
 	for w.state.Len() < targetEntries {
@@ -71,9 +72,9 @@
 	}
 }
 
-// BenchmarkChange is what one change costs a node's processor: decode the
-// message, apply it to the target's catalogue, and encode what goes on to
-// four peers. With "table", the address index is built anew as well.
+// BenchmarkChange measures the processing of one change by a node: decoding the
+// message, applying it to a catalogue of the target size and encoding the
+// messages to four peers. With "table=true" the address index is rebuilt as well.
 func BenchmarkChange(b *testing.B) {
 	for _, rebuild := range []bool{false, true} {
 		b.Run(fmt.Sprintf("table=%v", rebuild), func(b *testing.B) {
@@ -107,7 +108,7 @@
 				}
 			}
 			if r.Digest().Revision != w.state.revision {
-				b.Fatal("not all applied")
+				b.Fatal("not all changes were applied")
 			}
 		})
 	}
--- a/catalogue/bulk.go
+++ b/catalogue/bulk.go
@@ -10,25 +10,29 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bulk brings a replica that is far behind up to date: the changes that it
-// lacks, or a whole snapshot. Exactly one of the two is set.
+// Bulk brings a replica that is far behind up to date. It holds either the
+// missing changes or a complete snapshot.
 type Bulk struct {
-	Changes  []Change
+	Changes  []Change // consecutive
 	Snapshot *Snapshot
-	// Confirmed says that the sender has the state from the store itself.
+	// Confirmed means that the store has confirmed the resulting state to the
+	// sender.
 	Confirmed bool
 }
 
-// bulkHeader precedes the stream of a Bulk.
+// bulkHeader is the first item of the stream of a Bulk, after a byte with its
+// encoded size.
 type bulkHeader struct {
 	Changes   int  `cbor:"1,keyasint,omitempty"` // 0: a snapshot follows
 	Confirmed bool `cbor:"2,keyasint,omitempty"`
 }
 
-// maxBulkChanges bounds what a reader accepts.
+// maxBulkChanges is the maximum number of changes that ReadBulk accepts.
 const maxBulkChanges = 1_000_000
 
-// Write streams the bulk.
+// Write writes the bulk to w: a header, then the changes as CBOR items under
+// DEFLATE, or the snapshot in the format of Snapshot.Write. It returns the
+// errors of w.
 func (b Bulk) Write(w io.Writer) error {
 	header := encode(bulkHeader{len(b.Changes), b.Confirmed})
 	if _, err := w.Write(append([]byte{byte(len(header))}, header...)); err != nil {
@@ -54,8 +58,8 @@
 	return z.Close()
 }
 
-// ReadBulk reads what Write wrote. It returns a *SnapshotError for anything
-// else.
+// ReadBulk reads a bulk written by Bulk.Write. It returns a *SnapshotError if
+// the stream is truncated, damaged or malformed.
 func ReadBulk(r io.Reader) (Bulk, error) {
 	b, err := readBulk(r)
 	var s *SnapshotError
@@ -79,7 +83,7 @@
 		return Bulk{}, err
 	}
 	if h.Changes < 0 || h.Changes > maxBulkChanges {
-		return Bulk{}, fmt.Errorf("%d changes are over the bound", h.Changes)
+		return Bulk{}, fmt.Errorf("%d changes exceed the limit", h.Changes)
 	}
 	if h.Changes == 0 {
 		s, err := ReadSnapshot(r)
@@ -99,7 +103,8 @@
 	return b, nil
 }
 
-// Digest returns the state that the bulk leads to.
+// Digest returns the digest of the state that results from the bulk, the zero
+// Digest for an empty one.
 func (b Bulk) Digest() Digest {
 	if b.Snapshot != nil {
 		return b.Snapshot.Digest
--- a/catalogue/calls_bench_test.go
+++ b/catalogue/calls_bench_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// ratePerDay is the target's number of catalogue changes a day.
-const ratePerDay = 32_000
+// changesPerDay is the target number of catalogue changes per day.
+const changesPerDay = 32_000
 
-// BenchmarkHolderCalls reports what one contact-slot holder asks of the store
-// over an hour at the target's rate of changes, with a store that lets a
-// watch wait for 10 s. Run with -benchtime 1x.
+// BenchmarkHolderCalls reports the calls of the store by one contact-slot holder
+// in an hour at the target rate of changes, with a watch timeout of 10 s at the
+// store. Run with -benchtime 1x.
 func BenchmarkHolderCalls(b *testing.B) {
 	for range b.N {
 		st := newMemStore(1)
-		d := &holderClock{st: st, now: epoch}
+		d := &holderSimulation{st: st, now: epoch}
 		d.f = NewFollower(FollowerConfig{Rand: st.rng}, NewReplica(ReplicaConfig{Peers: noPeers}))
 		ed := &Editor{Store: st}
 		w := newWriter()
 		next := d.now
 		for d.now.Sub(epoch) < time.Hour {
 			if !d.now.Before(next) {
-				next = next.Add(24 * time.Hour / ratePerDay)
+				next = next.Add(24 * time.Hour / changesPerDay)
 				if _, err := ed.Apply(context.Background(), Edit{Editor: "ayse", Put: []Entry{w.edit(1, 1<<20)[0].Entry}}); err != nil {
 					b.Fatal(err)
 				}
@@ -38,9 +38,9 @@
 	}
 }
 
-// BenchmarkEditCalls reports what one edit of one entry asks of the store on
-// top of the target's catalogue: the mean of 100 edits in a row, so that
-// pages and the new bases that they cause count in. Run with -benchtime 1x.
+// BenchmarkEditCalls reports the calls of the store for an edit of one entry in a
+// catalogue of the target size, as the mean of 100 consecutive edits, so that
+// log pages and new bases are included. Run with -benchtime 1x.
 func BenchmarkEditCalls(b *testing.B) {
 	st, w := targetStore(b)
 	ed := &Editor{Store: st}
@@ -65,13 +65,14 @@
 	}
 }
 
-// BenchmarkHistoryKept reports the fewest changes that the store kept over
-// 4,000 single edits, the first 2,000 left out. Run with -benchtime 1x.
+// BenchmarkHistoryKept reports the smallest number of changes kept in the store
+// during 4,000 single edits, not counting the first 2,000. Run with
+// -benchtime 1x.
 func BenchmarkHistoryKept(b *testing.B) {
 	for range b.N {
 		st, w := newMemStore(1), newWriter()
 		ed := &Editor{Store: st}
-		fewest := uint64(1 << 63)
+		minKept := uint64(1 << 63)
 		for i := range 4000 {
 			if _, err := ed.Apply(context.Background(), Edit{Editor: "ayse", Put: []Entry{w.edit(1, 1000)[0].Entry}}); err != nil {
 				b.Fatal(err)
@@ -81,15 +82,15 @@
 				b.Fatal(err)
 			}
 			if i >= 2000 {
-				fewest = min(fewest, h.Revision-h.oldest())
+				minKept = min(minKept, h.Revision-h.oldest())
 			}
 		}
-		b.ReportMetric(float64(fewest), "changes")
-		b.ReportMetric(float64(fewest)*24*60/ratePerDay, "minutes")
+		b.ReportMetric(float64(minKept), "changes")
+		b.ReportMetric(float64(minKept)*24*60/changesPerDay, "minutes")
 	}
 }
 
-// targetStore holds the target's catalogue.
+// targetStore returns a store that contains a catalogue of the target size.
 func targetStore(b *testing.B) (*memStore, *writer) {
 	st, w := newMemStore(1), newWriter()
 	ed := &Editor{Store: st}
@@ -107,28 +108,30 @@
 
 func noPeers(int) []netip.AddrPort { return nil }
 
-// storeWait is how long the store lets a watch wait.
-const storeWait = 10 * time.Second
+// storeWatchTimeout is the watch timeout of the store.
+const storeWatchTimeout = 10 * time.Second
 
-// holderClock drives a follower in simulated time and counts what it reads.
-type holderClock struct {
+// holderSimulation drives a follower in simulated time and counts the bytes that
+// it reads.
+type holderSimulation struct {
 	st      *memStore
 	f       *Follower
 	now     time.Time
-	watches []waiting
+	watches []openWatch
 	bytes   int
 }
 
-type waiting struct {
+type openWatch struct {
 	call Call
 	end  time.Time
 }
 
-func (d *holderClock) step() {
+// step advances the time by 50 ms and makes the follower's calls.
+func (d *holderSimulation) step() {
 	d.now = d.now.Add(50 * time.Millisecond)
 	for _, c := range d.f.Next(d.now) {
 		if c.Kind == CallWatch {
-			d.watches = append(d.watches, waiting{c, d.now.Add(storeWait)})
+			d.watches = append(d.watches, openWatch{c, d.now.Add(storeWatchTimeout)})
 			continue
 		}
 		r := MakeCall(context.Background(), d.st, c)
--- a/catalogue/catalogue.go
+++ b/catalogue/catalogue.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// Catalogue is the state at one revision. It does no I/O and is not safe for
-// concurrent use; Table is the immutable part that packets are looked up in.
+// Catalogue is the catalogue's state at one revision. It does no I/O and is not
+// safe for concurrent use; Table returns an immutable address index.
 type Catalogue struct {
 	revision  uint64
 	checksum  Checksum
-	next      uint32 // next service number
-	entries   map[string]Entry
-	services  map[uint32]string
-	addresses map[netip.Addr]uint32
+	next      uint32                // next service number
+	entries   map[string]Entry      // by service
+	services  map[uint32]string     // service by number
+	addresses map[netip.Addr]uint32 // service number by address
 }
 
-// New returns the empty catalogue at revision 0.
+// New returns an empty catalogue at revision 0.
 func New() *Catalogue {
 	return &Catalogue{
 		next:      1,
@@ -28,25 +28,26 @@
 	}
 }
 
-// Revision returns how many changes led to this state.
+// Revision returns the number of changes that led to this state.
 func (c *Catalogue) Revision() uint64 { return c.revision }
 
-// Checksum returns the running checksum.
+// Checksum returns the running checksum of the changes that led to this state.
 func (c *Catalogue) Checksum() Checksum { return c.checksum }
 
-// Digest returns revision and checksum, which together identify the state.
+// Digest returns the revision and checksum, which together identify the state.
 func (c *Catalogue) Digest() Digest { return Digest{Revision: c.revision, Checksum: c.checksum} }
 
 // Len returns the number of entries.
 func (c *Catalogue) Len() int { return len(c.entries) }
 
-// Entry returns the entry of a service.
+// Entry returns the entry of a service, and false if there is none.
 func (c *Catalogue) Entry(service string) (Entry, bool) {
 	e, ok := c.entries[service]
 	return e, ok
 }
 
-// EntryByNumber returns the entry of a service number.
+// EntryByNumber returns the entry with a service number, and false if there is
+// none.
 func (c *Catalogue) EntryByNumber(number uint32) (Entry, bool) {
 	service, ok := c.services[number]
 	if !ok {
@@ -55,7 +56,7 @@
 	return c.Entry(service)
 }
 
-// Entries returns all entries by ascending service number.
+// Entries returns all entries in ascending order of service number.
 func (c *Catalogue) Entries() []Entry {
 	all := make([]Entry, 0, len(c.entries))
 	for _, e := range c.entries {
@@ -65,14 +66,16 @@
 	return all
 }
 
-// GapError reports a change that does not follow the state's revision.
+// GapError reports a change whose revision, Got, does not follow the state's
+// Revision.
 type GapError struct{ Revision, Got uint64 }
 
 func (e *GapError) Error() string {
 	return fmt.Sprintf("catalogue: change %d does not follow revision %d; fetch the changes between or the whole catalogue", e.Got, e.Revision)
 }
 
-// ChecksumError reports a change of another chain of changes, or a damaged one.
+// ChecksumError reports a change that belongs to a diverged sequence of changes
+// or is damaged.
 type ChecksumError struct {
 	Revision  uint64
 	Got, Want Checksum
@@ -82,8 +85,8 @@
 	return fmt.Sprintf("catalogue: change %d has checksum %s, not %s; fetch the whole catalogue from a node that has read the store", e.Revision, e.Got, e.Want)
 }
 
-// Apply moves the state to the next revision. It returns a *GapError or
-// *ChecksumError, and leaves the state as it was, if ch is not the successor.
+// Apply applies ch, which must be the next change. Otherwise it returns a
+// *GapError or *ChecksumError and leaves the state unchanged.
 func (c *Catalogue) Apply(ch Change) error {
 	if ch.Revision != c.revision+1 {
 		return &GapError{c.revision, ch.Revision}
@@ -91,7 +94,7 @@
 	if ch.Previous != c.checksum {
 		return &ChecksumError{ch.Revision, ch.Previous, c.checksum}
 	}
-	if sum := ch.sum(); sum != ch.Checksum {
+	if sum := ch.computeChecksum(); sum != ch.Checksum {
 		return &ChecksumError{ch.Revision, ch.Checksum, sum}
 	}
 	if old, ok := c.entries[ch.Entry.Service]; ok {
@@ -114,8 +117,9 @@
 	c.next = max(c.next, e.Number+1)
 }
 
-// remove forgets an entry. An address may already be another's: one edit can
-// move it, and its new holder may come first.
+// remove deletes an entry. An address that already belongs to another entry is
+// kept: one edit can move an address, and the change of its new entry may come
+// first.
 func (c *Catalogue) remove(e Entry) {
 	delete(c.entries, e.Service)
 	delete(c.services, e.Number)
--- a/catalogue/catalogue_test.go
+++ b/catalogue/catalogue_test.go
@@ -9,7 +9,7 @@
 func TestApplyRefusesOtherThanSuccessor(t *testing.T) {
 	w, fork := newWriter(), newWriter()
 	changes := w.edit(3, 3)
-	fork.n = 7
+	fork.nextEntry = 7
 	other := fork.edit(3, 10)
 	c := New()
 	if err := c.Apply(changes[0]); err != nil {
@@ -24,7 +24,7 @@
 	}{
 		{"again", changes[0], new(*GapError)},
 		{"gap", changes[2], new(*GapError)},
-		{"other chain", other[1], new(*ChecksumError)},
+		{"diverged history", other[1], new(*ChecksumError)},
 		{"damaged", damaged, new(*ChecksumError)},
 	}
 	for _, tt := range tests {
@@ -34,7 +34,7 @@
 				t.Fatalf("got %v", err)
 			}
 			if c.Digest() != before {
-				t.Fatal("a refused change moved the state")
+				t.Fatal("a refused change modified the state")
 			}
 		})
 	}
@@ -56,12 +56,12 @@
 				want = uint32(i/7 + 1)
 			}
 			if got := table.NumberOf(nodeAddr(i).Addr()); got != want {
-				t.Fatalf("%d of %d: number %d, want %d", i, n, got, want)
+				t.Fatalf("address %d, table of %d: service number %d, want %d", i, n, got, want)
 			}
 		}
 	}
 	var none *Table
 	if none.Number([4]byte{1}) != 0 || new(Table).Number([4]byte{1}) != 0 {
-		t.Fatal("an empty table finds something")
+		t.Fatal("an empty table returned a service number")
 	}
 }
--- a/catalogue/change.go
+++ b/catalogue/change.go
@@ -12,15 +12,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Checksum is a running checksum: that of a revision covers the checksum of
-// the revision before it and the change between them. Two nodes with equal
+// Checksum is a running checksum: the checksum of a revision covers the checksum
+// of the previous revision and the change between them. Two nodes with equal
 // revision and checksum hold the same catalogue.
 type Checksum uint64
 
 // String returns 16 hexadecimal digits.
 func (c Checksum) String() string { return fmt.Sprintf("%016x", uint64(c)) }
 
-// MarshalText implements encoding.TextMarshaler, as JSON numbers lose digits.
+// MarshalText implements encoding.TextMarshaler. The value is written as text
+// because JSON numbers lose digits.
 func (c Checksum) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// Op is what a change does to an entry.
+// Op is the operation of a change.
 type Op uint8
 
 // The operations of a change.
@@ -42,7 +43,7 @@
 	OpDelete Op = 2
 )
 
-// String returns put or delete.
+// String returns "put" or "delete".
 func (o Op) String() string {
 	switch o {
 	case OpPut:
@@ -56,12 +57,13 @@
 // MarshalText implements encoding.TextMarshaler.
 func (o Op) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// EditID names one attempt to edit the catalogue: the revision that it was
-// based on and a random part. Only the change of the next revision can carry
-// it, which settles an edit whose answer was lost.
+// EditID identifies one attempt to edit the catalogue. It holds the revision
+// that the edit is based on, in its first 8 bytes, and a random part. Only the
+// change of the next revision can carry it, which determines the outcome of an
+// edit whose answer was lost.
 type EditID [16]byte
 
-// NewEditID returns a fresh ID of an edit on top of revision base.
+// NewEditID returns a new ID for an edit based on revision base.
 func NewEditID(base uint64) EditID {
 	var id EditID
 	binary.BigEndian.PutUint64(id[:8], base)
@@ -69,7 +71,7 @@
 	return id
 }
 
-// Base returns the revision that the edit was based on.
+// Base returns the revision that the edit is based on.
 func (id EditID) Base() uint64 { return binary.BigEndian.Uint64(id[:8]) }
 
 // String returns 32 hexadecimal digits.
@@ -78,7 +80,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (id EditID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// ParseEditID reads what String wrote.
+// ParseEditID parses the 32 hexadecimal digits returned by EditID.String.
 func ParseEditID(s string) (EditID, error) {
 	var id EditID
 	b, err := hex.DecodeString(s)
@@ -89,8 +91,8 @@
 	return id, nil
 }
 
-// Change is one accepted change of one entry. An edit of several entries
-// makes several changes with consecutive revisions and the same edit ID.
+// Change is an accepted change of one entry. An edit of several entries results
+// in several changes with consecutive revisions and the same edit ID.
 type Change struct {
 	Revision uint64   `cbor:"1,keyasint" json:"revision"`
 	Op       Op       `cbor:"2,keyasint" json:"op"`
@@ -102,17 +104,17 @@
 	Checksum Checksum `cbor:"8,keyasint,omitempty" json:"checksum"`
 }
 
-// When returns the editor's time of the change.
+// When returns the time of the change by the editor's clock.
 func (c Change) When() time.Time { return time.UnixMilli(c.Time) }
 
-// sum computes the checksum that the change must carry.
-func (c Change) sum() Checksum {
+// computeChecksum returns the checksum that the change must carry.
+func (c Change) computeChecksum() Checksum {
 	c.Checksum = 0
 	return Checksum(xxhash.Sum64(encode(c)))
 }
 
-// encMode writes the deterministic form, so that every process computes the
-// same checksum over a change.
+// encMode is the Core Deterministic Encoding of CBOR (RFC 8949, 4.2.1), so that
+// every process computes the same checksum of a change.
 var encMode = func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -121,7 +123,8 @@
 	return m
 }()
 
-// encode writes a value of this package, which cannot fail.
+// encode returns the CBOR encoding of a value of this package. It panics on an
+// error, which such values can't cause.
 func encode(v any) []byte {
 	data, err := encMode.Marshal(v)
 	if err != nil {
--- a/catalogue/check.go
+++ b/catalogue/check.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Bounds of an entry. They keep every change below MaxDatagram.
+// Bounds of an entry. They keep the message of any single change within
+// MaxMessage.
 const (
-	MaxName        = 63             // bytes of a service, owner or editor
-	MaxAddresses   = 64             // of one entry
-	MaxConnections = 1_000_000      // of one agent
-	MaxSlots       = 100_000        // of one agent
-	MaxQueue       = 1_000_000      // of one agent
-	MaxRate        = 10_000_000     // requests a second
-	MaxDeadline    = 24 * time.Hour // of one request
+	MaxName        = 63             // bytes of a service, owner or editor name
+	MaxAddresses   = 64             // per entry
+	MaxConnections = 1_000_000      // per agent
+	MaxSlots       = 100_000        // per agent
+	MaxQueue       = 1_000_000      // per agent
+	MaxRate        = 10_000_000     // requests per second
+	MaxDeadline    = 24 * time.Hour // per request
 	MinDeadline    = time.Millisecond
 )
 
-// FieldError reports a field of an entry that breaks a rule.
+// FieldError reports an invalid field of an entry.
 type FieldError struct {
 	Service string
 	Field   string
@@ -30,11 +31,11 @@
 	return fmt.Sprintf("catalogue: service %q: %s %q is not allowed; %s", e.Service, e.Field, e.Value, e.Remedy)
 }
 
-// AddressConflictError reports an address that another entry holds.
+// AddressConflictError reports an address that belongs to another entry.
 type AddressConflictError struct {
 	Service string
 	Address netip.Addr
-	Holder  string // the service that holds it
+	Holder  string // service that the address belongs to
 }
 
 func (e *AddressConflictError) Error() string {
@@ -44,8 +45,8 @@
 // OwnerError reports an edit of another owner's entry.
 type OwnerError struct {
 	Service string
-	Owner   string // who edits
-	Holder  string // who owns the entry
+	Owner   string // owner named in the edit
+	Holder  string // owner of the entry
 }
 
 func (e *OwnerError) Error() string {
@@ -59,15 +60,15 @@
 	return fmt.Sprintf("catalogue: no entry for service %q; list the entries and correct the name", e.Service)
 }
 
-// DuplicateError reports a service that one edit names twice.
+// DuplicateError reports a service that is named twice in one edit.
 type DuplicateError struct{ Service string }
 
 func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("catalogue: service %q is named twice in one edit; keep one of the two", e.Service)
 }
 
-// Check returns a *FieldError for the first field that breaks a rule. It
-// cannot see clashes with other entries; Plan does.
+// Check returns a *FieldError for the first invalid field. Conflicts with other
+// entries are detected by Catalogue.Plan.
 func (e Entry) Check() error {
 	if err := checkName(e.Service, "service", e.Service); err != nil {
 		return err
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// checkName allows lower-case letters, digits, dots and dashes, so that a
-// name fits a metric label, a file name and a key of the store.
+// checkName allows lower-case letters, digits, dots and dashes, so that a name
+// is valid in a metric label, a file name and a key of the store.
 func checkName(service, field, name string) error {
 	ok := name != "" && len(name) <= MaxName && name[0] != '-' && name[0] != '.'
 	for i := 0; ok && i < len(name); i++ {
@@ -140,8 +141,8 @@
 	return &FieldError{service, field, name, fmt.Sprintf("use 1 to %d lower-case letters, digits, dots and dashes, beginning with a letter or digit", MaxName)}
 }
 
-// same reports whether an edit of e to f would change nothing.
-func (e Entry) same(f Entry) bool {
+// sameContent reports whether e and f are equal apart from Number and Version.
+func (e Entry) sameContent(f Entry) bool {
 	if e.Service != f.Service || e.Owner != f.Owner || e.Class != f.Class || e.Limits != f.Limits {
 		return false
 	}
--- a/catalogue/check_test.go
+++ b/catalogue/check_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	again, err := Parse(out)
-	if err != nil || !again.Entries[0].same(f.Entries[0]) || again.Revision != 7 {
+	if err != nil || !again.Entries[0].sameContent(f.Entries[0]) || again.Revision != 7 {
 		t.Fatalf("%v: %s", err, out)
 	}
 }
--- a/catalogue/editor.go
+++ b/catalogue/editor.go
@@ -13,21 +13,21 @@
 	Store Store
 	Now   func() time.Time // time.Now if nil
 
-	sizes sizes // defaultSizes if zero
+	sizes layoutSizes // defaultSizes if zero
 }
 
-// Accepted reports an edit that is in the store. Every node will have it in
-// force within seconds and none will revert it.
+// Accepted describes an edit that has been written to the store. Every node
+// applies it within seconds, and it is not reverted.
 type Accepted struct {
-	Revision uint64 // of the edit's last change, or the revision read if it changed nothing
+	Revision uint64 // of the edit's last change, or the revision read if nothing changed
 	Edit     EditID
-	Changes  []Change // empty if the catalogue already said so
+	Changes  []Change // empty if the catalogue already matched the edit
 }
 
 // RefusedError reports an edit that has had no effect and will have none.
 type RefusedError struct {
-	Err     error    // why, with the remedy
-	Changes []Change // what changed since the operator read, if that is why
+	Err     error    // reason, with the remedy
+	Changes []Change // conflicting changes since the edit's base revision, if any
 }
 
 func (e *RefusedError) Error() string { return "refused: " + e.Err.Error() }
@@ -35,7 +35,8 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// StaleError reports an edit of an entry that changed since it was read.
+// StaleError reports an edit of an entry that has changed since revision Base,
+// which the edit is based on.
 type StaleError struct {
 	Service  string
 	Base     uint64
@@ -46,14 +47,16 @@
 	return fmt.Sprintf("catalogue: service %q changed in revision %d after you read revision %d; read it again, merge and apply", e.Service, e.Revision, e.Base)
 }
 
-// BaseError reports an edit whose base cannot be compared with the head.
+// BaseError reports an edit whose base revision is outside the kept history,
+// from Oldest to Revision.
 type BaseError struct{ Base, Oldest, Revision uint64 }
 
 func (e *BaseError) Error() string {
 	return fmt.Sprintf("catalogue: base revision %d is outside of the kept history, %d to %d; read the catalogue again and redo the edit", e.Base, e.Oldest, e.Revision)
 }
 
-// NotAppliedError reports an edit that lost to another one.
+// NotAppliedError reports an edit that did not take effect, because another edit
+// took its Revision.
 type NotAppliedError struct {
 	Edit     EditID
 	Revision uint64
@@ -63,8 +66,8 @@
 	return fmt.Sprintf("catalogue: edit %s did not take effect and never will, revision %d is another edit's; apply it again", e.Edit, e.Revision)
 }
 
-// UnknownOutcomeError reports an edit that may be in force. Editor.Resolve with Edit
-// finds out.
+// UnknownOutcomeError reports an edit that may or may not have taken effect.
+// Editor.Resolve with Edit determines the outcome.
 type UnknownOutcomeError struct {
 	Edit EditID
 	Err  error
@@ -77,16 +80,18 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// errInFlight tells why Resolve cannot refuse an edit on top of the head.
-var errInFlight = errors.New("it is not in the store, but no later edit rules out that it still arrives")
+// errOutcomePending is the cause of an UnknownOutcomeError for an edit based on
+// the current head: its write may still reach the store.
+var errOutcomePending = errors.New("it is not in the store yet, but can still arrive until a later edit is accepted")
 
-// errForgotten tells why Resolve cannot find an old edit.
-var errForgotten = errors.New("it is older than the kept history; compare the entries themselves")
+// errOutsideHistory is the cause of an UnknownOutcomeError for an edit that is
+// older than the kept history.
+var errOutsideHistory = errors.New("it is older than the kept history; compare the entries themselves")
 
-// Apply carries out an edit as a whole. It returns a *RefusedError or an
-// *UnknownOutcomeError; Accepted is valid only without an error. Edits of other
-// services that win the race are no reason to refuse: the edit is checked
-// again on top of them.
+// Apply applies an edit as a whole. It returns a *RefusedError or an
+// *UnknownOutcomeError; Accepted is valid only without an error. If concurrent
+// edits of other services come first, the edit is checked and written again on
+// top of them.
 func (ed *Editor) Apply(ctx context.Context, e Edit) (Accepted, error) {
 	if n := len(e.Put) + len(e.Delete); n > MaxEdit {
 		return Accepted{}, refused(fmt.Errorf("catalogue: edit of %d entries is over the limit of %d; split it", n, MaxEdit))
@@ -101,8 +106,9 @@
 
 func refused(err error) *RefusedError { return &RefusedError{Err: err} }
 
-// attempt reads the head, plans the edit on top of it and swaps the head. It
-// returns a KindConflict when another edit came first.
+// attempt reads the head, plans the edit on top of it and replaces the head by
+// compare-and-swap. It returns an error of KindConflict if another edit came
+// first.
 func (ed *Editor) attempt(ctx context.Context, e *Edit) (Accepted, error) {
 	c, h, version, err := Load(ctx, ed.Store)
 	if err != nil {
@@ -111,7 +117,7 @@
 	if e.Base == 0 {
 		e.Base = h.Revision
 	}
-	if err := ed.fresh(ctx, h, *e); err != nil {
+	if err := ed.checkStale(ctx, h, *e); err != nil {
 		return Accepted{}, err
 	}
 	id := NewEditID(h.Revision)
@@ -143,16 +149,17 @@
 	return time.Now()
 }
 
-func (ed *Editor) limits() sizes {
-	if ed.sizes == (sizes{}) {
+func (ed *Editor) layoutSizes() layoutSizes {
+	if ed.sizes == (layoutSizes{}) {
 		return defaultSizes
 	}
 	return ed.sizes
 }
 
-// fresh refuses an edit of a service that changed after the edit's base.
-// Without it the slower of two operators would silently undo the other.
-func (ed *Editor) fresh(ctx context.Context, h Head, e Edit) error {
+// checkStale refuses an edit of a service that has changed since the edit's base
+// revision. Otherwise the slower of two operators would silently overwrite the
+// other's edit.
+func (ed *Editor) checkStale(ctx context.Context, h Head, e Edit) error {
 	if e.Base == h.Revision {
 		return nil
 	}
@@ -164,26 +171,26 @@
 		return refused(err)
 	}
 	services := e.services()
-	var hit []Change
+	var conflicting []Change
 	for _, ch := range changes {
 		if services[ch.Entry.Service] {
-			hit = append(hit, ch)
+			conflicting = append(conflicting, ch)
 		}
 	}
-	if len(hit) == 0 {
+	if len(conflicting) == 0 {
 		return nil
 	}
-	last := hit[len(hit)-1]
-	return &RefusedError{Err: &StaleError{last.Entry.Service, e.Base, last.Revision}, Changes: hit}
+	last := conflicting[len(conflicting)-1]
+	return &RefusedError{Err: &StaleError{last.Entry.Service, e.Base, last.Revision}, Changes: conflicting}
 }
 
-// settleAttempts bounds how often one call asks for and repeats a swap whose
-// answer was lost before it leaves that to the operator.
-const settleAttempts = 5
+// resolveAttempts is the number of times that swap resolves and repeats a write
+// whose answer was lost before it returns an UnknownOutcomeError.
+const resolveAttempts = 5
 
-// swap writes the head and settles a lost answer by reading back. While the
-// head is still at the revision that the edit was based on, the same
-// compare-and-swap may be sent again: at most one of the two can succeed.
+// swap writes the head and, if the answer is lost, determines the outcome by
+// reading the head back. While the head is still at the edit's base revision,
+// the same compare-and-swap can be repeated: at most one of the two succeeds.
 func (ed *Editor) swap(ctx context.Context, id EditID, version uint64, next Head) error {
 	data := encode(next)
 	_, err := ed.Store.CompareAndSwap(ctx, HeadKey, version, data)
@@ -193,15 +200,15 @@
 	if !isKind(err, KindUnknown) {
 		return refused(err)
 	}
-	for range settleAttempts {
-		_, settled := ed.Resolve(ctx, id)
-		var lost *NotAppliedError
+	for range resolveAttempts {
+		_, resolveErr := ed.Resolve(ctx, id)
+		var notApplied *NotAppliedError
 		switch {
-		case settled == nil:
+		case resolveErr == nil:
 			return nil
-		case errors.As(settled, &lost):
-			return &StoreError{KindConflict, settled}
-		case !errors.Is(settled, errInFlight):
+		case errors.As(resolveErr, &notApplied):
+			return &StoreError{KindConflict, resolveErr}
+		case !errors.Is(resolveErr, errOutcomePending):
 			return &UnknownOutcomeError{id, err}
 		}
 		if _, err = ed.Store.CompareAndSwap(ctx, HeadKey, version, data); err == nil {
@@ -211,19 +218,20 @@
 	return &UnknownOutcomeError{id, err}
 }
 
-// Resolve finds out what became of an edit whose answer was lost. It returns a
-// *RefusedError once the edit can no longer take effect, and an *UnknownOutcomeError
-// while it still can or when it is older than the kept history.
+// Resolve determines the outcome of an edit whose answer was lost. It returns a
+// *RefusedError if the edit can no longer take effect, and an
+// *UnknownOutcomeError if it still can, if it is older than the kept history or
+// if the store can't be read.
 func (ed *Editor) Resolve(ctx context.Context, id EditID) (Accepted, error) {
 	h, _, err := ReadHead(ctx, ed.Store)
 	if err != nil {
 		return Accepted{}, &UnknownOutcomeError{id, err}
 	}
 	if h.Revision <= id.Base() {
-		return Accepted{}, &UnknownOutcomeError{id, errInFlight}
+		return Accepted{}, &UnknownOutcomeError{id, errOutcomePending}
 	}
 	if id.Base() < h.oldest() {
-		return Accepted{}, &UnknownOutcomeError{id, errForgotten}
+		return Accepted{}, &UnknownOutcomeError{id, errOutsideHistory}
 	}
 	changes, err := h.changesAfter(ctx, ed.Store, id.Base())
 	if err != nil {
@@ -239,8 +247,8 @@
 	return Accepted{Revision: changes[n-1].Revision, Edit: id, Changes: changes[:n]}, nil
 }
 
-// History returns the kept changes above a revision, and the oldest revision
-// that it could have been asked for.
+// History returns the kept changes after a revision, and the oldest revision
+// after which all changes are kept.
 func (ed *Editor) History(ctx context.Context, after uint64) ([]Change, uint64, error) {
 	h, _, err := ReadHead(ctx, ed.Store)
 	if err != nil {
--- a/catalogue/editor_test.go
+++ b/catalogue/editor_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// put applies an edit of the entries, which must be accepted.
 func put(t *testing.T, ed *Editor, entries ...Entry) Accepted {
 	t.Helper()
 	a, err := ed.Apply(context.Background(), Edit{Editor: "ayse", Put: entries})
@@ -41,7 +42,7 @@
 			}
 		})
 	}
-	// One edit may move an address, whichever service it names first.
+	// One edit may move an address, regardless of the order of its entries.
 	a := put(t, ed, entry("listing", "kanatpar", "10.0.0.2"), entry("records", "kanatpar", "10.0.0.1"))
 	if a.Revision != 4 {
 		t.Fatalf("revision %d, want 4", a.Revision)
@@ -52,10 +53,10 @@
 	}
 	e, _ := c.Entry("listing")
 	if c.Table().NumberOf(e.Addresses[0]) != e.Number || e.Version != 2 {
-		t.Fatalf("table does not follow the move of %+v", e)
+		t.Fatalf("the table does not contain the moved address of %+v", e)
 	}
 	if b := put(t, ed, e); b.Revision != 4 || len(b.Changes) != 0 {
-		t.Fatalf("an edit without effect made %+v", b)
+		t.Fatalf("an edit that changes nothing returned %+v", b)
 	}
 }
 
@@ -77,11 +78,10 @@
 	}
 }
 
-// Symptom: an operator's edit silently undoes another's.
-// Events: both read revision 1; the first applies; the second applies its
-// own version of the same entry.
-// Cause: a compare-and-swap alone is repeated on top of the first edit.
-func TestLoserOfRaceIsToldWhatChanged(t *testing.T) {
+// Guards against an edit silently overwriting another one: two operators read
+// revision 1 and edit the same entry. If the second compare-and-swap were simply
+// repeated on top of the first edit, it would undo it.
+func TestStaleEditReportsConflictingChanges(t *testing.T) {
 	ed := &Editor{Store: newMemStore(1)}
 	put(t, ed, entry("listing", "kanatpar", "10.0.0.1"))
 	put(t, ed, entry("listing", "kanatpar", "10.0.0.2"))
@@ -93,14 +93,14 @@
 		t.Fatalf("got %v", err)
 	}
 	if _, err := ed.Apply(context.Background(), Edit{Editor: "mehmet", Base: 1, Put: []Entry{entry("other", "kanatpar", "10.0.0.4")}}); err != nil {
-		t.Fatalf("an edit of an untouched service: %v", err)
+		t.Fatalf("edit of a service that has not changed: %v", err)
 	}
 }
 
-// Symptom: an accepted edit is reported as lost, or applied twice.
-// Events: the store takes the write, the answer never arrives.
-// Cause: the editor writes again without reading back.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+// Guards against an accepted edit being reported as failed or applied twice: the
+// store accepts the write, but the answer is lost, and the editor must read the
+// head back before it writes again.
+func TestLostAnswerIsResolvedByReadingBack(t *testing.T) {
 	st := newMemStore(1)
 	ed := &Editor{Store: st}
 	st.set(0, 1, 0)
@@ -108,24 +108,24 @@
 	if a.Revision != 1 {
 		t.Fatalf("revision %d, want 1", a.Revision)
 	}
-	// The request itself is lost each time: nothing is in the store, but the
-	// editor cannot know that a late request will not arrive.
+	// Each request is lost before it reaches the store, but the editor can't
+	// know that it won't arrive later.
 	st.set(0, 0, 1)
 	_, err := ed.Apply(context.Background(), Edit{Editor: "ayse", Put: []Entry{entry("records", "kanatpar", "10.0.0.2")}})
 	var unknown *UnknownOutcomeError
 	if !errors.As(err, &unknown) {
-		t.Fatalf("got %v, want unknown", err)
+		t.Fatalf("got %v, want an UnknownOutcomeError", err)
 	}
 	st.set(0, 0, 0)
 	if _, err := ed.Resolve(context.Background(), unknown.Edit); !errors.As(err, &unknown) {
-		t.Fatalf("settle before a later edit: %v, want unknown", err)
+		t.Fatalf("resolve before a later edit: %v, want an UnknownOutcomeError", err)
 	}
 	put(t, ed, entry("other", "kanatpar", "10.0.0.3"))
-	var lost *NotAppliedError
-	if _, err := ed.Resolve(context.Background(), unknown.Edit); !errors.As(err, &lost) {
-		t.Fatalf("settle after a later edit: %v, want not applied", err)
+	var notApplied *NotAppliedError
+	if _, err := ed.Resolve(context.Background(), unknown.Edit); !errors.As(err, &notApplied) {
+		t.Fatalf("resolve after a later edit: %v, want a NotAppliedError", err)
 	}
 	if got, err := ed.Resolve(context.Background(), a.Edit); err != nil || got.Revision != 1 {
-		t.Fatalf("settle of the first edit: %+v, %v", got, err)
+		t.Fatalf("resolve of the first edit: %+v, %v", got, err)
 	}
 }
--- a/catalogue/example_test.go
+++ b/catalogue/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// Two replicas that know each other agree on an edit by exchanging messages.
+// Two replicas exchange messages and converge after an edit.
 func ExampleReplica() {
 	file, err := catalogue.Parse([]byte(`
 entries:
--- a/catalogue/export_test.go
+++ b/catalogue/export_test.go
@@ -1,5 +1,5 @@
 package catalogue
 
-// EncodeEntry is an entry as it stands in a snapshot, for benchmarks in package
-// catalogue_test, which use an exchange that imports this package.
+// EncodeEntry returns an entry as encoded in a snapshot. It is for benchmarks in
+// package catalogue_test, which is separate because it imports catalogue/lab.
 func EncodeEntry(e Entry) []byte { return encode(e) }
--- a/catalogue/extend.go
+++ b/catalogue/extend.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// extend returns the head after changes. A tail over sizes.tail is written
-// out as a log page, and logs over sizes.logs are folded into a new base.
-// Pages are written before the head names them: a crash in between leaves
-// pages that nobody reads and nothing else.
+// extend applies changes to c and returns the resulting head. A tail larger than
+// layoutSizes.tail is written as a log page, and logs larger than
+// layoutSizes.logs are compacted into a new base. Pages are written before the
+// head refers to them, so that a crash in between leaves only unreferenced pages.
 func (ed *Editor) extend(ctx context.Context, c *Catalogue, h Head, changes []Change) (Head, error) {
 	for _, ch := range changes {
 		if err := c.Apply(ch); err != nil {
@@ -18,31 +18,32 @@
 	next := h
 	next.Revision, next.Checksum, next.Next = c.revision, c.checksum, c.next
 	next.Tail = slices.Concat(h.Tail, changes)
-	if len(encode(next.Tail)) <= ed.limits().tail {
+	if len(encode(next.Tail)) <= ed.layoutSizes().tail {
 		return next, nil
 	}
 	// The newest changes stay in the head, so that its readers need no page,
-	// unless they alone are over the limit.
-	full := h.Tail
+	// unless these changes alone exceed the limit.
+	logged := h.Tail
 	next.Tail = changes
-	if len(encode(changes)) > ed.limits().tail {
-		full = slices.Concat(h.Tail, changes)
+	if len(encode(changes)) > ed.layoutSizes().tail {
+		logged = slices.Concat(h.Tail, changes)
 		next.Tail = nil
 	}
-	if len(full) > 0 {
-		if err := ed.writeLog(ctx, &next, full); err != nil {
+	if len(logged) > 0 {
+		if err := ed.writeLog(ctx, &next, logged); err != nil {
 			return Head{}, err
 		}
 	}
-	if next.logBytes() <= ed.limits().logs {
+	if next.logBytes() <= ed.layoutSizes().logs {
 		return next, nil
 	}
 	return ed.rebase(ctx, c, next)
 }
 
-func (ed *Editor) writeLog(ctx context.Context, next *Head, full []Change) error {
-	data := encode(full)
-	l := logRef{full[0].Revision, full[len(full)-1].Revision, next.Checksum, len(data)}
+// writeLog writes changes as a log page and adds it to next.
+func (ed *Editor) writeLog(ctx context.Context, next *Head, changes []Change) error {
+	data := encode(changes)
+	l := logRef{changes[0].Revision, changes[len(changes)-1].Revision, next.Checksum, len(data)}
 	if err := writePage(ctx, ed.Store, l.key(), data); err != nil {
 		return err
 	}
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// logBytes returns the size of the log pages behind the base.
+// logBytes returns the total size in bytes of the log pages after the base.
 func (h Head) logBytes() int {
 	n := 0
 	for _, l := range h.Logs {
@@ -61,11 +62,11 @@
 	return n
 }
 
-// rebase folds the logs into a new base. The pages of the old base are
-// removed at the rebase after this one, so a reader that holds the old head
-// can still finish.
+// rebase compacts the logs into a new base. The pages of the old base are
+// removed by the next rebase, so that a reader of the old head can still
+// complete its load.
 func (ed *Editor) rebase(ctx context.Context, c *Catalogue, h Head) (Head, error) {
-	base, err := writeBase(ctx, ed.Store, c, ed.limits().page)
+	base, err := writeBase(ctx, ed.Store, c, ed.layoutSizes().page)
 	if err != nil {
 		return Head{}, err
 	}
@@ -74,18 +75,18 @@
 			return Head{}, err
 		}
 	}
-	trim := max(0, len(h.Logs)-ed.limits().kept)
+	trim := max(0, len(h.Logs)-ed.layoutSizes().keptLogs)
 	h.OldBase, h.OldLogs = h.Base, h.Logs[:trim]
 	h.Base, h.Logs = base, h.Logs[trim:]
 	return h, nil
 }
 
-// discard removes the pages of an attempt that lost the race. Nobody can come
-// to name them: their keys are this attempt's alone. A page that cannot be
-// removed now stays unread.
-func (ed *Editor) discard(ctx context.Context, before, lost Head) {
+// discard removes the pages of an attempt whose head was rejected. No other head
+// can refer to them, because their keys are unique to the attempt. A page that
+// can't be removed remains unreferenced.
+func (ed *Editor) discard(ctx context.Context, before, rejected Head) {
 	kept := before.pages()
-	for _, key := range lost.pages() {
+	for _, key := range rejected.pages() {
 		if !slices.Contains(kept, key) {
 			_ = ed.Store.Delete(ctx, key)
 		}
--- a/catalogue/follower.go
+++ b/catalogue/follower.go
@@ -15,34 +15,34 @@
 	DefaultBackoffMax  = 2 * time.Second
 )
 
-// FollowerConfig sets up a Follower. Zero fields mean the defaults.
+// FollowerConfig configures a Follower. A zero field means its default.
 type FollowerConfig struct {
-	Check       time.Duration // between two plain reads of the head
-	WatchEnd    time.Duration // a watch without an answer for so long has stopped; above the store's own wait
-	BackoffBase time.Duration // after the first failed call
-	BackoffMax  time.Duration // longest wait between failed calls
+	Check       time.Duration // interval between reads of the head; default DefaultCheck
+	WatchEnd    time.Duration // timeout of a watch, longer than the store's own; default DefaultWatchEnd
+	BackoffBase time.Duration // backoff after the first failed call; default DefaultBackoffBase
+	BackoffMax  time.Duration // maximum backoff; default DefaultBackoffMax
 	Rand        *rand.Rand    // jitter; must be set
 }
 
-// CallKind says what a Call asks of the store.
+// CallKind is the kind of a Call.
 type CallKind uint8
 
-// The calls of a Follower. At most one of each is under way.
+// The calls of a Follower. At most one of each kind is in progress.
 const (
-	CallWatch CallKind = iota // wait for a head above Version
+	CallWatch CallKind = iota // wait for a version of the head above Version
 	CallCheck                 // read the head
-	CallLoad                  // load what leads from Digest to the head
+	CallLoad                  // load the changes from Digest to the head, or the whole catalogue
 	callKinds
 )
 
-// Call is one call of the store that a Follower wants made.
+// Call is a call of the store requested by a Follower.
 type Call struct {
 	Kind    CallKind
 	ID      uint64
-	Version uint64 // of the head
-	Digest  Digest
-	// Timeout bounds the call; 0 for one whose answer is as long as the catalogue makes
-	// it. The Store ends its reads when they stall.
+	Version uint64 // of the newest head read
+	Digest  Digest // of the replica
+	// Timeout is the timeout of the call. It is 0 for calls whose answer grows with the
+	// catalogue; the Store ends such reads when they stall.
 	Timeout time.Duration
 }
 
@@ -54,38 +54,38 @@
 	Err   error
 }
 
-// FollowerStats counts what happened to a follower.
+// FollowerStats holds the counters of a Follower.
 type FollowerStats struct {
 	Calls   [callKinds]uint64 // by CallKind
 	Failed  uint64            // calls without a usable answer
-	Stopped uint64            // watches that stopped silently
+	Stopped uint64            // watches that stopped without an error
 }
 
-// Follower keeps a replica up to date from the store. It is a state machine:
-// the caller makes the calls that Next returns and gives the results to Done.
-// While the store is down the replica keeps what it has. It is not safe for
+// Follower keeps a replica up to date with the store. It is a state machine: the
+// caller makes the calls returned by Next and passes the results to Done. While
+// the store is down, the replica keeps its state. A Follower is not safe for
 // concurrent use.
 type Follower struct {
-	cfg     FollowerConfig
-	replica *Replica
-	version uint64 // of the newest head read
-	calls   [callKinds]duty
-	load    bool // a load is wanted
-	id      uint64
-	stats   FollowerStats
-}
-
-// duty is the state of one kind of call.
-type duty struct {
-	id       uint64 // of the call under way, 0 if none
-	version  uint64 // that the call waits behind
-	suspect  bool   // a plain read knew more
-	started  time.Time
-	due      time.Time // earliest next call
-	failures int
-}
-
-// NewFollower returns a follower that feeds r.
+	cfg        FollowerConfig
+	replica    *Replica
+	version    uint64 // of the newest head read
+	calls      [callKinds]callState
+	loadNeeded bool   // a load from the store is needed
+	id         uint64 // of the last call
+	stats      FollowerStats
+}
+
+// callState is the state of one kind of call.
+type callState struct {
+	id           uint64 // of the call in progress, 0 if none
+	version      uint64 // newest version of the head when the call began
+	missedUpdate bool   // a read has returned a newer version than the watch
+	started      time.Time
+	due          time.Time // time from which the next call may be made
+	failures     int       // in a row
+}
+
+// NewFollower returns a Follower that updates r.
 func NewFollower(cfg FollowerConfig, r *Replica) *Follower {
 	orDefault(&cfg.Check, DefaultCheck)
 	orDefault(&cfg.WatchEnd, DefaultWatchEnd)
@@ -94,98 +94,97 @@
 	return &Follower{cfg: cfg, replica: r}
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (f *Follower) Stats() FollowerStats { return f.stats }
 
 // Next returns the calls to be made now. Call it after Done and several times
-// a second.
+// per second.
 func (f *Follower) Next(now time.Time) []Call {
 	var calls []Call
-	if f.ready(CallCheck, now) {
+	if f.due(CallCheck, now) {
 		calls = append(calls, f.start(CallCheck, now, 0))
 	}
-	if f.load && f.ready(CallLoad, now) {
+	if f.loadNeeded && f.due(CallLoad, now) {
 		calls = append(calls, f.start(CallLoad, now, 0))
 	}
-	// Nothing to wait behind until the head has been read once.
-	if f.version > 0 && f.ready(CallWatch, now) {
+	// A watch needs a version to wait for, so the head must have been read once.
+	if f.version > 0 && f.due(CallWatch, now) {
 		calls = append(calls, f.start(CallWatch, now, f.cfg.WatchEnd))
 	}
 	return calls
 }
 
-func (f *Follower) ready(k CallKind, now time.Time) bool {
+func (f *Follower) due(k CallKind, now time.Time) bool {
 	return f.calls[k].id == 0 && !now.Before(f.calls[k].due)
 }
 
 func (f *Follower) start(k CallKind, now time.Time, timeout time.Duration) Call {
 	f.id++
 	d := &f.calls[k]
-	d.id, d.version, d.suspect, d.started = f.id, f.version, false, now
+	d.id, d.version, d.missedUpdate, d.started = f.id, f.version, false, now
 	f.stats.Calls[k]++
 	return Call{Kind: k, ID: f.id, Version: f.version, Digest: f.replica.Digest(), Timeout: timeout}
 }
 
-// Done takes the result of a call. A late result of a call that was given up
-// still counts for what it says: a revision only grows.
+// Done processes the result of a call. The result of a call that was abandoned is
+// still applied, because revisions never decrease.
 func (f *Follower) Done(now time.Time, r Result) {
 	d := &f.calls[r.Call.Kind]
 	current := d.id == r.Call.ID
 	if current {
 		d.id = 0
 	}
-	quiet := isKind(r.Err, KindWatchTimeout) // nothing new
-	empty := r.Call.Kind == CallCheck && isKind(r.Err, KindNotFound)
-	if quiet || empty {
-		f.succeed(now, r.Call.Kind, current)
+	unchanged := isKind(r.Err, KindWatchTimeout)
+	noHead := r.Call.Kind == CallCheck && isKind(r.Err, KindNotFound)
+	if unchanged || noHead {
+		f.recordSuccess(now, r.Call.Kind, current)
 		return
 	}
-	if r.Err != nil || !f.take(now, r) {
-		f.fail(now, r, current)
+	if r.Err != nil || !f.applyResult(now, r) {
+		f.recordFailure(now, r, current)
 		return
 	}
-	f.succeed(now, r.Call.Kind, current)
+	f.recordSuccess(now, r.Call.Kind, current)
 }
 
-// take feeds the replica and reports whether the result was usable.
-func (f *Follower) take(now time.Time, r Result) bool {
+// applyResult passes the result to the replica and reports whether it was usable.
+func (f *Follower) applyResult(now time.Time, r Result) bool {
 	if r.Call.Kind == CallLoad {
 		err := f.replica.ReceiveLoad(now, r.Bulk)
-		f.load = err != nil && !errors.Is(err, ErrNoProgress)
-		return !f.load
+		f.loadNeeded = err != nil && !errors.Is(err, ErrNoProgress)
+		return !f.loadNeeded
 	}
 	h, err := DecodeHead(r.Value.Data)
 	if err != nil {
 		return false
 	}
 	if r.Call.Kind == CallCheck {
-		f.suspect(r.Value.Version)
+		f.checkWatch(r.Value.Version)
 	}
 	f.version = max(f.version, r.Value.Version)
-	f.load = f.replica.ReceiveHead(now, h) || f.load
+	f.loadNeeded = f.replica.ReceiveHead(now, h) || f.loadNeeded
 	return true
 }
 
-// suspect gives up a watch that should have answered: a plain read and the
-// one before it both knew a version above the one that it waits behind. A
-// watch can stop silently when a process in between drops it or the store
-// forgets it; the sign is a plain read that knows more. Without the check,
-// changes would never reach this process again while it believes to be up to
-// date.
-func (f *Follower) suspect(version uint64) {
+// checkWatch abandons the watch if two reads in a row have returned a version
+// above the one that the watch waits for. A watch can stop without an error when
+// an intermediary drops it or the store loses it; it is detected by reads that
+// return a newer version. Without this check, changes would no longer reach this
+// process, although it would seem up to date.
+func (f *Follower) checkWatch(version uint64) {
 	w := &f.calls[CallWatch]
 	switch {
 	case w.id == 0 || version <= w.version:
 		return
-	case !w.suspect: // the answer may be on its way
-		w.suspect = true
+	case !w.missedUpdate: // the answer of the watch may still arrive
+		w.missedUpdate = true
 	default:
 		w.id = 0
 		f.stats.Stopped++
 	}
 }
 
-func (f *Follower) succeed(now time.Time, k CallKind, current bool) {
+func (f *Follower) recordSuccess(now time.Time, k CallKind, current bool) {
 	if !current {
 		return
 	}
@@ -197,9 +196,10 @@
 	}
 }
 
-// fail waits a random time that doubles with each failure in a row, so that
-// the followers that lost the store together do not return together.
-func (f *Follower) fail(now time.Time, r Result, current bool) {
+// recordFailure schedules the next call by exponential backoff with jitter, so
+// that followers that lost the store at the same time don't retry at the same
+// time.
+func (f *Follower) recordFailure(now time.Time, r Result, current bool) {
 	f.stats.Failed++
 	if !current {
 		return
@@ -214,7 +214,8 @@
 	d.due = now.Add(wait/2 + time.Duration(f.cfg.Rand.Int64N(int64(wait/2)+1)))
 }
 
-// MakeCall carries out a call. It blocks until the answer or the call's timeout.
+// MakeCall makes a call of the store. It blocks until the answer or the call's
+// timeout. Errors are returned in Result.Err.
 func MakeCall(ctx context.Context, st Store, c Call) Result {
 	if c.Timeout > 0 {
 		limited, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -233,8 +234,9 @@
 	return r
 }
 
-// LoadSince reads what leads from d to the head: the changes if the store
-// still keeps them and d is on its chain, else the whole catalogue.
+// LoadSince returns a bulk that leads from d to the head: the changes if the
+// store still keeps them and d belongs to its history, otherwise the whole
+// catalogue. It returns the errors of the store and a *LayoutError.
 func LoadSince(ctx context.Context, st Store, d Digest) (Bulk, error) {
 	h, _, err := ReadHead(ctx, st)
 	if err != nil {
--- a/catalogue/follower_test.go
+++ b/catalogue/follower_test.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// followed drives a follower against a memStore in simulated time. Watches
-// wait in the driver: they answer when the head moves, unless stopped.
-type followed struct {
-	t       *testing.T
-	now     time.Time
-	st      *memStore
-	f       *Follower
-	r       *Replica
-	watches []Call
-	stopped bool
+// followerDriver drives a follower against a memStore in simulated time. The
+// driver keeps open watches and answers them when the head changes, unless
+// watchesStopped is set.
+type followerDriver struct {
+	t              *testing.T
+	now            time.Time
+	st             *memStore
+	f              *Follower
+	r              *Replica
+	watches        []Call
+	watchesStopped bool
 }
 
-func newFollowed(t *testing.T) *followed {
+func newFollowerDriver(t *testing.T) *followerDriver {
 	r := NewReplica(ReplicaConfig{Peers: func(int) []netip.AddrPort { return nil }})
 	f := NewFollower(FollowerConfig{Rand: rand.New(rand.NewPCG(1, 4))}, r)
-	return &followed{t: t, now: epoch, st: newMemStore(1), f: f, r: r}
+	return &followerDriver{t: t, now: epoch, st: newMemStore(1), f: f, r: r}
 }
 
-// step passes a tenth of a second.
-func (d *followed) step() {
+// step advances the time by a tenth of a second and makes the follower's calls.
+func (d *followerDriver) step() {
 	d.now = d.now.Add(100 * time.Millisecond)
 	for _, c := range d.f.Next(d.now) {
 		if c.Kind == CallWatch {
@@ -36,11 +37,11 @@
 		}
 		d.f.Done(d.now, MakeCall(context.Background(), d.st, c))
 	}
-	waiting := d.watches
+	pending := d.watches
 	d.watches = nil
-	for _, c := range waiting {
+	for _, c := range pending {
 		v, err := d.st.Get(context.Background(), HeadKey)
-		if d.stopped || err == nil && v.Version <= c.Version {
+		if d.watchesStopped || err == nil && v.Version <= c.Version {
 			d.watches = append(d.watches, c)
 			continue
 		}
@@ -48,8 +49,8 @@
 	}
 }
 
-// until steps until the replica holds revision and returns the time it took.
-func (d *followed) until(revision uint64) time.Duration {
+// waitFor steps until the replica is at revision and returns the time it took.
+func (d *followerDriver) waitFor(revision uint64) time.Duration {
 	d.t.Helper()
 	start := d.now
 	for d.r.Digest().Revision < revision {
@@ -61,10 +62,12 @@
 	return d.now.Sub(start)
 }
 
-func (d *followed) edit(n int) uint64 {
+// edit puts n entries into the store, even during an outage, and returns the
+// revision.
+func (d *followerDriver) edit(n int) uint64 {
 	d.t.Helper()
 	w := newWriter()
-	w.n = int(d.st.version) * 1000
+	w.nextEntry = int(d.st.version) * 1000
 	var e []Entry
 	for _, ch := range w.edit(n, 1<<20) {
 		e = append(e, ch.Entry)
@@ -77,29 +80,28 @@
 }
 
 func TestFollowerFollows(t *testing.T) {
-	d := newFollowed(t)
-	d.until(d.edit(3))
-	if took := d.until(d.edit(1)); took > 200*time.Millisecond {
+	d := newFollowerDriver(t)
+	d.waitFor(d.edit(3))
+	if took := d.waitFor(d.edit(1)); took > 200*time.Millisecond {
 		t.Errorf("a watched change took %v", took)
 	}
-	d.until(d.edit(400)) // past the tail: needs a load
+	d.waitFor(d.edit(400)) // more changes than the tail holds: needs a load
 	if !d.r.Digest().Confirmed {
-		t.Error("the store's own state is not confirmed")
+		t.Error("the digest of the store's state is not confirmed")
 	}
 }
 
-// Symptom: a contact-slot holder stays at an old revision without an error.
-// Events: its watch is dropped in between and never answers nor ends; the
-// catalogue is edited.
-// Cause: a waiting call that stopped looks like a quiet key.
+// Guards against a contact-slot holder that stays at an old revision without an
+// error: an intermediary drops its watch, which then neither answers nor ends
+// and looks like the watch of a key that doesn't change.
 func TestFollowerDetectsStoppedWatch(t *testing.T) {
-	d := newFollowed(t)
-	d.until(d.edit(1))
+	d := newFollowerDriver(t)
+	d.waitFor(d.edit(1))
 	d.step()
-	d.stopped = true
+	d.watchesStopped = true
 	for range 5 {
-		if took := d.until(d.edit(1)); took > DefaultCheck+200*time.Millisecond {
-			t.Errorf("took %v behind a stopped watch", took)
+		if took := d.waitFor(d.edit(1)); took > DefaultCheck+200*time.Millisecond {
+			t.Errorf("a change took %v while the watch was stopped", took)
 		}
 	}
 	if d.f.Stats().Stopped == 0 {
@@ -107,13 +109,13 @@
 	}
 }
 
-// Symptom: the catalogue is gone, or the store is overrun when it returns.
-// Events: the store is down for an hour, then back with a newer revision.
-// Cause: a follower that drops its copy or repeats failed calls at once.
-func TestFollowerOutlivesOutage(t *testing.T) {
-	d := newFollowed(t)
+// Guards against a follower that drops its state while the store is down, or
+// that retries failed calls immediately and overloads the store when it returns.
+// The store is down for an hour and then has a newer revision.
+func TestFollowerKeepsStateThroughOutage(t *testing.T) {
+	d := newFollowerDriver(t)
 	held := d.edit(1)
-	d.until(held)
+	d.waitFor(held)
 	d.st.set(1, 0, 0)
 	before := d.f.Stats()
 	for range 36000 {
@@ -121,22 +123,21 @@
 	}
 	calls := d.f.Stats().Calls[CallCheck] + d.f.Stats().Calls[CallWatch] - before.Calls[CallCheck] - before.Calls[CallWatch]
 	if rate := float64(calls) / 3600; rate > 2.5 {
-		t.Errorf("%.1f calls a second during the outage", rate)
+		t.Errorf("%.1f calls per second during the outage", rate)
 	}
 	if d.r.Digest().Revision != held {
 		t.Fatalf("revision %d after the outage, want %d", d.r.Digest().Revision, held)
 	}
 	d.st.set(0, 0, 0)
-	if took := d.until(d.edit(1)); took > DefaultBackoffMax+300*time.Millisecond {
-		t.Errorf("took %v after the outage", took)
+	if took := d.waitFor(d.edit(1)); took > DefaultBackoffMax+300*time.Millisecond {
+		t.Errorf("a change took %v after the outage", took)
 	}
 }
 
-// Symptom: a slow answer of the store reverts a newer state from peers.
-// Events: a read of the head is on its way while gossip brings the next one.
-// Cause: the answer describes the past.
+// Guards against a slow answer of the store reverting a newer state: while a
+// read of the head is in progress, a newer revision arrives by gossip.
 func TestLateAnswerDoesNotRevert(t *testing.T) {
-	d := newFollowed(t)
+	d := newFollowerDriver(t)
 	d.edit(1)
 	calls := d.f.Next(d.now)
 	late := MakeCall(context.Background(), d.st, calls[0])
--- a/catalogue/interim.go
+++ b/catalogue/interim.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// Interim stands in for the catalogue when every node that held it is gone
-// and the store is down: each agent still holds its own entry, and together
-// they cover every service that can be served at all. Use it only while the
-// replica is at revision 0. It is not safe for concurrent use.
+// Interim replaces the catalogue while the store is down and no node has a copy,
+// as after a restart of all balancers. It is built from the agents' copies of
+// their own entries, which together cover every service that can be served. Use
+// it only while the replica is at revision 0. It is not safe for concurrent use.
 type Interim struct {
-	held  map[string]heldAt
-	table *Table
+	entries map[string]revisionedEntry // by service
+	table   *Table                     // nil if it must be rebuilt
 }
 
-// heldAt is an entry and the revision at which it was known to stand.
-type heldAt struct {
+// revisionedEntry is an entry and the newest revision at which it is known to be
+// valid.
+type revisionedEntry struct {
 	entry    Entry
 	revision uint64
 }
 
-// Offer returns the message by which an agent gives its entry to a balancer
-// that has no catalogue, and false if it holds none.
+// Offer returns the message by which an agent sends its entry to a balancer
+// without a catalogue, and false if the agent has no entry.
 func (h *HeldEntry) Offer() (Message, bool) {
 	if !h.found {
 		return Message{}, false
@@ -32,42 +33,42 @@
 	return Message{Digest: Digest{Revision: h.revision}, Reply: reply}, true
 }
 
-// Receive takes an agent's offer and reports whether it was news. Entries
-// that break a rule are dropped.
+// Receive processes an agent's offer and reports whether it was newer than what
+// is known of the service. Invalid entries are ignored.
 func (i *Interim) Receive(m Message) bool {
 	if m.Reply == nil || m.Reply.Entry == nil || m.Reply.Entry.Number == 0 || m.Reply.Entry.Check() != nil {
 		return false
 	}
 	e := *m.Reply.Entry
-	if old, ok := i.held[e.Service]; ok && old.revision >= m.Digest.Revision {
+	if old, ok := i.entries[e.Service]; ok && old.revision >= m.Digest.Revision {
 		return false
 	}
-	if i.held == nil {
-		i.held = make(map[string]heldAt)
+	if i.entries == nil {
+		i.entries = make(map[string]revisionedEntry)
 	}
-	i.held[e.Service] = heldAt{e, m.Digest.Revision}
+	i.entries[e.Service] = revisionedEntry{e, m.Digest.Revision}
 	i.table = nil
 	return true
 }
 
-// Entry returns what is known of a service.
+// Entry returns the entry of a service, and false if none is known.
 func (i *Interim) Entry(service string) (Entry, bool) {
-	h, ok := i.held[service]
+	h, ok := i.entries[service]
 	return h.entry, ok
 }
 
-// Table returns the address index of what is known. Two agents may claim one
-// address when it moved between their services and one of them had not heard
-// of it; the claim that stood at the higher revision is the true one.
+// Table returns the address index of the known entries. Two entries can contain
+// the same address if it moved between their services and one of the agents has
+// not received the change; the entry of the higher revision takes precedence.
 func (i *Interim) Table() *Table {
 	if i.table != nil {
 		return i.table
 	}
-	claims := make([]heldAt, 0, len(i.held))
-	for _, h := range i.held {
+	claims := make([]revisionedEntry, 0, len(i.entries))
+	for _, h := range i.entries {
 		claims = append(claims, h)
 	}
-	slices.SortFunc(claims, func(a, b heldAt) int {
+	slices.SortFunc(claims, func(a, b revisionedEntry) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.entry.Number, b.entry.Number))
 	})
 	c := &Catalogue{addresses: make(map[netip.Addr]uint32)}
--- a/catalogue/layout.go
+++ b/catalogue/layout.go
@@ -10,27 +10,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// HeadKey is the one key whose compare-and-swap orders every edit.
+// HeadKey is the key whose compare-and-swap serializes all edits.
 const HeadKey = "catalogue/head"
 
-// sizes bounds the parts of the layout. The head is read once a change by
-// every reader, so its tail stays small; pages are read only when a reader
+// layoutSizes holds the size limits of the layout. Every reader reads the head
+// once per change, so its tail is small; pages are read only by a reader that
 // starts or has fallen behind.
-type sizes struct {
-	tail int // bytes of changes in the head
-	logs int // bytes of log pages behind the base before a new base is written
-	page int // bytes of one page of the base
-	kept int // log pages that stay readable for the history
+type layoutSizes struct {
+	tail     int // bytes of changes in the head
+	logs     int // bytes of log pages after the base from which a new base is written
+	page     int // bytes of one page of the base
+	keptLogs int // log pages kept for the history
 }
 
-var defaultSizes = sizes{tail: 4 << 10, logs: 256 << 10, page: 768 << 10, kept: 64}
+var defaultSizes = layoutSizes{tail: 4 << 10, logs: 256 << 10, page: 768 << 10, keptLogs: 64}
 
-// headFormat changes when older processes cannot read the head.
+// headFormat is the format version of the head. It is incremented when older
+// processes can't read the head.
 const headFormat = 1
 
-// baseRef names the pages that together hold a snapshot. Page keys contain
-// the checksum that an attempt to edit leads to, which covers the random part
-// of its edit ID: no two attempts write the same key.
+// baseRef refers to the pages that together hold a snapshot. Page keys contain
+// the checksum of the state that an edit attempt leads to, which covers the
+// random part of its edit ID, so that no two attempts write the same key.
 type baseRef struct {
 	Revision uint64   `cbor:"1,keyasint"`
 	Checksum Checksum `cbor:"2,keyasint"`
@@ -49,18 +50,18 @@
 	return keys
 }
 
-// logRef names a page of consecutive changes.
+// logRef refers to a page of consecutive changes.
 type logRef struct {
 	First uint64   `cbor:"1,keyasint"`
 	Last  uint64   `cbor:"2,keyasint"`
-	Stamp Checksum `cbor:"3,keyasint"` // of the state that the attempt led to
+	Stamp Checksum `cbor:"3,keyasint"` // of the state that the edit attempt leads to
 	Size  int      `cbor:"4,keyasint"` // bytes of the page
 }
 
 func (l logRef) key() string { return fmt.Sprintf("catalogue/log/%d-%s", l.Last, l.Stamp) }
 
-// Head is the value of HeadKey: the current revision and where to find the
-// changes that led to it.
+// Head is the value of HeadKey: the current revision and references to the
+// pages with the base and the changes that led to it.
 type Head struct {
 	Format   uint     `cbor:"1,keyasint"`
 	Revision uint64   `cbor:"2,keyasint"`
@@ -69,12 +70,14 @@
 	Base     baseRef  `cbor:"5,keyasint"`
 	Logs     []logRef `cbor:"6,keyasint"`
 	Tail     []Change `cbor:"7,keyasint"`
-	// What the base before still named; removed with the next base.
+	// Pages referenced only by older heads; removed when the next base is
+	// written.
 	OldBase baseRef  `cbor:"8,keyasint"`
 	OldLogs []logRef `cbor:"9,keyasint"`
 }
 
-// LayoutError reports a value of the store that is not a part of a catalogue.
+// LayoutError reports a value in the store that is not a valid part of a
+// catalogue.
 type LayoutError struct {
 	Key string
 	Err error
@@ -87,23 +90,24 @@
 // Unwrap returns the cause.
 func (e *LayoutError) Unwrap() error { return e.Err }
 
-// DecodeHead reads the value of HeadKey.
+// DecodeHead decodes the value of HeadKey. It returns a *LayoutError if the
+// value is malformed or of another format.
 func DecodeHead(data []byte) (Head, error) {
 	var h Head
 	if err := cbor.Unmarshal(data, &h); err != nil {
 		return Head{}, &LayoutError{HeadKey, err}
 	}
 	if h.Format != headFormat {
-		return Head{}, &LayoutError{HeadKey, fmt.Errorf("format %d is not %d", h.Format, headFormat)}
+		return Head{}, &LayoutError{HeadKey, fmt.Errorf("unsupported format %d, want %d", h.Format, headFormat)}
 	}
 	return h, nil
 }
 
-// Digest returns revision and checksum.
+// Digest returns the revision and checksum.
 func (h Head) Digest() Digest { return Digest{Revision: h.Revision, Checksum: h.Checksum} }
 
-// oldest returns the revision before the first change that the head can
-// still reach.
+// oldest returns the revision before the first change that is still in the
+// head or its log pages.
 func (h Head) oldest() uint64 {
 	switch {
 	case len(h.Logs) > 0:
@@ -114,8 +118,9 @@
 	return h.Revision
 }
 
-// ReadHead returns the head and its version, an empty head at version 0 if
-// the store holds none.
+// ReadHead returns the head and its version in the store, or an empty head and
+// version 0 if the store holds none. It returns the errors of the store and a
+// *LayoutError.
 func ReadHead(ctx context.Context, st Store) (Head, uint64, error) {
 	v, err := st.Get(ctx, HeadKey)
 	if isKind(err, KindNotFound) {
@@ -128,8 +133,8 @@
 	return h, v.Version, err
 }
 
-// changesAfter returns the kept changes above revision, reading no more log
-// pages than it needs.
+// changesAfter returns the kept changes after revision. It reads only the log
+// pages that contain them.
 func (h Head) changesAfter(ctx context.Context, st Store, revision uint64) ([]Change, error) {
 	var all []Change
 	for _, l := range h.Logs {
@@ -168,7 +173,7 @@
 		return nil, err
 	}
 	if len(v.Data) != size {
-		return nil, &LayoutError{key, fmt.Errorf("%d bytes instead of %d", len(v.Data), size)}
+		return nil, &LayoutError{key, fmt.Errorf("got %d bytes, want %d", len(v.Data), size)}
 	}
 	return v.Data, nil
 }
@@ -177,23 +182,23 @@
 	if b.Revision == 0 {
 		return New(), nil
 	}
-	var whole bytes.Buffer
+	var snapshot bytes.Buffer
 	for i, size := range b.Sizes {
 		data, err := readPage(ctx, st, b.key(i), size)
 		if err != nil {
 			return nil, err
 		}
-		whole.Write(data)
+		snapshot.Write(data)
 	}
-	s, err := ReadSnapshot(&whole)
+	s, err := ReadSnapshot(&snapshot)
 	if err != nil {
 		return nil, err
 	}
 	return s.Catalogue(), nil
 }
 
-// writePage writes an immutable page. A conflict means that an answer to the
-// same write was lost before.
+// writePage writes an immutable page. A conflict means that an earlier attempt
+// wrote the same page and its answer was lost.
 func writePage(ctx context.Context, st Store, key string, data []byte) error {
 	_, err := st.CompareAndSwap(ctx, key, 0, data)
 	if isKind(err, KindUnknown) {
@@ -206,12 +211,12 @@
 }
 
 func writeBase(ctx context.Context, st Store, c *Catalogue, page int) (baseRef, error) {
-	var whole bytes.Buffer
-	if err := c.Snapshot().Write(&whole); err != nil {
+	var snapshot bytes.Buffer
+	if err := c.Snapshot().Write(&snapshot); err != nil {
 		return baseRef{}, err
 	}
 	b := baseRef{Revision: c.revision, Checksum: c.checksum}
-	for part := range slices.Chunk(whole.Bytes(), page) {
+	for part := range slices.Chunk(snapshot.Bytes(), page) {
 		if err := writePage(ctx, st, b.key(len(b.Sizes)), part); err != nil {
 			return baseRef{}, err
 		}
@@ -220,7 +225,7 @@
 	return b, nil
 }
 
-// pages returns the keys of all pages that readers of the head need.
+// pages returns the keys of all pages that the head refers to.
 func (h Head) pages() []string {
 	keys := h.Base.keys()
 	for _, l := range h.Logs {
@@ -229,7 +234,7 @@
 	return keys
 }
 
-// garbage returns the keys of the pages that only older heads name.
+// garbage returns the keys of the pages that only older heads refer to.
 func (h Head) garbage() []string {
 	keys := h.OldBase.keys()
 	for _, l := range h.OldLogs {
@@ -238,8 +243,10 @@
 	return keys
 }
 
-// Load reads the whole catalogue. It returns the head it was read from and
-// the head's version, 0 if the store holds no catalogue.
+// Load reads the whole catalogue. It also returns the head that it was read from
+// and the head's version, 0 if the store holds no catalogue. Errors are those of
+// the store, *LayoutError, and *SnapshotError, *GapError or *ChecksumError for
+// damaged pages.
 func Load(ctx context.Context, st Store) (*Catalogue, Head, uint64, error) {
 	for {
 		h, version, err := ReadHead(ctx, st)
@@ -250,13 +257,13 @@
 		if err == nil {
 			return c, h, version, nil
 		}
-		// An editor may have replaced the pages since the head was read. The
-		// newer head names the new ones; a page that is missing under the
-		// same head is lost.
+		// An editor may have replaced the pages since the head was read; the
+		// load is then repeated with the new head. If the head is unchanged,
+		// the page is lost.
 		if !isKind(err, KindNotFound) {
 			return nil, Head{}, 0, err
 		}
-		if _, now, again := ReadHead(ctx, st); again != nil || now == version {
+		if _, newVersion, rereadErr := ReadHead(ctx, st); rereadErr != nil || newVersion == version {
 			return nil, Head{}, 0, &LayoutError{HeadKey, errors.Join(errors.New("a page is missing"), err)}
 		}
 	}
@@ -277,7 +284,7 @@
 		}
 	}
 	if c.revision != h.Revision || c.checksum != h.Checksum {
-		return nil, &LayoutError{HeadKey, fmt.Errorf("changes lead to revision %d, checksum %s, not to %d, %s", c.revision, c.checksum, h.Revision, h.Checksum)}
+		return nil, &LayoutError{HeadKey, fmt.Errorf("pages lead to revision %d, checksum %s; the head has revision %d, checksum %s", c.revision, c.checksum, h.Revision, h.Checksum)}
 	}
 	return c, nil
 }
--- a/catalogue/load_bench_test.go
+++ b/catalogue/load_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/hemlockscale/hemlockscale/catalogue/lab"
 )
 
-// BenchmarkFullLoad writes and reads the target's catalogue as a starting
-// node does, and reports the stream's bytes with and without DEFLATE and the
-// heap that the loaded state and its table keep.
+// BenchmarkFullLoad writes and reads a catalogue of the target size as for a
+// starting node. It reports the size of the stream with and without DEFLATE and
+// the heap size of the loaded state and its table.
 func BenchmarkFullLoad(b *testing.B) {
 	s := lab.VariedSnapshot()
 	var buf bytes.Buffer
@@ -50,7 +50,7 @@
 	})
 }
 
-// BenchmarkDeflate weighs the levels of compression of a snapshot.
+// BenchmarkDeflate compares compression levels for a snapshot.
 func BenchmarkDeflate(b *testing.B) {
 	var raw []byte
 	for _, e := range lab.VariedSnapshot().Entries {
--- a/catalogue/main_test.go
+++ b/catalogue/main_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fixes the seed of the property tests unless -rapid.seed names one,
-// so that every run gives the same verdict.
+// TestMain sets a fixed seed for the property tests unless -rapid.seed is given,
+// so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/catalogue/memstore_test.go
+++ b/catalogue/memstore_test.go
@@ -12,7 +12,7 @@
 	errLost = errors.New("answer lost")
 )
 
-// memStore is a Store in memory with an outage and lost answers.
+// memStore is an in-memory Store that can simulate outages and lost messages.
 type memStore struct {
 	mu      sync.Mutex
 	values  map[string]Stored
@@ -82,6 +82,7 @@
 	return Stored{}, &StoreError{KindWatchTimeout, errors.New("no watch")}
 }
 
+// set sets the shares of calls that fail or whose messages are lost.
 func (m *memStore) set(down, lose, drop float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/catalogue/parse.go
+++ b/catalogue/parse.go
@@ -12,16 +12,16 @@
 
 // File is a parsed YAML file of entries.
 type File struct {
-	// Revision is what the author had read when writing the file, 0 if the
-	// file names none. An edit with it is refused if one of its entries has
-	// changed since.
+	// Revision is the revision that the file is based on, 0 if the file names
+	// none. An edit with this base is refused if one of its entries has changed
+	// since.
 	Revision uint64
 	Entries  []Entry
 }
 
-// ParseError reports YAML that does not follow the schema.
+// ParseError reports YAML that does not match the schema.
 type ParseError struct {
-	Line int // 0 if Err names the line
+	Line int // from 1; 0 if Err names the line or no line is known
 	Err  error
 }
 
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// Parse reads one YAML document and checks each entry. It returns a
-// *ParseError for an unknown or repeated field, a value of the wrong type or
-// an entry that Check refuses.
+// Parse parses a YAML document and checks each entry. It returns a *ParseError
+// for an unknown or repeated field, a value of the wrong type, an invalid entry
+// or a second document.
 func Parse(data []byte) (File, error) {
 	var doc fileDoc
 	dec := yaml.NewDecoder(bytes.NewReader(data))
@@ -104,7 +104,7 @@
 	return e
 }
 
-// entryLines returns the line of each entry of a document that has decoded.
+// entryLines returns the line number of each entry of a valid document.
 func entryLines(data []byte) []int {
 	var doc struct {
 		Entries []yaml.Node `yaml:"entries"`
@@ -119,7 +119,7 @@
 	return lines
 }
 
-// Format writes a file that Parse reads.
+// Format returns f as YAML that Parse accepts.
 func Format(f File) ([]byte, error) {
 	doc := struct {
 		Revision uint64  `yaml:"revision,omitempty"`
--- a/catalogue/plan.go
+++ b/catalogue/plan.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// MaxEdit is the largest number of entries that one edit may name. Larger
-// files take several edits, each of them accepted or refused whole.
+// MaxEdit is the maximum number of entries in one edit. Larger files take
+// several edits, each of which is accepted or refused as a whole.
 const MaxEdit = 500
 
-// Edit is what an operator wants to change, accepted or refused as a whole.
+// Edit is a change of several entries, accepted or refused as a whole.
 type Edit struct {
-	Editor string   // who edits, for the history
-	Owner  string   // on whose behalf entries are deleted
+	Editor string   // name of the operator, for the history
+	Owner  string   // owner of the entries to delete
 	Put    []Entry  // Number and Version are ignored
 	Delete []string // services
-	// Base is the revision that the operator had read, 0 for whatever the
-	// store holds when the edit begins. The edit is refused if one of its
-	// services has changed since.
+	// Base is the revision that the edit is based on, 0 for the revision of the
+	// store when the edit begins. The edit is refused if one of its services
+	// has changed since.
 	Base uint64
 }
 
-// services returns the set of services that the edit names.
+// services returns the set of services in the edit.
 func (e Edit) services() map[string]bool {
 	set := make(map[string]bool, len(e.Put)+len(e.Delete))
 	for _, p := range e.Put {
@@ -33,9 +33,9 @@
 	return set
 }
 
-// Plan checks an edit against the state and returns the changes that carry it
-// out, none if it changes nothing. Errors: *FieldError, *AddressConflictError,
-// *OwnerError, *EntryNotFoundError and *DuplicateError.
+// Plan checks an edit against the state and returns the changes that implement
+// it, none if the state already matches. It returns a *FieldError,
+// *AddressConflictError, *OwnerError, *EntryNotFoundError or *DuplicateError.
 func (c *Catalogue) Plan(e Edit, id EditID, now time.Time) ([]Change, error) {
 	if err := c.check(e); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		}
 		named[entry.Service] = true
 	}
-	return c.checkClashes(e.Put, named)
+	return c.checkAddressConflicts(e.Put, named)
 }
 
 func (c *Catalogue) checkDelete(service, owner string) error {
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// checkClashes compares the addresses of the entries put with each other and
-// with the entries that the edit does not name.
-func (c *Catalogue) checkClashes(put []Entry, named map[string]bool) error {
+// checkAddressConflicts returns an *AddressConflictError if an address of put occurs twice
+// in put or belongs to an entry that is not among the named services.
+func (c *Catalogue) checkAddressConflicts(put []Entry, named map[string]bool) error {
 	holders := make(map[netip.Addr]string)
 	for _, e := range put {
 		for _, a := range e.Addresses {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// planner strings changes together behind a revision.
+// planner builds the consecutive changes of an edit.
 type planner struct {
 	c        *Catalogue
 	edit     Edit
@@ -131,7 +131,7 @@
 
 func (p *planner) put(e Entry) {
 	old, ok := p.c.entries[e.Service]
-	if ok && old.same(e) {
+	if ok && old.sameContent(e) {
 		return
 	}
 	if ok {
@@ -156,7 +156,7 @@
 		Revision: p.revision, Op: op, Entry: e, Edit: p.id,
 		Editor: p.edit.Editor, Time: p.now.UnixMilli(), Previous: p.checksum,
 	}
-	ch.Checksum = ch.sum()
+	ch.Checksum = ch.computeChecksum()
 	p.checksum = ch.Checksum
 	p.changes = append(p.changes, ch)
 }
--- a/catalogue/property_test.go
+++ b/catalogue/property_test.go
@@ -12,39 +12,39 @@
 	"pgregory.net/rapid"
 )
 
-// world is one store, its editors and some replicas whose messages wait in a
-// bag, from which they are taken in any order, twice or never.
-type world struct {
-	t     *rapid.T
-	st    *memStore
-	ed    *Editor
-	now   time.Time
-	nodes []*Replica
-	bag   []letter
-	truth map[uint64]Checksum // of each revision ever in the store
-	last  []uint64            // revision last seen at each node
-	loads []load              // bulk loads under way
+// cluster is a store, an editor and several replicas. Their messages are kept in
+// pending and delivered in any order, several times or never.
+type cluster struct {
+	t            *rapid.T
+	st           *memStore
+	ed           *Editor
+	now          time.Time
+	nodes        []*Replica
+	pending      []pendingMessage
+	checksums    map[uint64]Checksum // of each revision that the store has ever had
+	lastRevision []uint64            // of each node at the last check
+	loads        []bulkLoad          // in progress
 }
 
-type load struct {
+type bulkLoad struct {
 	to   int
 	from netip.AddrPort
 	b    Bulk
 }
 
-type letter struct {
+type pendingMessage struct {
 	from int
 	p    Packet
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, st: newMemStore(rapid.Uint64().Draw(t, "seed")), now: epoch, truth: map[uint64]Checksum{0: 0}}
+func newCluster(t *rapid.T) *cluster {
+	w := &cluster{t: t, st: newMemStore(rapid.Uint64().Draw(t, "seed")), now: epoch, checksums: map[uint64]Checksum{0: 0}}
 	w.ed = &Editor{Store: w.st, Now: func() time.Time { return w.now }}
 	if rapid.Bool().Draw(t, "small") {
-		w.ed.sizes = small
+		w.ed.sizes = smallSizes
 	}
 	n := rapid.IntRange(2, 6).Draw(t, "nodes")
-	w.last = make([]uint64, n)
+	w.lastRevision = make([]uint64, n)
 	for i := range n {
 		w.nodes = append(w.nodes, NewReplica(ReplicaConfig{
 			BulkGap: 6, Keep: 8,
@@ -54,7 +54,7 @@
 	return w
 }
 
-func (w *world) peers(i, k int) []netip.AddrPort {
+func (w *cluster) peers(i, k int) []netip.AddrPort {
 	var all []netip.AddrPort
 	for j := range w.nodes {
 		if j != i {
@@ -65,7 +65,7 @@
 	return all[:min(k, len(all))]
 }
 
-func (w *world) edit() {
+func (w *cluster) edit() {
 	e := Edit{Editor: "ayse", Owner: "kanatpar"}
 	for _, k := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 4, rapid.ID[int]).Draw(w.t, "services") {
 		service := fmt.Sprintf("s%d", k)
@@ -84,12 +84,12 @@
 	if err != nil && !errors.As(err, &refused) && !errors.As(err, &unknown) {
 		w.t.Fatalf("edit: %v", err)
 	}
-	w.learn()
+	w.checkStore()
 }
 
-// learn reads the store past its faults and checks that its revisions are
-// dense and never rewritten.
-func (w *world) learn() {
+// checkStore reads the store without faults, records its revisions and checks
+// that they are consecutive and never overwritten.
+func (w *cluster) checkStore() {
 	down, lose, drop := w.st.down, w.st.lose, w.st.drop
 	w.st.set(0, 0, 0)
 	defer w.st.set(down, lose, drop)
@@ -103,18 +103,18 @@
 	}
 	for i, ch := range changes {
 		if want := h.oldest() + uint64(i) + 1; ch.Revision != want {
-			w.t.Fatalf("revision %d where %d belongs", ch.Revision, want)
+			w.t.Fatalf("revision %d, want %d", ch.Revision, want)
 		}
-		if old, ok := w.truth[ch.Revision]; ok && old != ch.Checksum {
-			w.t.Fatalf("revision %d was rewritten", ch.Revision)
+		if old, ok := w.checksums[ch.Revision]; ok && old != ch.Checksum {
+			w.t.Fatalf("revision %d was overwritten", ch.Revision)
 		}
-		w.truth[ch.Revision] = ch.Checksum
+		w.checksums[ch.Revision] = ch.Checksum
 	}
 }
 
-func (w *world) node() int { return rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node") }
+func (w *cluster) node() int { return rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node") }
 
-func (w *world) read() {
+func (w *cluster) readStore() {
 	i := w.node()
 	v, err := w.st.Get(context.Background(), HeadKey)
 	if err != nil {
@@ -132,39 +132,40 @@
 	}
 }
 
-func (w *world) tick() {
+func (w *cluster) tick() {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 700).Draw(w.t, "ms")) * time.Millisecond)
 	w.nodes[w.node()].Tick(w.now)
 }
 
-func (w *world) collect() {
+func (w *cluster) collectMessages() {
 	for i, r := range w.nodes {
 		for _, p := range r.Outgoing() {
-			w.bag = append(w.bag, letter{i, p})
+			w.pending = append(w.pending, pendingMessage{i, p})
 		}
 	}
 }
 
-// deliver hands over any message of the bag, which stays there half the time.
-func (w *world) deliver() {
-	w.collect()
-	if len(w.bag) == 0 {
+// deliver delivers a random pending message, which stays pending in half of the
+// cases.
+func (w *cluster) deliver() {
+	w.collectMessages()
+	if len(w.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.bag)-1).Draw(w.t, "message")
-	l := w.bag[i]
+	i := rapid.IntRange(0, len(w.pending)-1).Draw(w.t, "message")
+	l := w.pending[i]
 	if rapid.Bool().Draw(w.t, "once") {
-		w.bag = append(w.bag[:i], w.bag[i+1:]...)
+		w.pending = append(w.pending[:i], w.pending[i+1:]...)
 	}
 	m, err := DecodeMessage(l.p.Message.Encode())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.nodes[nodeIndex(l.p.To)].Receive(w.now, nodeAddr(l.from), m)
-	w.bulk(nodeIndex(l.p.To))
+	w.startLoad(nodeIndex(l.p.To))
 }
 
-func (w *world) bulk(i int) {
+func (w *cluster) startLoad(i int) {
 	peer, ok := w.nodes[i].BulkSource()
 	if !ok {
 		return
@@ -181,11 +182,11 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loads = append(w.loads, load{i, peer, b})
+	w.loads = append(w.loads, bulkLoad{i, peer, b})
 }
 
-// finish ends any bulk load under way.
-func (w *world) finish() {
+// finishLoad completes a random bulk load in progress.
+func (w *cluster) finishLoad() {
 	if len(w.loads) == 0 {
 		return
 	}
@@ -195,29 +196,29 @@
 	_ = w.nodes[l.to].ReceiveBulk(w.now, l.from, l.b)
 }
 
-func (w *world) faults() {
+func (w *cluster) setFaults() {
 	share := rapid.SampledFrom([]float64{0, 0.3, 1})
 	w.st.set(share.Draw(w.t, "down"), share.Draw(w.t, "lose"), share.Draw(w.t, "drop"))
 }
 
-// check holds after every step: no replica's revision has decreased, and
-// each replica's state is one that the store has had.
-func (w *world) check(t *rapid.T) {
+// check is called after every step. It checks that no replica's revision has
+// decreased and that each replica's state is one that the store has had.
+func (w *cluster) check(t *rapid.T) {
 	for i, r := range w.nodes {
 		d := r.Digest()
-		if d.Revision < w.last[i] {
-			t.Fatalf("node %d reverted from %d to %d", i, w.last[i], d.Revision)
+		if d.Revision < w.lastRevision[i] {
+			t.Fatalf("node %d reverted from %d to %d", i, w.lastRevision[i], d.Revision)
 		}
-		w.last[i] = d.Revision
-		if sum, ok := w.truth[d.Revision]; !ok || sum != d.Checksum {
-			t.Fatalf("node %d is at %+v, which the store never held", i, d)
+		w.lastRevision[i] = d.Revision
+		if sum, ok := w.checksums[d.Revision]; !ok || sum != d.Checksum {
+			t.Fatalf("node %d is at %+v, which the store never had", i, d)
 		}
 	}
 }
 
-// settle ends all faults and checks that every replica comes to hold what
-// the store holds.
-func (w *world) settle() {
+// converge ends all faults and checks that every replica reaches the state of
+// the store.
+func (w *cluster) converge() {
 	w.st.set(0, 0, 0)
 	c, _, _, err := Load(context.Background(), w.st)
 	if err != nil {
@@ -225,15 +226,15 @@
 	}
 	s := c.Snapshot()
 	_ = w.nodes[0].ReceiveLoad(w.now, Bulk{Snapshot: &s})
-	for round := 0; round < 400 && !w.settled(c.Digest()); round++ {
+	for round := 0; round < 400 && !w.converged(c.Digest()); round++ {
 		w.now = w.now.Add(100 * time.Millisecond)
 		for _, r := range w.nodes {
 			r.Tick(w.now)
 		}
-		w.collect()
-		bag := w.bag
-		w.bag = nil
-		for _, l := range bag {
+		w.collectMessages()
+		messages := w.pending
+		w.pending = nil
+		for _, l := range messages {
 			to := nodeIndex(l.p.To)
 			w.nodes[to].Receive(w.now, nodeAddr(l.from), l.p.Message)
 			if peer, ok := w.nodes[to].BulkSource(); ok {
@@ -241,49 +242,49 @@
 			}
 		}
 	}
-	if !w.settled(c.Digest()) {
-		w.t.Fatalf("replicas do not come to hold %+v", c.Digest())
+	if !w.converged(c.Digest()) {
+		w.t.Fatalf("the replicas do not converge to %+v", c.Digest())
 	}
 	for i, r := range w.nodes {
 		for _, e := range s.Entries {
-			if got, ok := r.Catalogue().Entry(e.Service); !ok || !got.same(e) || got.Number != e.Number {
-				w.t.Fatalf("node %d holds %+v for %+v", i, got, e)
+			if got, ok := r.Catalogue().Entry(e.Service); !ok || !got.sameContent(e) || got.Number != e.Number {
+				w.t.Fatalf("node %d has %+v, want %+v", i, got, e)
 			}
 			for _, a := range e.Addresses {
 				if r.Table().NumberOf(a) != e.Number {
-					w.t.Fatalf("node %d finds %d at %s of %+v", i, r.Table().NumberOf(a), a, e)
+					w.t.Fatalf("node %d: service number %d for address %s, want that of %+v", i, r.Table().NumberOf(a), a, e)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) settled(d Digest) bool {
+func (w *cluster) converged(d Digest) bool {
 	for _, r := range w.nodes {
-		if !r.Digest().same(d) {
+		if !r.Digest().sameState(d) {
 			return false
 		}
 	}
 	return true
 }
 
-// Symptom: an accepted change is missing somewhere, or comes and goes.
-// Events: editors race over a store that fails and loses answers, while
+// Guards against accepted changes that are missing at a replica or reverted,
+// caused by writes without a compare-and-swap or by relying on the order of
+// messages: edits are made in a store that fails and loses answers, while
 // messages between replicas are lost, repeated and reordered.
-// Cause: any step that writes blindly or trusts the order of messages.
 func TestReplicasNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"":        w.check,
 			"edit":    func(*rapid.T) { w.edit() },
-			"faults":  func(*rapid.T) { w.faults() },
-			"read":    func(*rapid.T) { w.read() },
+			"faults":  func(*rapid.T) { w.setFaults() },
+			"read":    func(*rapid.T) { w.readStore() },
 			"tick":    func(*rapid.T) { w.tick() },
 			"deliver": func(*rapid.T) { w.deliver() },
-			"finish":  func(*rapid.T) { w.finish() },
+			"finish":  func(*rapid.T) { w.finishLoad() },
 		})
-		w.settle()
+		w.converge()
 	})
 }
 
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -15,63 +15,63 @@
 	DefaultKeep     = 4096
 )
 
-// pullMessages is how many messages answer one pull.
-const pullMessages = 8
+// maxPullMessages is the maximum number of messages in answer to one pull.
+const maxPullMessages = 8
 
-// bulkPatience is how long a bulk load may take before another peer may be
-// named for it.
-const bulkPatience = 2 * time.Second
+// bulkTimeout is the time after which a bulk load may be requested from another
+// peer.
+const bulkTimeout = 2 * time.Second
 
-// ReplicaConfig sets up a Replica. Zero fields mean the defaults.
+// ReplicaConfig configures a Replica. A zero field means its default.
 type ReplicaConfig struct {
-	Fanout   int           // peers told at once of a new change
-	Interval time.Duration // between two digests to a random peer
-	Rate     int           // bytes a second of changes sent, on average
-	Burst    int           // bytes of changes sent at once
-	BulkGap  uint64        // changes behind from which a bulk load is asked for
-	Keep     int           // changes kept for peers that are behind
+	Fanout   int           // peers that a new change is sent to at once; default DefaultFanout
+	Interval time.Duration // between digests sent to a random peer; default DefaultInterval
+	Rate     int           // average rate of changes sent, in bytes per second; default DefaultRate
+	Burst    int           // bytes of changes that may be sent at once; default DefaultBurst
+	BulkGap  uint64        // number of missing changes above which a bulk load is requested; default DefaultBulkGap
+	Keep     int           // number of changes kept for peers that are behind; default DefaultKeep
 	// Peers returns up to n random other replicas.
 	Peers func(n int) []netip.AddrPort
 }
 
-// ReplicaStats counts what happened to a replica.
+// ReplicaStats holds the counters of a Replica.
 type ReplicaStats struct {
 	Applied     uint64 // changes applied one by one
-	Loaded      uint64 // bulk loads adopted
+	Loaded      uint64 // snapshots adopted
 	Duplicates  uint64 // changes received again
-	Gaps        uint64 // changes received too early and dropped
-	Diverged    uint64 // states or changes of another chain seen
-	StoreBehind uint64 // heads of the store read below the replica's revision
-	Limited     uint64 // messages with changes not sent because of Rate
-	Sent        uint64 // messages
+	Gaps        uint64 // changes dropped because they were more than BulkGap ahead
+	Diverged    uint64 // digests, heads or changes received that belong to a diverged history
+	StoreBehind uint64 // heads read from the store below the replica's revision
+	Limited     uint64 // messages for which Rate left no capacity to send their changes
+	Sent        uint64 // messages sent
 }
 
-// Replica is a process's copy of the catalogue. It is a state machine: time
-// and messages come in, and what it wants sent waits in Outgoing. Its
-// revision never decreases. It is not safe for concurrent use.
+// Replica is a node's copy of the catalogue. It is a state machine: time and
+// messages are passed in, and the messages to be sent are collected by Outgoing.
+// Its revision never decreases. It is not safe for concurrent use.
 type Replica struct {
 	cfg       ReplicaConfig
 	state     *Catalogue
 	table     *Table
-	confirmed bool // the store vouched for the current digest
-
-	kept    []Change          // latest changes, consecutive, up to the current revision
-	early   map[uint64]Change // changes that arrived before their predecessors
-	out     []Packet
-	tokens  float64 // bytes of changes that may be sent
-	filled  time.Time
-	fresh   bool // progress since the last digest
-	digest  time.Time
-	target  Digest // newest state heard of
-	source  netip.AddrPort
-	pulled  time.Time
-	bulk    netip.AddrPort
-	bulkEnd time.Time
-	refused uint64 // 1 + the revision at which a peer last denied a pull
-	stats   ReplicaStats
-}
-
-// NewReplica returns a replica with the empty catalogue.
+	confirmed bool // the store has confirmed the current digest
+
+	kept         []Change          // latest changes, consecutive, up to the current revision
+	early        map[uint64]Change // changes that arrived before their predecessors
+	out          []Packet
+	tokens       float64 // bytes of changes that may be sent
+	lastRefill   time.Time
+	changed      bool // the state has changed since the last digest was sent
+	nextDigest   time.Time
+	newest       Digest         // of the highest revision received in a digest
+	newestPeer   netip.AddrPort // sender of newest
+	lastPull     time.Time
+	bulkPeer     netip.AddrPort // peer to load a bulk from; invalid if none is needed
+	bulkDeadline time.Time      // no other bulk load is requested before
+	deniedAt     uint64         // 1 + the revision at which a peer last denied a pull
+	stats        ReplicaStats
+}
+
+// NewReplica returns a Replica with an empty catalogue.
 func NewReplica(cfg ReplicaConfig) *Replica {
 	orDefault(&cfg.Fanout, DefaultFanout)
 	orDefault(&cfg.Interval, DefaultInterval)
@@ -88,8 +88,8 @@
 	}
 }
 
-// Catalogue returns the current state, to be read only, and only until the
-// next call of the replica.
+// Catalogue returns the current state. It must not be modified, and it is valid
+// only until the next call of a method of the replica.
 func (r *Replica) Catalogue() *Catalogue { return r.state }
 
 // Digest returns the current digest.
@@ -99,11 +99,11 @@
 	return d
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (r *Replica) Stats() ReplicaStats { return r.stats }
 
-// Table returns the address index of the current state. It is built at the
-// first call after a change and may be kept and shared between goroutines.
+// Table returns the address index of the current state. It is built by the first
+// call after a change. It is immutable and may be shared between goroutines.
 func (r *Replica) Table() *Table {
 	if r.table == nil {
 		r.table = r.state.Table()
@@ -111,23 +111,23 @@
 	return r.table
 }
 
-// Outgoing returns and forgets the messages to be sent.
+// Outgoing returns the messages to be sent and clears them.
 func (r *Replica) Outgoing() []Packet {
 	out := r.out
 	r.out = nil
 	return out
 }
 
-// Receive takes a message from a peer.
+// Receive processes a message from a peer.
 func (r *Replica) Receive(now time.Time, from netip.AddrPort, m Message) {
 	if len(m.Changes) > 0 {
 		r.receiveChanges(now, from, m)
 	}
 	if m.Reply != nil {
-		return // an agent's offer is for Interim; its digest is no replica's
+		return // an agent's offer, processed by Interim; its digest is not a replica's
 	}
 	if m.Request != nil {
-		r.answer(from, *m.Request)
+		r.sendEntry(from, *m.Request)
 		return
 	}
 	if m.Pull {
@@ -135,13 +135,14 @@
 		return
 	}
 	if m.Denied {
-		r.denied(now, from, m.Digest)
+		r.handleDenied(now, from, m.Digest)
 		return
 	}
-	r.compare(now, from, m.Digest)
+	r.handleDigest(now, from, m.Digest)
 }
 
-// receiveChanges applies what follows the state and keeps what is early.
+// receiveChanges applies the changes that follow the state and keeps those that
+// arrived early.
 func (r *Replica) receiveChanges(now time.Time, from netip.AddrPort, m Message) {
 	before := r.state.revision
 	for _, ch := range m.Changes {
@@ -160,11 +161,11 @@
 	}
 	r.push(now, from, before)
 	if m.More {
-		r.pulled = time.Time{} // the answer is complete; compare pulls again at once
+		r.lastPull = time.Time{} // the answer is complete, so handleDigest may pull again at once
 	}
 }
 
-// applyEarly applies the changes that now follow the state.
+// applyEarly applies the early changes that now follow the state.
 func (r *Replica) applyEarly(now time.Time, from netip.AddrPort, d Digest) {
 	for {
 		ch, ok := r.early[r.state.revision+1]
@@ -173,7 +174,7 @@
 		}
 		delete(r.early, ch.Revision)
 		if err := r.apply(ch); err != nil {
-			r.diverge(now, from, d)
+			r.handleDivergence(now, from, d)
 			return
 		}
 	}
@@ -184,29 +185,30 @@
 		return err
 	}
 	r.stats.Applied++
-	r.keep(ch)
-	r.moved()
+	r.appendKept(ch)
+	r.stateChanged()
 	return nil
 }
 
-// moved notes that the state is another one.
-func (r *Replica) moved() {
+// stateChanged resets what depends on the state.
+func (r *Replica) stateChanged() {
 	r.confirmed = false
 	r.table = nil
-	r.fresh = true
+	r.changed = true
 }
 
-// keep appends to the kept changes. The slice is never written in place, as
-// messages share it.
-func (r *Replica) keep(ch Change) {
+// appendKept appends ch to the kept changes and trims them to Keep. Elements are
+// never overwritten, because messages share the slice.
+func (r *Replica) appendKept(ch Change) {
 	r.kept = append(r.kept, ch)
 	if len(r.kept) >= 2*r.cfg.Keep {
 		r.kept = append([]Change(nil), r.kept[len(r.kept)-r.cfg.Keep:]...)
 	}
 }
 
-// changesAfter returns the kept changes that lead from d to the current
-// state, and false if the way is not kept or d is of another chain.
+// changesAfter returns the kept changes that lead from d to the current state.
+// It returns false if they are not all kept or if d belongs to a diverged
+// history.
 func (r *Replica) changesAfter(d Digest) ([]Change, bool) {
 	gap := r.state.revision - d.Revision
 	if d.Revision > r.state.revision || gap > uint64(len(r.kept)) {
@@ -219,13 +221,14 @@
 	return changes, true
 }
 
-// diverge notes that a peer's chain is another one. A chain can only fork if
-// the store lost accepted edits (it was wiped, or restored from a copy) or a
-// process damaged its state. What the store says now wins, but never at a
-// lower revision than the one in force here.
-func (r *Replica) diverge(now time.Time, from netip.AddrPort, d Digest) {
+// handleDivergence handles a peer whose history of changes differs. Histories
+// can only diverge if the store has lost accepted edits, because it was wiped or
+// restored from a copy, or if a process has damaged its state. The state that
+// the store confirms takes precedence, but never at a revision below this
+// replica's.
+func (r *Replica) handleDivergence(now time.Time, from netip.AddrPort, d Digest) {
 	r.stats.Diverged++
 	if d.Revision > r.state.revision || d.Revision == r.state.revision && d.Confirmed && !r.confirmed {
-		r.askBulk(now, from)
+		r.requestBulk(now, from)
 	}
 }
--- a/catalogue/replica_bulk.go
+++ b/catalogue/replica_bulk.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// denied notes that a peer keeps no changes that lead on from here. It may
-// only just have started, so a bulk load is asked for at the second denial of
-// the same revision; in between another peer may be met that has the changes.
-func (r *Replica) denied(now time.Time, from netip.AddrPort, d Digest) {
+// handleDenied handles the answer of a peer that doesn't keep the changes after
+// this replica's revision. The peer may have started recently, so a bulk load is
+// requested only at the second denial at the same revision; until then, another
+// peer may supply the changes.
+func (r *Replica) handleDenied(now time.Time, from netip.AddrPort, d Digest) {
 	if d.Revision <= r.state.revision {
 		return
 	}
-	if r.refused == r.state.revision+1 {
-		r.askBulk(now, from)
+	if r.deniedAt == r.state.revision+1 {
+		r.requestBulk(now, from)
 	}
-	r.refused = r.state.revision + 1
+	r.deniedAt = r.state.revision + 1
 }
 
-// askBulk names a peer for a bulk load unless one is under way.
-func (r *Replica) askBulk(now time.Time, from netip.AddrPort) {
-	if now.Before(r.bulkEnd) {
+// requestBulk selects a peer for a bulk load unless one is in progress.
+func (r *Replica) requestBulk(now time.Time, from netip.AddrPort) {
+	if now.Before(r.bulkDeadline) {
 		return
 	}
-	r.bulk = from
-	r.bulkEnd = now.Add(bulkPatience)
+	r.bulkPeer = from
+	r.bulkDeadline = now.Add(bulkTimeout)
 }
 
-// BulkSource returns the peer to load a Bulk from, once for each need. The
-// caller sends that peer this replica's Digest over a stream, and gives what
-// comes back to ReceiveBulk.
+// BulkSource returns the peer to load a Bulk from, and false if no bulk load is
+// needed. Each request is returned once. The caller sends this replica's Digest
+// to the peer over a stream and passes the answer to ReceiveBulk.
 func (r *Replica) BulkSource() (netip.AddrPort, bool) {
-	peer := r.bulk
-	r.bulk = netip.AddrPort{}
+	peer := r.bulkPeer
+	r.bulkPeer = netip.AddrPort{}
 	return peer, peer.IsValid()
 }
 
-// BulkFailed tells that a bulk load broke off, so that another peer may be
-// named at the next digest.
-func (r *Replica) BulkFailed() { r.bulkEnd = time.Time{} }
+// BulkFailed records that a bulk load failed, so that another peer may be
+// selected at the next digest.
+func (r *Replica) BulkFailed() { r.bulkDeadline = time.Time{} }
 
-// Bulk returns what brings a peer with digest d to the current state.
+// Bulk returns the Bulk that leads from a peer's digest d to the current state.
 func (r *Replica) Bulk(d Digest) Bulk {
 	if changes, ok := r.changesAfter(d); ok && len(changes) > 0 {
 		return Bulk{Changes: changes, Confirmed: r.confirmed}
@@ -50,13 +51,14 @@
 	return Bulk{Snapshot: &s, Confirmed: r.confirmed}
 }
 
-// ErrNoProgress reports a bulk that leads to no newer state.
+// ErrNoProgress is returned for a bulk that doesn't lead to a newer state.
 var ErrNoProgress = errors.New("catalogue: bulk leads to no newer state; keep the present one")
 
-// ReceiveBulk adopts what a peer sent. It returns an error, and keeps the
-// state, if the bulk is not newer or does not fit the state.
+// ReceiveBulk adopts a bulk received from a peer. It returns ErrNoProgress if
+// the bulk is not newer than the state, which is then kept, and a *GapError or
+// *ChecksumError for changes that don't follow the state.
 func (r *Replica) ReceiveBulk(now time.Time, from netip.AddrPort, b Bulk) error {
-	r.bulkEnd = time.Time{}
+	r.bulkDeadline = time.Time{}
 	before := r.state.revision
 	err := r.adopt(b)
 	if r.state.revision > before {
@@ -68,8 +70,8 @@
 func (r *Replica) adopt(b Bulk) error {
 	d := b.Digest()
 	newer := d.Revision > r.state.revision
-	truer := d.Revision == r.state.revision && d.Checksum != r.state.checksum && b.Confirmed && !r.confirmed
-	if !newer && !truer {
+	corrects := d.Revision == r.state.revision && d.Checksum != r.state.checksum && b.Confirmed && !r.confirmed
+	if !newer && !corrects {
 		return ErrNoProgress
 	}
 	if b.Snapshot == nil {
@@ -78,7 +80,7 @@
 	r.state = b.Snapshot.Catalogue()
 	r.kept = nil
 	r.stats.Loaded++
-	r.moved()
+	r.stateChanged()
 	r.confirmed = b.Confirmed
 	clear(r.early)
 	return nil
--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -36,20 +36,20 @@
 	r := NewReplica(ReplicaConfig{})
 	r.state.revision, r.state.checksum = 1<<63, 1<<63
 	r.send(nodeAddr(1), Message{Changes: changes, More: true})
-	if n, _ := fit(changes); n != 1 {
-		t.Fatal("the largest change does not fit a message")
+	if n, _ := fitMessage(changes); n != 1 {
+		t.Fatal("the largest change does not fit in a message")
 	}
 	if n := len(r.out[0].Message.Encode()); n > MaxMessage {
 		t.Fatalf("message of %d bytes", n)
 	}
 	r.state.put(changes[0].Entry)
-	r.answer(nodeAddr(1), EntryRequest{Service: long})
+	r.sendEntry(nodeAddr(1), EntryRequest{Service: long})
 	if n := len(r.out[1].Message.Encode()); n > MaxMessage {
 		t.Fatalf("reply of %d bytes", n)
 	}
 }
 
-func TestHeldNeverReverts(t *testing.T) {
+func TestHeldEntryNeverReverts(t *testing.T) {
 	w := newWriter()
 	ahead, lagging := NewReplica(ReplicaConfig{}), NewReplica(ReplicaConfig{})
 	ahead.cfg.Peers = func(int) []netip.AddrPort { return nil }
@@ -63,17 +63,16 @@
 		return h.Receive(r.Outgoing()[0].Message)
 	}
 	if !ask(ahead) || ask(lagging) || ask(ahead) {
-		t.Fatal("changed other than once")
+		t.Fatal("the entry did not change exactly once")
 	}
 	if e, ok := h.Entry(); !ok || e.Version != 2 {
-		t.Fatalf("holds %+v", e)
+		t.Fatalf("the entry is %+v, want version 2", e)
 	}
 }
 
-// Symptom: a node goes back to an older catalogue.
-// Events: it asks a peer for a bulk load; while the load is on its way newer
-// changes arrive one by one; the load ends.
-// Cause: a load shows the peer's state at its beginning.
+// Guards against a node reverting to an older catalogue: a bulk load holds the
+// peer's state at its beginning, and newer changes arrive one by one while the
+// load is in progress.
 func TestOlderBulkIsRefused(t *testing.T) {
 	w := newWriter()
 	first := w.edit(3, 10)
--- a/catalogue/snapshot.go
+++ b/catalogue/snapshot.go
@@ -11,17 +11,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// snapshotFormat changes when older processes cannot read the stream.
+// snapshotFormat is the format version of a snapshot. It is incremented when
+// older processes can't read the stream.
 const snapshotFormat = 1
 
-// Bounds that a reader accepts, so that a damaged stream cannot exhaust the
+// Limits of ReadSnapshot and ReadBulk, so that a damaged stream can't exhaust the
 // memory of a process.
 const (
 	maxSnapshotEntries = 4_000_000
 	maxSnapshotBytes   = 1 << 30
 )
 
-// SnapshotError reports a stream that cannot be read as a whole catalogue.
+// SnapshotError reports a stream that is not a complete and valid snapshot or
+// bulk.
 type SnapshotError struct{ Err error }
 
 func (e *SnapshotError) Error() string {
@@ -39,19 +41,19 @@
 	Entries  int      `cbor:"5,keyasint"`
 }
 
-// Snapshot is an immutable copy of a whole state, for streaming.
+// Snapshot is an immutable copy of a complete state, for streaming.
 type Snapshot struct {
 	Digest  Digest
 	Next    uint32  // next service number
-	Entries []Entry // by ascending number
+	Entries []Entry // in ascending order of number
 }
 
-// Snapshot copies the state.
+// Snapshot returns a copy of the state.
 func (c *Catalogue) Snapshot() Snapshot {
 	return Snapshot{c.Digest(), c.next, c.Entries()}
 }
 
-// Catalogue builds the state that the snapshot was taken of.
+// Catalogue returns a new Catalogue with the state of the snapshot.
 func (s Snapshot) Catalogue() *Catalogue {
 	c := New()
 	for _, e := range s.Entries {
@@ -61,8 +63,9 @@
 	return c
 }
 
-// Write streams the snapshot: a header, the entries and a hash over both, as
-// CBOR items under DEFLATE. Equal states give equal bytes.
+// Write writes the snapshot to w: a header, the entries and an xxHash64 over
+// both, as CBOR items under DEFLATE. Equal states yield equal bytes. It returns
+// the errors of w.
 func (s Snapshot) Write(w io.Writer) error {
 	z, err := flate.NewWriter(w, flate.BestSpeed)
 	if err != nil {
@@ -89,8 +92,8 @@
 	return z.Close()
 }
 
-// ReadSnapshot reads what Write wrote. It returns a *SnapshotError
-// for a truncated, damaged or unknown stream.
+// ReadSnapshot reads a snapshot written by Snapshot.Write. It returns a
+// *SnapshotError if the stream is truncated, damaged or of another format.
 func ReadSnapshot(r io.Reader) (Snapshot, error) {
 	z := flate.NewReader(r)
 	defer z.Close()
@@ -104,19 +107,19 @@
 func readSnapshot(dec *cbor.Decoder) (Snapshot, error) {
 	hash := xxhash.New()
 	var h snapshotHeader
-	if err := next(dec, hash, &h); err != nil {
+	if err := decodeHashed(dec, hash, &h); err != nil {
 		return Snapshot{}, err
 	}
 	if h.Format != snapshotFormat {
-		return Snapshot{}, fmt.Errorf("format %d is not %d", h.Format, snapshotFormat)
+		return Snapshot{}, fmt.Errorf("unsupported format %d, want %d", h.Format, snapshotFormat)
 	}
 	if h.Entries < 0 || h.Entries > maxSnapshotEntries {
-		return Snapshot{}, fmt.Errorf("%d entries are over the bound", h.Entries)
+		return Snapshot{}, fmt.Errorf("%d entries exceed the limit", h.Entries)
 	}
 	s := Snapshot{Digest: Digest{Revision: h.Revision, Checksum: h.Checksum}, Next: h.Next}
 	for range h.Entries {
 		var e Entry
-		if err := next(dec, hash, &e); err != nil {
+		if err := decodeHashed(dec, hash, &e); err != nil {
 			return Snapshot{}, err
 		}
 		s.Entries = append(s.Entries, e)
@@ -126,13 +129,13 @@
 		return Snapshot{}, err
 	}
 	if sum != hash.Sum64() {
-		return Snapshot{}, errors.New("damaged")
+		return Snapshot{}, errors.New("hash mismatch, the stream is damaged")
 	}
 	return s, nil
 }
 
-// next decodes one item and hashes its bytes.
-func next(dec *cbor.Decoder, hash io.Writer, v any) error {
+// decodeHashed decodes one item into v and adds its bytes to hash.
+func decodeHashed(dec *cbor.Decoder, hash io.Writer, v any) error {
 	var raw cbor.RawMessage
 	if err := dec.Decode(&raw); err != nil {
 		return err
--- a/catalogue/spread.go
+++ b/catalogue/spread.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Tick does what is due. Call it several times within an Interval.
+// Tick sends digests and repeats pulls that are due. Call it several times per
+// Interval.
 func (r *Replica) Tick(now time.Time) {
-	if r.state.revision < r.target.Revision && !now.Before(r.pulled.Add(r.cfg.Interval/2)) {
-		r.retry(now)
+	if r.state.revision < r.newest.Revision && !now.Before(r.lastPull.Add(r.cfg.Interval/2)) {
+		r.retryPull(now)
 	}
-	if now.Before(r.digest) {
+	if now.Before(r.nextDigest) {
 		return
 	}
-	r.digest = now.Add(r.cfg.Interval)
+	r.nextDigest = now.Add(r.cfg.Interval)
 	n := 1
-	if r.fresh { // a second round soon after a change reaches most of those whose first was lost
+	if r.changed { // a second round soon after a change reaches most peers that missed the first one
 		n = r.cfg.Fanout
 	}
-	r.fresh = false
+	r.changed = false
 	for _, peer := range r.cfg.Peers(n) {
 		r.send(peer, Message{})
 	}
 }
 
-// retry pulls again: the first pull or its answer was lost, or the source is
-// gone. Another peer may know as much.
-func (r *Replica) retry(now time.Time) {
-	source := r.source
-	if peers := r.cfg.Peers(1); len(peers) > 0 && now.After(r.pulled.Add(r.cfg.Interval)) {
+// retryPull pulls again, because the pull or its answer was lost or the peer has
+// failed. After an Interval it pulls from a random peer, which may have the
+// changes too.
+func (r *Replica) retryPull(now time.Time) {
+	source := r.newestPeer
+	if peers := r.cfg.Peers(1); len(peers) > 0 && now.After(r.lastPull.Add(r.cfg.Interval)) {
 		source = peers[0]
 	}
-	r.pull(now, source)
+	r.sendPull(now, source)
 }
 
 func (r *Replica) send(to netip.AddrPort, m Message) {
@@ -40,55 +42,58 @@
 	r.out = append(r.out, Packet{to, m})
 }
 
-// compare acts on a peer's digest.
-func (r *Replica) compare(now time.Time, from netip.AddrPort, d Digest) {
+// handleDigest compares a peer's digest with the replica's and starts the
+// exchange that it calls for.
+func (r *Replica) handleDigest(now time.Time, from netip.AddrPort, d Digest) {
 	own := r.Digest()
 	switch {
-	case d.same(own):
+	case d.sameState(own):
 		r.confirmed = r.confirmed || d.Confirmed
 	case d.Revision == own.Revision:
-		r.diverge(now, from, d)
+		r.handleDivergence(now, from, d)
 	case d.Revision > own.Revision:
-		r.behind(now, from, d)
+		r.catchUp(now, from, d)
 	default:
-		r.help(now, from, d)
+		r.sendMissing(now, from, d)
 	}
 }
 
-// behind fetches what a peer has more of, by changes or by a bulk load.
-func (r *Replica) behind(now time.Time, from netip.AddrPort, d Digest) {
+// catchUp requests the changes that a peer of a higher revision has, by a pull or
+// by a bulk load.
+func (r *Replica) catchUp(now time.Time, from netip.AddrPort, d Digest) {
 	if d.Revision-r.state.revision > r.cfg.BulkGap {
-		r.askBulk(now, from)
+		r.requestBulk(now, from)
 		return
 	}
-	pending := r.target.Revision > r.state.revision && now.Before(r.pulled.Add(r.cfg.Interval/2))
-	if d.Revision > r.target.Revision {
-		r.target = d
-		r.source = from
+	pending := r.newest.Revision > r.state.revision && now.Before(r.lastPull.Add(r.cfg.Interval/2))
+	if d.Revision > r.newest.Revision {
+		r.newest = d
+		r.newestPeer = from
 	}
 	if !pending {
-		r.pull(now, from)
+		r.sendPull(now, from)
 	}
 }
 
-func (r *Replica) pull(now time.Time, from netip.AddrPort) {
-	r.pulled = now
+func (r *Replica) sendPull(now time.Time, from netip.AddrPort) {
+	r.lastPull = now
 	r.send(from, Message{Pull: true})
 }
 
-// help sends a peer that is behind the changes that it lacks if one message
-// holds them, else only the digest, and the peer asks as it can take it.
-func (r *Replica) help(now time.Time, to netip.AddrPort, d Digest) {
+// sendMissing sends a peer of a lower revision the changes that it lacks if they
+// fit in one message. Otherwise it sends only the digest, and the peer requests
+// the changes at its own pace.
+func (r *Replica) sendMissing(now time.Time, to netip.AddrPort, d Digest) {
 	changes, ok := r.changesAfter(d)
-	n, size := fit(changes)
-	if !ok || n < len(changes) || !r.spend(now, size) {
+	n, size := fitMessage(changes)
+	if !ok || n < len(changes) || !r.takeTokens(now, size) {
 		r.send(to, Message{})
 		return
 	}
 	r.send(to, Message{Changes: changes})
 }
 
-// push tells Fanout peers of the changes after a revision at once.
+// push sends the changes after a revision to Fanout peers immediately.
 func (r *Replica) push(now time.Time, from netip.AddrPort, after uint64) {
 	var m Message
 	gap := r.state.revision - after
@@ -96,7 +101,7 @@
 	if gap <= uint64(len(r.kept)) {
 		changes := r.kept[uint64(len(r.kept))-gap:]
 		var n int
-		if n, size = fit(changes); n == len(changes) {
+		if n, size = fitMessage(changes); n == len(changes) {
 			m.Changes = changes
 		}
 	}
@@ -104,38 +109,39 @@
 		if peer == from {
 			continue
 		}
-		if len(m.Changes) > 0 && !r.spend(now, size) {
+		if len(m.Changes) > 0 && !r.takeTokens(now, size) {
 			m.Changes = nil
 		}
 		r.send(peer, m)
 	}
 }
 
-// answerPull sends the changes after d, at most pullMessages messages.
+// answerPull sends the changes after d, in at most maxPullMessages messages.
 func (r *Replica) answerPull(now time.Time, to netip.AddrPort, d Digest) {
 	changes, ok := r.changesAfter(d)
 	if !ok {
 		r.send(to, Message{Denied: true})
 		return
 	}
-	for i := 0; i < pullMessages && len(changes) > 0; i++ {
-		n, size := fit(changes)
-		if !r.spend(now, size) {
+	for i := 0; i < maxPullMessages && len(changes) > 0; i++ {
+		n, size := fitMessage(changes)
+		if !r.takeTokens(now, size) {
 			return
 		}
-		more := i == pullMessages-1 && n < len(changes)
+		more := i == maxPullMessages-1 && n < len(changes)
 		r.send(to, Message{Changes: changes[:n], More: more})
 		changes = changes[n:]
 	}
 }
 
-// spend takes bytes from the allowance of changes sent.
-func (r *Replica) spend(now time.Time, bytes int) bool {
-	if !r.filled.IsZero() {
-		r.tokens += now.Sub(r.filled).Seconds() * float64(r.cfg.Rate)
+// takeTokens deducts bytes from the token bucket of changes sent. It returns
+// false if the bucket holds too few.
+func (r *Replica) takeTokens(now time.Time, bytes int) bool {
+	if !r.lastRefill.IsZero() {
+		r.tokens += now.Sub(r.lastRefill).Seconds() * float64(r.cfg.Rate)
 	}
 	r.tokens = min(r.tokens, float64(r.cfg.Burst))
-	r.filled = now
+	r.lastRefill = now
 	if r.tokens < float64(bytes) {
 		r.stats.Limited++
 		return false
@@ -144,8 +150,8 @@
 	return true
 }
 
-// answer replies to an agent's request for one entry.
-func (r *Replica) answer(to netip.AddrPort, q EntryRequest) {
+// sendEntry answers an agent's request for an entry.
+func (r *Replica) sendEntry(to netip.AddrPort, q EntryRequest) {
 	e, ok := r.state.EntryByNumber(q.Number)
 	if q.Service != "" {
 		e, ok = r.state.Entry(q.Service)
--- a/catalogue/spread_test.go
+++ b/catalogue/spread_test.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/catalogue/lab"
 )
 
-func spread(t *testing.T, x *lab.Exchange, w *lab.Writer, changes []Change) {
+func applyAndConverge(t *testing.T, x *lab.Exchange, w *lab.Writer, changes []Change) {
 	t.Helper()
 	x.Change(0, func(r *Replica) {
 		if err := r.ReceiveLoad(x.Now(), Bulk{Changes: changes}); err != nil {
@@ -21,7 +21,7 @@
 		for i, r := range x.Nodes {
 			t.Logf("node %d: %+v %+v", i, r.Digest(), r.Stats())
 		}
-		t.Fatalf("not all at %+v", w.State.Digest())
+		t.Fatalf("not all nodes are at %+v", w.State.Digest())
 	}
 }
 
@@ -31,7 +31,7 @@
 		x.Duplicate = 0.1
 		w := lab.NewWriter()
 		for _, count := range []int{1, 3, 100, 1, 400, 2} {
-			spread(t, x, w, w.Edit(count, 500))
+			applyAndConverge(t, x, w, w.Edit(count, 500))
 		}
 		for _, r := range x.Nodes {
 			if r.Table().Len() != addresses(w.State) || r.Catalogue().Len() != w.State.Len() {
@@ -41,24 +41,24 @@
 	}
 }
 
-// Symptom: a process that starts while the store is down has no catalogue.
-// Events: all others hold revision 300; one starts empty.
-// Cause: the changes that it lacks are more than peers keep or send one by one.
+// Guards against a process that starts while the store is down and remains
+// without a catalogue: all others are at revision 300, and the missing changes
+// are more than peers keep or send individually.
 func TestEmptyReplicaLoadsFromPeers(t *testing.T) {
 	x := lab.NewExchange(10, 0.1, 1, ReplicaConfig{Keep: 8})
 	w := lab.NewWriter()
-	spread(t, x, w, w.Edit(300, 300))
+	applyAndConverge(t, x, w, w.Edit(300, 300))
 	x.Restart(4, ReplicaConfig{Keep: 8})
-	spread(t, x, w, w.Edit(1, 300))
+	applyAndConverge(t, x, w, w.Edit(1, 300))
 	if x.Nodes[4].Stats().Loaded != 1 {
-		t.Fatalf("loaded %d times", x.Nodes[4].Stats().Loaded)
+		t.Fatalf("node 4 loaded %d snapshots, want 1", x.Nodes[4].Stats().Loaded)
 	}
 }
 
-// Symptom: two nodes at the same revision treat an entry differently for ever.
-// Events: the store is restored from an old copy and takes another edit, so
-// two changes bear revision 2; one node has the first, the others the second.
-// Cause: revisions alone cannot tell the two chains apart.
+// Guards against nodes at the same revision that differ permanently: the store is
+// restored from an old copy and accepts another edit, so that two changes have
+// revision 2. One node has the first and the others the second, which revisions
+// alone can't distinguish.
 func TestForkIsResolvedTowardsStore(t *testing.T) {
 	x := lab.NewExchange(8, 0, 1, ReplicaConfig{})
 	old, w := lab.NewWriter(), lab.NewWriter()
@@ -72,20 +72,19 @@
 	if d := x.Nodes[3].Digest(); d.Revision != 2 {
 		t.Fatalf("node 3 at %+v", d)
 	}
-	spread(t, x, w, append(first, w.Edit(1, 10)...))
+	applyAndConverge(t, x, w, append(first, w.Edit(1, 10)...))
 	if x.Nodes[3].Stats().Diverged == 0 {
-		t.Fatal("the fork was not counted")
+		t.Fatal("the divergence was not counted")
 	}
 }
 
-// Symptom: a node that was cut off drags others back, or stays behind.
-// Events: a third of the nodes is cut off; 200 changes pass; the cut heals
-// while one more change is made.
-// Cause: digests of the past taken for news, or no way to catch up.
+// Guards against nodes that, after a partition, revert others by their old
+// digests or don't catch up: a third of the nodes is partitioned for 200 changes,
+// and the partition ends while one more change is made.
 func TestReturningNodesCatchUp(t *testing.T) {
 	x := lab.NewExchange(30, 0.1, 1, ReplicaConfig{})
 	w := lab.NewWriter()
-	spread(t, x, w, w.Edit(5, 1000))
+	applyAndConverge(t, x, w, w.Edit(5, 1000))
 	x.Cut = func(from, to int) bool { return (from < 20) != (to < 20) }
 	for range 4 {
 		changes := w.Edit(50, 1000)
@@ -94,16 +93,16 @@
 	}
 	for i, r := range x.Nodes {
 		if want := map[bool]uint64{true: 205, false: 5}[i < 20]; r.Digest().Revision != want {
-			t.Fatalf("node %d at %d, want %d", i, r.Digest().Revision, want)
+			t.Fatalf("node %d at revision %d, want %d", i, r.Digest().Revision, want)
 		}
 	}
 	last := make([]uint64, len(x.Nodes))
 	x.OnProgress = func(i int) { last[i] = x.Nodes[i].Digest().Revision }
 	x.Cut = nil
-	spread(t, x, w, w.Edit(1, 1000))
+	applyAndConverge(t, x, w, w.Edit(1, 1000))
 	for i, r := range x.Nodes {
 		if last[i] != r.Digest().Revision {
-			t.Fatalf("node %d went from %d to %d", i, last[i], r.Digest().Revision)
+			t.Fatalf("node %d: last reported progress to revision %d, now at %d", i, last[i], r.Digest().Revision)
 		}
 	}
 }
--- a/catalogue/store.go
+++ b/catalogue/store.go
@@ -6,35 +6,39 @@
 	"fmt"
 )
 
-// Stored is the value of a key of the store.
+// Stored is the value of a key in the store.
 type Stored struct {
 	Data    []byte
-	Version uint64 // grows with every write of the key
+	Version uint64 // increases with every write of the key
 }
 
-// Store is what the package needs of a key-value service. Its errors are
-// *StoreError; any other error counts as KindUnavailable.
+// Store is the interface of the key-value service that holds the catalogue. Its
+// errors are *StoreError; any other error is treated as KindUnavailable.
 type Store interface {
+	// Get returns the value of a key, or an error of KindNotFound.
 	Get(ctx context.Context, key string) (Stored, error)
-	// CompareAndSwap writes data if the key is at version expect, where 0
-	// means that it must not exist, and returns the new version.
+	// CompareAndSwap writes data if the key is at version expect and returns the
+	// new version. An expect of 0 means that the key must not exist. It returns
+	// an error of KindConflict if the key is at another version, and of
+	// KindUnknown if the write may have taken effect.
 	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte) (uint64, error)
-	// Delete removes a key at any version.
+	// Delete removes a key, whatever its version.
 	Delete(ctx context.Context, key string) error
-	// Watch waits until the key's version is above after.
+	// Watch waits until the key's version is above after and returns the value,
+	// or an error of KindWatchTimeout.
 	Watch(ctx context.Context, key string, after uint64) (Stored, error)
 }
 
-// StoreKind says what a failed call of the store means for the caller.
+// StoreKind is the kind of a StoreError.
 type StoreKind uint8
 
 // The kinds of StoreError.
 const (
 	KindUnavailable  StoreKind = iota // the call had no effect
-	KindNotFound                      // the key holds no value
+	KindNotFound                      // the key does not exist
 	KindConflict                      // the key is at another version; nothing was written
 	KindUnknown                       // the write may have taken effect
-	KindWatchTimeout                  // no newer version within the store's wait
+	KindWatchTimeout                  // no newer version before the store's watch timeout
 )
 
 // StoreError reports a failed call of the store.
--- a/catalogue/writer_test.go
+++ b/catalogue/writer_test.go
@@ -16,24 +16,25 @@
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// writer makes valid changes without a store.
+// writer generates valid changes without a store.
 type writer struct {
-	state *Catalogue
-	n     int
+	state     *Catalogue
+	nextEntry int
 }
 
 func newWriter() *writer { return &writer{state: New()} }
 
-// edit makes changes of count entries, cycling over services many services.
+// edit returns changes of count entries, cycling over the given number of
+// services.
 func (w *writer) edit(count, services int) []Change {
 	e := Edit{Editor: "ayse.yilmaz", Owner: "kanatpar"}
 	for range count {
-		k := w.n % services
-		w.n++
+		k := w.nextEntry % services
+		w.nextEntry++
 		ent := Entry{
 			Service: "listing-" + serviceName(k), Owner: "kanatpar", Class: ClassStream,
 			Addresses: []netip.Addr{netip.AddrFrom4([4]byte{100, byte(k >> 16), byte(k >> 8), byte(k)})},
-			Limits:    Limits{Connections: 2000, Slots: 1 + w.n%MaxSlots, Deadline: 10 * time.Second},
+			Limits:    Limits{Connections: 2000, Slots: 1 + w.nextEntry%MaxSlots, Deadline: 10 * time.Second},
 		}
 		e.Put = append(e.Put, ent)
 	}
@@ -49,6 +50,8 @@
 	return changes
 }
 
+// serviceName returns eight letters that encode the decimal digits of k, the
+// lowest digit first.
 func serviceName(k int) string {
 	const letters = "abcdefghij"
 	name := []byte("00000000")
--- a/placement/alternate.go
+++ b/placement/alternate.go
@@ -163,7 +163,7 @@
 	return i
 }
 
-// scale maps a hash uniformly to [0, n) without a division.
+// scale maps a hash uniformly to the range 0 to n-1 without a division.
 func scale(h uint64, n int) int {
 	return int((h >> 32) * uint64(n) >> 32)
 }
