--- a/catalogue/snapshot.go
+++ b/catalogue/snapshot.go
@@ -129,7 +129,7 @@
 		return Snapshot{}, err
 	}
 	if sum != hash.Sum64() {
-		return Snapshot{}, errors.New("hash mismatch, the stream is damaged")
+		return Snapshot{}, errors.New("damaged")
 	}
 	return s, nil
 }
