--- a/flow/cold.go
+++ b/flow/cold.go
@@ -33,7 +33,7 @@
 // flows may claim; requests on open flows use the rest.
 const coldQueueShare = 0.8
 
-// Cold servers.
+// The cold limit.
 //
 // After a power loss, a release, or when an evacuated zone returns to service, servers
 // start cold and process a fraction of their usual rate for some seconds, while callers
--- a/flow/freelist.go
+++ b/flow/freelist.go
@@ -41,8 +41,8 @@
 	return k
 }
 
-// release returns the objects that an entry refers to to the lists. Effects of the current
-// call may still refer to them; they are not reused before the next call.
+// release puts the objects that an entry refers to back into the lists. Effects of the
+// current call may still refer to them; they are not reused before the next call.
 func (p *freeLists) release(e *entry) {
 	if e.open != nil {
 		p.openings = append(p.openings, e.open)
@@ -60,7 +60,7 @@
 	}
 }
 
-// releaseAll returns an entry and the objects that it refers to to the lists.
+// releaseAll puts an entry and the objects that it refers to back into the lists.
 func (p *freeLists) releaseAll(e *entry) {
 	p.release(e)
 	p.entries = append(p.entries, e)
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -327,7 +327,7 @@
 	})
 }
 
-// requestCapacity returns the number of requests in progress from which new flows wait.
+// requestCapacity returns the number of requests in progress at which further flows wait.
 func (g *Gate) requestCapacity() int {
 	return max(1, int(g.cfg.CapacityFactor*float64(g.server.slots)))
 }
@@ -394,7 +394,8 @@
 }
 
 // onCopy processes another copy of the first packet of a flow in the table. Until the
-// caller has confirmed the flow, a copy is subject to the same checks as the first packet.
+// caller has confirmed the flow, a copy reaches the server only if the server is ready and
+// its cold limit allows another request.
 func (g *Gate) onCopy(now time.Time, from netip.AddrPort, f *gateFlow, s *Segment, packet []byte) {
 	f.via = from
 	f.lastPacketAt = now
--- a/flow/waiting_callers.go
+++ b/flow/waiting_callers.go
@@ -15,9 +15,8 @@
 )
 
 // onReserveCapacity queues the caller of an ended flow until the server has capacity. The
-// caller will open a new flow, which may be offered to any agent. Its agent need not be
-// this one: the purpose is that no more callers are notified than the servers have
-// capacity for.
+// caller's new flow may be offered to any agent; the reservation only ensures that no more
+// callers are notified than the servers have capacity for.
 func (g *Gate) onReserveCapacity(now time.Time, from netip.AddrPort, m *Message) {
 	reason := ReasonNone
 	switch {
@@ -39,7 +38,7 @@
 	g.dequeue(now)
 }
 
-// expireReservations removes the reservations of callers that opened no new flow in time.
+// expireReservations removes the reservations that no new flow has used in time.
 func (g *Gate) expireReservations(now time.Time) {
 	for g.reservations.len() > 0 && !g.reservations.first().After(now) {
 		g.reservations.pop()
@@ -63,8 +62,8 @@
 	return g.waitingCallers[first].precedes(&q, now)
 }
 
-// reserveCapacity reserves capacity for a caller and replies so to the balancer, which
-// notifies the caller that its flow ended.
+// reserveCapacity reserves capacity for a caller and reports that to the balancer, which
+// then notifies the caller that its flow ended.
 func (g *Gate) reserveCapacity(now time.Time, q queueEntry) {
 	g.reservations.push(now.Add(reservationTTL))
 	g.reply(now, q.via, Message{Kind: CapacityReserved, Key: q.key}, nil)
