--- a/flow/freelist.go
+++ b/flow/freelist.go
@@ -7,8 +7,8 @@
 type freeLists struct {
 	entries  []*entry
 	openings []*opening
-	seeks    []*lookup
-	returns  []*pendingReset
+	lookups  []*lookup
+	resets   []*pendingReset
 }
 
 // take removes and returns the last object of a list, or a new one if the list is empty.
@@ -34,9 +34,9 @@
 	return o
 }
 
-// seek returns a lookup that reuses the slices of an earlier one.
-func (p *freeLists) seek() *lookup {
-	k := take(&p.seeks)
+// lookup returns a cleared lookup that reuses the slices of an earlier one.
+func (p *freeLists) lookup() *lookup {
+	k := take(&p.lookups)
 	*k = lookup{targets: k.targets[:0], packet: k.packet[:0], buffered: k.buffered[:0]}
 	return k
 }
@@ -50,12 +50,12 @@
 	}
 	if e.lookup != nil {
 		e.lookup.serial = 0
-		p.seeks = append(p.seeks, e.lookup)
+		p.lookups = append(p.lookups, e.lookup)
 		e.lookup = nil
 	}
 	if e.reset != nil {
 		e.reset.serial = 0
-		p.returns = append(p.returns, e.reset)
+		p.resets = append(p.resets, e.reset)
 		e.reset = nil
 	}
 }
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -26,7 +26,7 @@
 // that holds the flow forwards it at once, so a flow that is found is not delayed.
 func (d *Director) startLookup(now time.Time, e *entry, s *Segment, packet []byte, all bool) {
 	d.free.release(e)
-	k := d.free.seek()
+	k := d.free.lookup()
 	k.serial, k.startedAt, k.allQueried, k.lastAttemptAt, k.segment = d.nextSerial(), now, all, now, *s
 	k.packet = append(k.packet, packet...)
 	e.state = entryLookup
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -67,7 +67,7 @@
 
 // newPendingReset determines how long the notification of a caller may be delayed.
 func (d *Director) newPendingReset(now time.Time, e *entry, s *Segment, reason Reason) *pendingReset {
-	r := take(&d.free.returns)
+	r := take(&d.free.resets)
 	*r = pendingReset{key: s.Key, ack: s.Ack, reason: reason, until: now, onTime: now}
 	var route Route
 	if d.orders.Routes != nil {
