--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,8 +43,8 @@
 	// packetSize is the size of QUIC packets in bytes. With the forwarding
 	// header and the UDP and IP headers it stays below 1,500.
 	packetSize = 1350
-	// streamsPerConnection bounds the requests that one connection has open.
-	streamsPerConnection = 256
+	// maxStreamsPerConnection bounds the requests that one connection has open.
+	maxStreamsPerConnection = 256
 	// drainNotice is how long an agent that leaves goes on taking requests,
 	// so that balancers hear of it before it refuses any.
 	drainNotice = time.Second
@@ -91,7 +91,7 @@
 	ready   atomic.Bool
 	metrics *metrics
 	flows   *flows
-	control *duty
+	control *controlLoop
 	claims  *claims
 
 	ctx       context.Context
@@ -122,8 +122,8 @@
 		return nil, err
 	}
 	a.claims = newClaims(link, cfg.Internal, cfg.Idempotency)
-	a.control = newDuty(a, link)
-	if err := a.open(); err != nil {
+	a.control = newControlLoop(a, link)
+	if err := a.openTransport(); err != nil {
 		socket.Close()
 		return nil, err
 	}
@@ -132,8 +132,8 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// open builds QUIC and HTTP/3 over the internal socket.
-func (a *Agent) open() error {
+// openTransport builds QUIC and HTTP/3 over the internal socket.
+func (a *Agent) openTransport() error {
 	ids, err := a.cfg.Keys.ConnIDs()
 	if err != nil {
 		return err
@@ -142,11 +142,11 @@
 		return err
 	}
 	a.conn.paths.stalls.log = logStall(a.log)
-	marks, err := newFlowMarks(a.cfg.Traces, a.cfg.Keys, a.claims.link)
+	marks, err := newTracedFlows(a.cfg.Traces, a.cfg.Keys, a.claims.link)
 	if err != nil {
 		return err
 	}
-	a.conn.marks = marks
+	a.conn.traced = marks
 	reset := quic.StatelessResetKey(a.cfg.Keys[0].Derive("stateless reset", 32))
 	token := quic.TokenGeneratorKey(a.cfg.Keys[0].Derive("address token", 32))
 	a.quic = &quic.Transport{
@@ -187,7 +187,7 @@
 		a.gate.do(func(g *admission.Controller, now time.Time) { g.CloseConn(now, owner) })
 		a.metrics.connections.Dec()
 	})
-	return a.conn.marks.connected(ctx, c.RemoteAddr())
+	return a.conn.traced.attach(ctx, c.RemoteAddr())
 }
 
 // setEntry puts the service's catalogue entry in force.
@@ -199,7 +199,7 @@
 	a.gate.do(func(g *admission.Controller, now time.Time) {
 		g.Configure(now, admission.FromLimits(e.Limits, newRand()))
 	})
-	a.flows.conns.Store(int64(connectionLimit(e)))
+	a.flows.maxConnections.Store(int64(connectionLimit(e)))
 	a.conn.service.Store(e.Number)
 	a.log.Info("catalogue entry in force", zap.Uint64("version", e.Version), zap.Uint32("number", e.Number))
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -70,26 +70,26 @@
 	return c.Conn.Write(b)
 }
 
-// sentProbe watches one call for bytes that went out.
-type sentProbe struct {
-	conn   atomic.Pointer[countingConn]
-	before atomic.Int64
+// sendTracker watches one call for bytes that went out.
+type sendTracker struct {
+	conn          atomic.Pointer[countingConn]
+	writtenBefore atomic.Int64
 }
 
-func (p *sentProbe) trace() *httptrace.ClientTrace {
+func (p *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		c, ok := i.Conn.(*countingConn)
 		if !ok {
 			return
 		}
-		p.before.Store(c.written.Load())
+		p.writtenBefore.Store(c.written.Load())
 		p.conn.Store(c)
 	}}
 }
 
-func (p *sentProbe) sent() bool {
+func (p *sendTracker) sent() bool {
 	c := p.conn.Load()
-	return c != nil && c.written.Load() > p.before.Load()
+	return c != nil && c.written.Load() > p.writtenBefore.Load()
 }
 
 // singleUse hides what the body is, so that http.Transport can't send it again.
@@ -103,7 +103,7 @@
 // do sends a request once and returns the answer's header and body. A failure
 // is a *CallError.
 func (b *backend) do(ctx context.Context, in *http.Request, header http.Header) (*http.Response, error) {
-	probe := &sentProbe{}
+	probe := &sendTracker{}
 	ctx = httptrace.WithClientTrace(ctx, probe.trace())
 	u := *b.url
 	u.Path, u.RawPath, u.RawQuery = in.URL.Path, in.URL.RawPath, in.URL.RawQuery
@@ -135,8 +135,8 @@
 
 func (b *backend) close() { b.transport.CloseIdleConnections() }
 
-// callFailed returns the CallError in err.
-func callFailed(err error) *CallError {
+// asCallError returns the CallError in err.
+func asCallError(err error) *CallError {
 	var e *CallError
 	if errors.As(err, &e) {
 		return e
--- a/internal/agent/backendhealth.go
+++ b/internal/agent/backendhealth.go
@@ -14,19 +14,19 @@
 	// healthInterval is how often the backend server is connected to.
 	healthInterval = 500 * time.Millisecond
 	healthTimeout  = 400 * time.Millisecond
-	// healthFailures is how many connects in a row must fail before the
+	// failureThreshold is how many connects in a row must fail before the
 	// backend server counts as gone: one lost packet must not take it out.
-	healthFailures = 2
+	failureThreshold = 2
 )
 
-// judge takes in whether the backend server can be reached.
-func (d *duty) judge(now time.Time, up bool) {
-	if up == !d.readyAt.IsZero() {
+// setBackendReachable takes in whether the backend server can be reached.
+func (d *controlLoop) setBackendReachable(now time.Time, up bool) {
+	if up == !d.reachableSince.IsZero() {
 		return
 	}
-	d.readyAt = time.Time{}
+	d.reachableSince = time.Time{}
 	if up {
-		d.readyAt = now
+		d.reachableSince = now
 	}
 	d.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackendReachable(now, up) })
 	d.a.log.Info("backend server", zap.Bool("reachable", up))
@@ -35,7 +35,7 @@
 
 // watchBackend connects to the backend server at intervals. The agent's own
 // connect goes before the health endpoint, which may lag or mislead.
-func (d *duty) watchBackend(ctx context.Context) {
+func (d *controlLoop) watchBackend(ctx context.Context) {
 	dialer := &net.Dialer{Timeout: healthTimeout}
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
@@ -48,7 +48,7 @@
 		} else {
 			failures++
 		}
-		if failures == 0 || failures >= healthFailures {
+		if failures == 0 || failures >= failureThreshold {
 			select {
 			case d.health <- failures == 0:
 			case <-ctx.Done():
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	homeTick = time.Second
-	// rosterShare is which part of the freshness that a vote needs may pass
+	voterTickInterval = time.Second
+	// memberListRequestsPerFreshness is which part of the freshness that a vote needs may pass
 	// between two requests for the roster, so that a lost answer does no harm.
-	rosterShare = 3
+	memberListRequestsPerFreshness = 3
 )
 
 // claims runs the two state machines of package idempotency: the requester for
@@ -31,21 +31,21 @@
 	mu  sync.Mutex // guards all below
 	cfg idempotency.Config
 	// freshness is cfg.Freshness with its default filled in.
-	freshness time.Duration
-	elect     *idempotency.Electorate
-	req       *idempotency.Requester
-	home      *idempotency.Voter // nil once the agent leaves: it votes no more
-	nextID    uint64
-	waiting   map[uint64]chan idempotency.Effect
-	effects   []idempotency.Effect
+	freshness  time.Duration
+	electorate *idempotency.Electorate
+	req        *idempotency.Requester
+	voter      *idempotency.Voter // nil once the agent leaves: it votes no more
+	nextID     uint64
+	waiting    map[uint64]chan idempotency.Effect
+	effects    []idempotency.Effect
 
-	rosterSeq  uint64
-	rosterSent time.Time // when the roster request with rosterSeq went out
-	ticked     time.Time
-	named      time.Time // when the roster first named this agent
-	complete   bool
-	serving    int // other agents of the service that take new flows
-	live       int // other agents of the service
+	memberListSeq         uint64
+	memberListRequestedAt time.Time // when the roster request with rosterSeq went out
+	tickedAt              time.Time
+	listedAt              time.Time // when the roster first named this agent
+	complete              bool
+	otherServing          int // other agents of the service that take new flows
+	otherAgents           int // other agents of the service
 }
 
 func newClaims(link *control.Link, self netip.AddrPort, cfg idempotency.Config) *claims {
@@ -56,14 +56,14 @@
 	}
 	elect := idempotency.NewElectorate(now, cfg)
 	return &claims{
-		link:      link,
-		self:      self,
-		cfg:       cfg,
-		freshness: freshness,
-		elect:     elect,
-		req:       idempotency.NewRequester(self, uint64(now.UnixNano()), elect, cfg, newRand()),
-		home:      idempotency.NewVoter(self, cfg),
-		waiting:   make(map[uint64]chan idempotency.Effect),
+		link:       link,
+		self:       self,
+		cfg:        cfg,
+		freshness:  freshness,
+		electorate: elect,
+		req:        idempotency.NewRequester(self, uint64(now.UnixNano()), elect, cfg, newRand()),
+		voter:      idempotency.NewVoter(self, cfg),
+		waiting:    make(map[uint64]chan idempotency.Effect),
 	}
 }
 
@@ -120,36 +120,36 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(time.Now())
-	c.settle()
+	c.runEffects()
 }
 
-// settle carries out effects until there are none. c.mu is held.
-func (c *claims) settle() {
+// runEffects carries out effects until there are none. c.mu is held.
+func (c *claims) runEffects() {
 	for {
 		c.effects = c.req.Effects(c.effects[:0])
 		if len(c.effects) == 0 {
 			return
 		}
 		for _, e := range c.effects {
-			c.carryOut(e)
+			c.runEffect(e)
 		}
 	}
 }
 
-func (c *claims) carryOut(e idempotency.Effect) {
+func (c *claims) runEffect(e idempotency.Effect) {
 	now := time.Now()
 	switch e.Kind {
 	case idempotency.SendClaim:
 		if e.To != c.self {
 			c.link.Send(seal.TopicClaim, e.To, e.Claim)
-		} else if c.home != nil {
-			c.req.Receive(now, c.self, c.home.Claim(now, e.Claim))
+		} else if c.voter != nil {
+			c.req.Receive(now, c.self, c.voter.Claim(now, e.Claim))
 		}
 	case idempotency.SendReport:
 		if e.To != c.self {
 			c.link.Send(seal.TopicReport, e.To, e.Report)
-		} else if c.home != nil {
-			c.home.Report(now, e.Report)
+		} else if c.voter != nil {
+			c.voter.Report(now, e.Report)
 		}
 	default:
 		if wait := c.waiting[e.ID]; wait != nil {
@@ -166,8 +166,8 @@
 		switch topic {
 		case seal.TopicClaim:
 			var m idempotency.Claim
-			if err = cbor.Unmarshal(b, &m); err == nil && c.home != nil {
-				c.link.Send(seal.TopicVote, from, c.home.Claim(now, m))
+			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
+				c.link.Send(seal.TopicVote, from, c.voter.Claim(now, m))
 			}
 		case seal.TopicVote:
 			var m idempotency.Vote
@@ -176,62 +176,62 @@
 			}
 		case seal.TopicReport:
 			var m idempotency.Report
-			if err = cbor.Unmarshal(b, &m); err == nil && c.home != nil {
-				c.home.Report(now, m)
+			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
+				c.voter.Report(now, m)
 			}
 		case seal.TopicRosterIs:
 			var m control.RosterAnswer
 			if err = cbor.Unmarshal(b, &m); err == nil {
-				c.takeRoster(now, m)
+				c.receiveMemberList(now, m)
 			}
 		}
 	})
 	return err == nil
 }
 
-// takeRoster takes in the answer to the newest request. The time that counts
+// receiveMemberList takes in the answer to the newest request. The time that counts
 // is the one at which the request went out: an answer may have lain in the
 // socket while this process was frozen.
-func (c *claims) takeRoster(now time.Time, m control.RosterAnswer) {
-	if m.Seq != c.rosterSeq {
+func (c *claims) receiveMemberList(now time.Time, m control.RosterAnswer) {
+	if m.Seq != c.memberListSeq {
 		return
 	}
 	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
 	for _, g := range m.Gone {
 		r.Departed = append(r.Departed, idempotency.DepartedMember{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
 	}
-	c.noteService(now, m)
-	c.elect.Update(now, r)
-	c.elect.Confirm(c.rosterSent)
-	if c.home != nil {
-		c.home.Update(now, r)
-		c.home.Confirm(c.rosterSent)
+	c.recordService(now, m)
+	c.electorate.Update(now, r)
+	c.electorate.Confirm(c.memberListRequestedAt)
+	if c.voter != nil {
+		c.voter.Update(now, r)
+		c.voter.Confirm(c.memberListRequestedAt)
 	}
 }
 
-func (c *claims) noteService(now time.Time, m control.RosterAnswer) {
+func (c *claims) recordService(now time.Time, m control.RosterAnswer) {
 	if !slices.Contains(m.Live, c.self) {
 		return
 	}
-	if c.named.IsZero() {
-		c.named = now
+	if c.listedAt.IsZero() {
+		c.listedAt = now
 	}
 	c.complete = m.Complete
-	c.live = len(m.Live) - 1
-	c.serving = int(m.Serving)
+	c.otherAgents = len(m.Live) - 1
+	c.otherServing = int(m.Serving)
 }
 
 // tick asks for the roster when that is due and drives the machines.
 func (c *claims) tick(balancer netip.AddrPort, service uint32) {
 	c.do(func(now time.Time) {
-		if now.Sub(c.rosterSent) >= c.freshness/rosterShare && balancer.IsValid() {
-			c.rosterSeq++
-			c.rosterSent = now
-			c.link.Send(seal.TopicRoster, balancer, control.RosterRequest{Service: service, Seq: c.rosterSeq})
+		if now.Sub(c.memberListRequestedAt) >= c.freshness/memberListRequestsPerFreshness && balancer.IsValid() {
+			c.memberListSeq++
+			c.memberListRequestedAt = now
+			c.link.Send(seal.TopicRoster, balancer, control.RosterRequest{Service: service, Seq: c.memberListSeq})
 		}
-		if c.home != nil && now.Sub(c.ticked) >= homeTick {
-			c.ticked = now
-			c.home.Tick(now)
+		if c.voter != nil && now.Sub(c.tickedAt) >= voterTickInterval {
+			c.tickedAt = now
+			c.voter.Tick(now)
 		}
 		c.req.Tick(now)
 	})
@@ -240,20 +240,20 @@
 // fenced reports whether this agent's start fence is still up: others count on
 // no vote of it yet. c.mu is held.
 func (c *claims) fenced(now time.Time) bool {
-	return c.named.IsZero() || now.Sub(c.named) <= c.cfg.Fence()
+	return c.listedAt.IsZero() || now.Sub(c.listedAt) <= c.cfg.Fence()
 }
 
-// settled reports whether the agent may take new flows: requests with keys can
+// acceptsFlows reports whether the agent may take new flows: requests with keys can
 // run here, or the service has just begun and has no agent that serves them
 // better. An agent added to a service at work must not draw flows whose
 // requests it has to refuse.
-func (c *claims) settled() bool {
+func (c *claims) acceptsFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.named.IsZero() {
+	if c.listedAt.IsZero() {
 		return false
 	}
-	atWork := c.live > 0 && 2*c.serving >= c.live
+	atWork := c.otherAgents > 0 && 2*c.otherServing >= c.otherAgents
 	return c.complete || !atWork || !c.fenced(time.Now())
 }
 
@@ -261,15 +261,15 @@
 func (c *claims) ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.home != nil && !c.fenced(time.Now())
+	return c.voter != nil && !c.fenced(time.Now())
 }
 
-// leave ends this agent's votes. It comes before the agent announces that it
+// stopVoting ends this agent's votes. It comes before the agent announces that it
 // leaves, so that whoever hears of that may stop counting it.
-func (c *claims) leave() {
+func (c *claims) stopVoting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.home = nil
+	c.voter = nil
 }
 
 // Values of HeaderOutcome for requests with a key.
--- a/internal/agent/contacts.go
+++ b/internal/agent/contacts.go
@@ -7,25 +7,25 @@
 	"github.com/hemlockscale/hemlockscale/internal/contact"
 )
 
-// contactSilence is how long all balancers must be silent before contact slots
+// contactTimeout is how long all balancers must be silent before contact slots
 // are read again.
-const contactSilence = 10 * time.Second
+const contactTimeout = 10 * time.Second
 
 // results is where outcomes of store calls come from; nil without a store.
-func (d *duty) results() <-chan contact.Result {
+func (d *controlLoop) results() <-chan contact.Result {
 	if d.contacts == nil {
 		return nil
 	}
 	return d.contacts.Results
 }
 
-// seekContacts reads contact slots until some balancer is known, and again when
+// readContacts reads contact slots until some balancer is known, and again when
 // all that are known have been silent for contactSilence.
-func (d *duty) seekContacts(ctx context.Context, now time.Time) {
+func (d *controlLoop) readContacts(ctx context.Context, now time.Time) {
 	if d.slots == nil {
 		return
 	}
-	if d.announcer != nil && now.Sub(d.announcer.LastAck()) > contactSilence {
+	if d.announcer != nil && now.Sub(d.announcer.LastAck()) > contactTimeout {
 		d.slots.RequestContacts(now)
 	}
 	if call, ok := d.slots.Next(now); ok {
@@ -33,8 +33,8 @@
 	}
 }
 
-// takeContact takes in a contact slot that was read.
-func (d *duty) takeContact(now time.Time, r contact.Result) {
+// receiveContact takes in a contact slot that was read.
+func (d *controlLoop) receiveContact(now time.Time, r contact.Result) {
 	d.slots.Done(now, d.contacts.Done(r))
 	d.seeds = append(d.slots.Contacts(), d.a.cfg.Seeds...)
 	if d.announcer != nil {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -15,39 +15,39 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-const controlTick = 50 * time.Millisecond
+const controlTickInterval = 50 * time.Millisecond
 
-// duty is the control duty: it keeps the catalogue entry, announces the agent
+// controlLoop is the control controlLoop: it keeps the catalogue entry, announces the agent
 // and judges the backend server. One goroutine runs it.
-type duty struct {
-	a         *Agent
-	link      *control.Link
-	announcer *membership.Announcer // nil until the entry is known
-	rng       *rand.Rand
-	leaves    chan struct{}
-
-	held     *catalogue.HeldEntry
-	slots    *membership.Slots // nil without a store
-	contacts *contact.Caller
-	seeds    []netip.AddrPort // of the settings and the contact slots
-	askedAt  time.Time
-	newer    netip.AddrPort // a balancer that has another version of the entry
-	turn     int            // of observers
-	health   chan bool
-	readyAt  time.Time // when the backend server became reachable; zero while it is not
-	settled  bool      // requests with idempotency keys can run here
-	left     bool
+type controlLoop struct {
+	a             *Agent
+	link          *control.Link
+	announcer     *membership.Announcer // nil until the entry is known
+	rng           *rand.Rand
+	leaveRequests chan struct{}
+
+	held           *catalogue.HeldEntry
+	slots          *membership.Slots // nil without a store
+	contacts       *contact.Caller
+	seeds          []netip.AddrPort // of the settings and the contact slots
+	requestedAt    time.Time
+	newerFrom      netip.AddrPort // a balancer that has another version of the entry
+	observerIndex  int            // of observers
+	health         chan bool
+	reachableSince time.Time // when the backend server became reachable; zero while it is not
+	acceptsFlows   bool      // requests with idempotency keys can run here
+	leaving        bool
 }
 
-func newDuty(a *Agent, link *control.Link) *duty {
-	d := &duty{
-		a:      a,
-		link:   link,
-		held:   catalogue.NewHeldEntry(a.cfg.Service),
-		rng:    newRand(),
-		leaves: make(chan struct{}, 1),
-		health: make(chan bool, 1),
-		seeds:  a.cfg.Seeds,
+func newControlLoop(a *Agent, link *control.Link) *controlLoop {
+	d := &controlLoop{
+		a:             a,
+		link:          link,
+		held:          catalogue.NewHeldEntry(a.cfg.Service),
+		rng:           newRand(),
+		leaveRequests: make(chan struct{}, 1),
+		health:        make(chan bool, 1),
+		seeds:         a.cfg.Seeds,
 	}
 	if a.cfg.Store != nil {
 		d.contacts = contact.NewCaller(a.cfg.Store)
@@ -57,68 +57,68 @@
 }
 
 // leave makes the duty announce that the agent leaves.
-func (d *duty) leave() {
+func (d *controlLoop) leave() {
 	select {
-	case d.leaves <- struct{}{}:
+	case d.leaveRequests <- struct{}{}:
 	default: // announced already
 	}
 }
 
-func (d *duty) run(ctx context.Context) {
+func (d *controlLoop) run(ctx context.Context) {
 	go d.watchBackend(ctx)
-	tick := time.NewTicker(controlTick)
+	tick := time.NewTicker(controlTickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case m := <-d.a.conn.control:
 			d.receive(time.Now(), m)
 		case up := <-d.health:
-			d.judge(time.Now(), up)
-		case <-d.leaves:
-			d.left = true
-			d.a.claims.leave()
+			d.setBackendReachable(time.Now(), up)
+		case <-d.leaveRequests:
+			d.leaving = true
+			d.a.claims.stopVoting()
 			d.announceState(time.Now())
 		case r := <-d.results():
-			d.takeContact(time.Now(), r)
+			d.receiveContact(time.Now(), r)
 		case now := <-tick.C:
-			d.seekContacts(ctx, now)
+			d.readContacts(ctx, now)
 			d.tick(now)
 		case <-ctx.Done():
 			return
 		}
-		d.flush()
+		d.sendOutbox()
 	}
 }
 
-func (d *duty) tick(now time.Time) {
-	d.askEntry(now)
+func (d *controlLoop) tick(now time.Time) {
+	d.requestEntry(now)
 	if d.announcer == nil {
 		return
 	}
-	if !d.readyAt.IsZero() {
-		d.announcer.SetWeight(now, d.a.cfg.Ramp.Weight(now.Sub(d.readyAt)))
+	if !d.reachableSince.IsZero() {
+		d.announcer.SetWeight(now, d.a.cfg.Ramp.Weight(now.Sub(d.reachableSince)))
 	}
 	d.announcer.Tick(now)
-	d.a.claims.tick(d.observer(), d.a.entry.Load().Number)
+	d.a.claims.tick(d.nextObserver(), d.a.entry.Load().Number)
 	d.a.metrics.keysReady.Set(boolValue(d.a.claims.ready()))
-	if !d.settled && d.a.claims.settled() {
-		d.settled = true
+	if !d.acceptsFlows && d.a.claims.acceptsFlows() {
+		d.acceptsFlows = true
 		d.announceState(now)
 	}
 }
 
-// observer returns the balancers that this agent reports to in turn, so that
+// nextObserver returns the balancers that this agent reports to in turn, so that
 // one that died spoils no two requests in a row.
-func (d *duty) observer() netip.AddrPort {
+func (d *controlLoop) nextObserver() netip.AddrPort {
 	observers := d.announcer.Observers()
 	if len(observers) == 0 {
 		return netip.AddrPort{}
 	}
-	d.turn++
-	return observers[d.turn%len(observers)]
+	d.observerIndex++
+	return observers[d.observerIndex%len(observers)]
 }
 
-func (d *duty) flush() {
+func (d *controlLoop) sendOutbox() {
 	if d.announcer == nil {
 		return
 	}
@@ -132,10 +132,10 @@
 	}
 }
 
-func (d *duty) receive(now time.Time, m control.Datagram) {
+func (d *controlLoop) receive(now time.Time, m control.Datagram) {
 	topic, b, ok := d.link.Open(m)
 	if !ok {
-		d.a.metrics.controlBad.Inc()
+		d.a.metrics.controlRejected.Inc()
 		return
 	}
 	switch topic {
@@ -145,28 +145,28 @@
 		d.receiveEntry(now, b)
 	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicRosterIs:
 		if !d.a.claims.receive(topic, m.From, b) {
-			d.a.metrics.controlBad.Inc()
+			d.a.metrics.controlRejected.Inc()
 		}
 	default:
-		d.a.metrics.controlBad.Inc()
+		d.a.metrics.controlRejected.Inc()
 	}
 }
 
-func (d *duty) receiveMembership(now time.Time, from netip.AddrPort, b []byte) {
+func (d *controlLoop) receiveMembership(now time.Time, from netip.AddrPort, b []byte) {
 	msg, err := membership.Decode(b)
 	if err != nil {
-		d.a.metrics.controlBad.Inc()
+		d.a.metrics.controlRejected.Inc()
 		return
 	}
 	if d.announcer != nil {
 		d.announcer.Receive(now, from, msg)
 		if msg.Kind == membership.KindAck {
-			d.hearVersion(from, msg.EntryVersion)
+			d.receiveVersion(from, msg.EntryVersion)
 		}
 	}
 }
 
-func (d *duty) startAnnouncing(now time.Time) {
+func (d *controlLoop) startAnnouncing(now time.Time) {
 	cfg := d.a.cfg
 	announcer, err := membership.NewAnnouncer(membership.AnnouncerConfig{
 		Self: membership.Record{
@@ -191,17 +191,17 @@
 }
 
 // announceState announces what the agent can do now.
-func (d *duty) announceState(now time.Time) {
+func (d *controlLoop) announceState(now time.Time) {
 	if d.announcer == nil {
 		return
 	}
 	state := membership.StateReady
 	switch {
-	case d.left:
+	case d.leaving:
 		state = membership.StateLeaving
-	case !d.settled:
+	case !d.acceptsFlows:
 		state = membership.StateStarting
-	case d.readyAt.IsZero():
+	case d.reachableSince.IsZero():
 		state = membership.StateDraining
 	}
 	d.announcer.SetState(now, state)
--- a/internal/agent/copybuffer.go
+++ b/internal/agent/copybuffer.go
@@ -3,13 +3,13 @@
 import "sync"
 
 const (
-	smallCopy = 2 << 10
-	largeCopy = 32 << 10
+	smallCopySize = 2 << 10
+	largeCopySize = 32 << 10
 )
 
 var (
-	smallCopies = sync.Pool{New: func() any { b := make([]byte, smallCopy); return &b }}
-	largeCopies = sync.Pool{New: func() any { b := make([]byte, largeCopy); return &b }}
+	smallBuffers = sync.Pool{New: func() any { b := make([]byte, smallCopySize); return &b }}
+	largeBuffers = sync.Pool{New: func() any { b := make([]byte, largeCopySize); return &b }}
 )
 
 // copyBuffer is the memory that an answer is copied through. It begins small
@@ -25,16 +25,16 @@
 func (c *copyBuffer) next() []byte {
 	switch {
 	case c.b == nil:
-		c.b = smallCopies.Get().(*[]byte)
-	case c.full && len(*c.b) == smallCopy:
-		smallCopies.Put(c.b)
-		c.b = largeCopies.Get().(*[]byte)
+		c.b = smallBuffers.Get().(*[]byte)
+	case c.full && len(*c.b) == smallCopySize:
+		smallBuffers.Put(c.b)
+		c.b = largeBuffers.Get().(*[]byte)
 	}
 	return *c.b
 }
 
-// took returns the n bytes that the last read brought.
-func (c *copyBuffer) took(n int) []byte {
+// filled returns the n bytes that the last read brought.
+func (c *copyBuffer) filled(n int) []byte {
 	c.full = n == len(*c.b)
 	return (*c.b)[:n]
 }
@@ -44,9 +44,9 @@
 	if c.b == nil {
 		return
 	}
-	pool := &largeCopies
-	if len(*c.b) == smallCopy {
-		pool = &smallCopies
+	pool := &largeBuffers
+	if len(*c.b) == smallCopySize {
+		pool = &smallBuffers
 	}
 	pool.Put(c.b)
 	c.b = nil
--- a/internal/agent/copybuffer_test.go
+++ b/internal/agent/copybuffer_test.go
@@ -6,17 +6,17 @@
 	var c copyBuffer
 	defer c.free()
 	for range 3 {
-		if n := len(c.next()); n != smallCopy {
-			t.Fatalf("%d bytes of room, want %d", n, smallCopy)
+		if n := len(c.next()); n != smallCopySize {
+			t.Fatalf("%d bytes of room, want %d", n, smallCopySize)
 		}
-		c.took(smallCopy - 1)
+		c.filled(smallCopySize - 1)
 	}
-	c.took(smallCopy)
-	if n := len(c.next()); n != largeCopy {
-		t.Fatalf("%d bytes of room after a full read, want %d", n, largeCopy)
+	c.filled(smallCopySize)
+	if n := len(c.next()); n != largeCopySize {
+		t.Fatalf("%d bytes of room after a full read, want %d", n, largeCopySize)
 	}
-	c.took(1)
-	if n := len(c.next()); n != largeCopy {
-		t.Fatalf("%d bytes of room, want %d still", n, largeCopy)
+	c.filled(1)
+	if n := len(c.next()); n != largeCopySize {
+		t.Fatalf("%d bytes of room, want %d still", n, largeCopySize)
 	}
 }
--- a/internal/agent/entry.go
+++ b/internal/agent/entry.go
@@ -9,52 +9,52 @@
 	"github.com/hemlockscale/hemlockscale/internal/seal"
 )
 
-// entryRetry is the least time between two requests for the entry.
-const entryRetry = 250 * time.Millisecond
+// entryRequestInterval is the least time between two requests for the entry.
+const entryRequestInterval = 250 * time.Millisecond
 
 // offerEntry gives this agent's entry to a balancer that has no catalogue, as
 // after a restart of all balancers while the store is down: the agents' entries
 // are then all that is left of it.
-func (d *duty) offerEntry(to netip.AddrPort) {
+func (d *controlLoop) offerEntry(to netip.AddrPort) {
 	if m, ok := d.held.Offer(); ok {
 		d.link.SendBytes(seal.TopicCatalogue, to, m.Encode())
 	}
 }
 
-// askEntry asks for the catalogue entry until it is known, and again once an
+// requestEntry asks for the catalogue entry until it is known, and again once an
 // ack has told of another version.
-func (d *duty) askEntry(now time.Time) {
-	if now.Sub(d.askedAt) < entryRetry {
+func (d *controlLoop) requestEntry(now time.Time) {
+	if now.Sub(d.requestedAt) < entryRequestInterval {
 		return
 	}
-	to := d.newer
-	d.newer = netip.AddrPort{}
+	to := d.newerFrom
+	d.newerFrom = netip.AddrPort{}
 	if d.announcer == nil && len(d.seeds) > 0 {
 		to = d.seeds[d.rng.IntN(len(d.seeds))]
 	}
 	if !to.IsValid() {
 		return
 	}
-	d.askedAt = now
+	d.requestedAt = now
 	d.link.SendBytes(seal.TopicCatalogue, to, d.held.Request().Encode())
 }
 
-// hearVersion takes in what an ack says of this agent's entry. Asking only when
+// receiveVersion takes in what an ack says of this agent's entry. Asking only when
 // the entry changed keeps agents from asking at each of the fleet's edits.
-func (d *duty) hearVersion(from netip.AddrPort, version uint64) {
+func (d *controlLoop) receiveVersion(from netip.AddrPort, version uint64) {
 	held, _ := d.held.Entry()
 	switch {
 	case version == control.NoCatalogue:
 		d.offerEntry(from)
 	case version == control.NoEntry || version > held.Version:
-		d.newer = from
+		d.newerFrom = from
 	}
 }
 
-func (d *duty) receiveEntry(now time.Time, b []byte) {
+func (d *controlLoop) receiveEntry(now time.Time, b []byte) {
 	m, err := catalogue.DecodeMessage(b)
 	if err != nil {
-		d.a.metrics.controlBad.Inc()
+		d.a.metrics.controlRejected.Inc()
 		return
 	}
 	changed := d.held.Receive(m)
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -19,46 +19,46 @@
 // flows decides which new flows this agent keeps. place is called by the receive
 // duty alone, load by any goroutine, update and ended under the gate's lock.
 type flows struct {
-	self    netip.AddrPort
-	decider *placement.Decider
-	packet  quicwire.Packet
-	meter   placement.Meter
-	busy    prometheus.Gauge
-	conns   atomic.Int64 // limit of the catalogue entry
-	level   atomic.Uint32
-	step    atomic.Uint32 // what one more request would add to level
-	fresh   freshFlows
-	leaving atomic.Bool
+	self           netip.AddrPort
+	decider        *placement.Decider
+	packet         quicwire.Packet
+	meter          placement.Meter
+	busy           prometheus.Gauge
+	maxConnections atomic.Int64 // limit of the catalogue entry
+	level          atomic.Uint32
+	perRequest     atomic.Uint32 // what one more request would add to level
+	recent         recentFlows
+	leaving        atomic.Bool
 }
 
-// freshTime is how long a flow that was kept counts as one request. After that
+// recentPeriod is how long a flow that was kept counts as one request. After that
 // its requests count by themselves.
-const freshTime = 250 * time.Millisecond
+const recentPeriod = 250 * time.Millisecond
 
-// freshFlows counts the flows kept in the last freshTime. A flow has no request
+// recentFlows counts the flows kept in the last freshTime. A flow has no request
 // until its handshake is over; without the count an agent that callers turn to
 // all at once looks idle to each of them, and flows stay where they were placed.
-type freshFlows struct {
-	at        atomic.Int64 // beginning of the present period, Unix nanoseconds
-	now, past atomic.Int64 // flows kept in the present period and the one before
+type recentFlows struct {
+	periodStart       atomic.Int64 // beginning of the present period, Unix nanoseconds
+	current, previous atomic.Int64 // flows kept in the present period and the one before
 }
 
-// turn begins a new period when the present one is over. One goroutine calls it.
-func (f *freshFlows) turn(now time.Time) {
-	if now.UnixNano()-f.at.Load() < int64(freshTime) {
+// rotate begins a new period when the present one is over. One goroutine calls it.
+func (f *recentFlows) rotate(now time.Time) {
+	if now.UnixNano()-f.periodStart.Load() < int64(recentPeriod) {
 		return
 	}
-	f.at.Store(now.UnixNano())
-	f.past.Store(f.now.Swap(0))
+	f.periodStart.Store(now.UnixNano())
+	f.previous.Store(f.current.Swap(0))
 }
 
-func (f *freshFlows) count() int64 { return f.now.Load() + f.past.Load() }
+func (f *recentFlows) count() int64 { return f.current.Load() + f.previous.Load() }
 
 func newFlows(g *gate, self netip.AddrPort, m *metrics) *flows {
 	f := &flows{self: self, busy: m.busySlots, decider: placement.NewDecider(rand.Uint64(), placement.DeciderOptions{})}
-	f.conns.Store(catalogue.DefaultConnections)
-	g.changed = f.update
-	g.ended = f.ended
+	f.maxConnections.Store(catalogue.DefaultConnections)
+	g.onLoad = f.updateLoad
+	g.onOutcome = f.recordOutcome
 	return f
 }
 
@@ -77,7 +77,7 @@
 	other := placement.Alternate{Addr: h.Alternate, Occupancy: placement.Occupancy(h.Load)}
 	d := f.decider.Decide(now, f.packet.ID, own, other, h.Flags&frame.FlagAlternate != 0)
 	if !d.Forward {
-		f.fresh.now.Add(1)
+		f.recent.current.Add(1)
 		return netip.AddrPort{}, false
 	}
 	if h.Flags&frame.FlagHandedOn != 0 {
@@ -90,26 +90,26 @@
 	return d.To, true
 }
 
-// update takes in the gate's counts after each change of them.
-func (f *flows) update(now time.Time, l admission.Load) {
+// updateLoad takes in the gate's counts after each change of them.
+func (f *flows) updateLoad(now time.Time, l admission.Load) {
 	usage := placement.Usage{
 		SlotsBusy:      l.Slots,
 		Slots:          l.Limit,
 		Queue:          l.Queued,
 		Connections:    l.Connections,
-		MaxConnections: int(f.conns.Load()),
+		MaxConnections: int(f.maxConnections.Load()),
 		Draining:       l.Draining,
 	}
 	f.busy.Set(float64(l.Slots))
 	f.level.Store(uint32(f.meter.Occupancy(now, usage)))
-	f.fresh.turn(now)
+	f.recent.rotate(now)
 	more := usage
 	more.Queue++
-	f.step.Store(uint32(max(1, int(more.Occupancy())-int(usage.Occupancy()))))
+	f.perRequest.Store(uint32(max(1, int(more.Occupancy())-int(usage.Occupancy()))))
 }
 
-// ended takes in how the backend server ended a request.
-func (f *flows) ended(now time.Time, o admission.Outcome) {
+// recordOutcome takes in how the backend server recordOutcome a request.
+func (f *flows) recordOutcome(now time.Time, o admission.Outcome) {
 	if o == admission.Canceled {
 		return // it says nothing of the backend server
 	}
@@ -124,7 +124,7 @@
 	if level == int64(placement.Full) {
 		return placement.Full
 	}
-	level += f.fresh.count() * int64(f.step.Load())
+	level += f.recent.count() * int64(f.perRequest.Load())
 	return placement.Occupancy(min(level, int64(placement.Full)-1))
 }
 
--- a/internal/agent/flows_test.go
+++ b/internal/agent/flows_test.go
@@ -44,14 +44,14 @@
 // the most.
 func TestFreshFlowsAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var f freshFlows
-	f.turn(now)
-	f.now.Add(3)
-	f.turn(now.Add(freshTime))
+	var f recentFlows
+	f.rotate(now)
+	f.current.Add(3)
+	f.rotate(now.Add(recentPeriod))
 	if f.count() != 3 {
 		t.Errorf("count %d after one period", f.count())
 	}
-	f.turn(now.Add(2 * freshTime))
+	f.rotate(now.Add(2 * recentPeriod))
 	if f.count() != 0 {
 		t.Errorf("count %d after two periods", f.count())
 	}
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -8,22 +8,22 @@
 	"github.com/hemlockscale/hemlockscale/admission"
 )
 
-// gateTick is how often waiting requests are looked at again.
-const gateTick = 20 * time.Millisecond
+// gateTickInterval is how often waiting requests are looked at again.
+const gateTickInterval = 20 * time.Millisecond
 
 // gate lets goroutines wait for the decisions of an admission.Controller.
 type gate struct {
-	mu      sync.Mutex
-	ctrl    *admission.Controller
-	nextID  uint64
-	budget  admission.Budget
-	waiting map[uint64]chan admission.Effect
-	effects []admission.Effect
-	changed func(time.Time, admission.Load)    // told the counts after each change of them
-	ended   func(time.Time, admission.Outcome) // told how each request ended
-	open    int                                // requests between enter and the end of their permit
-	idle    chan struct{}                      // closed once draining and open is 0
-	drains  bool
+	mu        sync.Mutex
+	ctrl      *admission.Controller
+	nextID    uint64
+	budget    admission.Budget
+	waiting   map[uint64]chan admission.Effect
+	effects   []admission.Effect
+	onLoad    func(time.Time, admission.Load)    // told the counts after each change of them
+	onOutcome func(time.Time, admission.Outcome) // told how each request ended
+	open      int                                // requests between enter and the end of their permit
+	idle      chan struct{}                      // closed once draining and open is 0
+	draining  bool
 }
 
 func newGate(cfg admission.Config) *gate {
@@ -41,8 +41,8 @@
 	once sync.Once
 }
 
-// opened tells that the answer's header came.
-func (p *permit) opened() {
+// headerReceived tells that the answer's header came.
+func (p *permit) headerReceived() {
 	p.gate.do(func(c *admission.Controller, now time.Time) { c.Opened(now, p.id) })
 }
 
@@ -51,11 +51,11 @@
 	p.once.Do(func() {
 		p.gate.do(func(c *admission.Controller, now time.Time) {
 			c.Done(now, p.id, r)
-			if p.gate.ended != nil {
-				p.gate.ended(now, r.Outcome)
+			if p.gate.onOutcome != nil {
+				p.gate.onOutcome(now, r.Outcome)
 			}
 		})
-		p.gate.leave()
+		p.gate.requestEnded()
 	})
 }
 
@@ -79,7 +79,7 @@
 	case admission.Admitted:
 		return &permit{gate: g, id: r.ID}, nil
 	case admission.Refused:
-		g.leave()
+		g.requestEnded()
 		return nil, d.Refusal
 	}
 	return g.await(ctx, r.ID, wait)
@@ -89,7 +89,7 @@
 	select {
 	case e := <-wait:
 		if e.Kind == admission.Refuse {
-			g.leave()
+			g.requestEnded()
 			return nil, e.Refusal
 		}
 		return &permit{gate: g, id: id}, nil
@@ -108,20 +108,20 @@
 			c.Done(now, id, admission.Result{Outcome: admission.Canceled})
 		}
 	})
-	g.leave()
+	g.requestEnded()
 }
 
-// leave counts the end of an open request.
-func (g *gate) leave() {
+// requestEnded counts the end of an open request.
+func (g *gate) requestEnded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open--
-	g.noteIdle()
+	g.signalIdle()
 }
 
-// noteIdle tells the drain when the last open request has ended. g.mu is held.
-func (g *gate) noteIdle() {
-	if !g.drains || g.open > 0 {
+// signalIdle tells the drain when the last open request has ended. g.mu is held.
+func (g *gate) signalIdle() {
+	if !g.draining || g.open > 0 {
 		return
 	}
 	select {
@@ -147,15 +147,15 @@
 			wait <- e
 		}
 	}
-	if g.changed != nil {
+	if g.onLoad != nil {
 		now := time.Now()
-		g.changed(now, g.ctrl.Load(now))
+		g.onLoad(now, g.ctrl.Load(now))
 	}
 }
 
 // tick is the duty that lets waiting requests meet their deadlines.
 func (g *gate) tick(ctx context.Context) {
-	t := time.NewTicker(gateTick)
+	t := time.NewTicker(gateTickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -167,15 +167,15 @@
 	}
 }
 
-// offered counts a request's first attempt.
-func (g *gate) offered() {
+// countAttempt counts a request's first attempt.
+func (g *gate) countAttempt() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget.Offered()
 }
 
-// retry reports whether a request may be attempted once more.
-func (g *gate) retry(r admission.Request) bool {
+// allowRetry reports whether a request may be attempted once more.
+func (g *gate) allowRetry(r admission.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -186,8 +186,8 @@
 func (g *gate) drain(ctx context.Context) {
 	g.do(func(c *admission.Controller, _ time.Time) {
 		c.Drain()
-		g.drains = true
-		g.noteIdle()
+		g.draining = true
+		g.signalIdle()
 	})
 	select {
 	case <-g.idle:
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -81,7 +81,7 @@
 	}
 	resp, err := h.call(ctx, r, request)
 	if err != nil {
-		failed := callFailed(err)
+		failed := asCallError(err)
 		claim.finish(stateOfFailure(failed), 0)
 		outcome, fault := h.callFault(r, failed)
 		permit.done(admission.Result{Outcome: outcome})
@@ -91,9 +91,9 @@
 	defer resp.Body.Close()
 	header.stop()
 	claim.finish(stateOfAnswer(resp), resp.StatusCode)
-	permit.opened()
+	permit.headerReceived()
 	h.answer(w, resp)
-	permit.done(result(resp))
+	permit.done(admissionResult(resp))
 }
 
 // call sends a request to the backend server. A safe one that got no answer,
@@ -101,16 +101,16 @@
 // the retry budget allows: without a budget a backend server that fails would
 // get twice its load at the worst time.
 func (h *handler) call(ctx context.Context, r *http.Request, request admission.Request) (*http.Response, error) {
-	h.gate.offered()
-	resp, err := h.backend.do(ctx, r, outHeader(r, request.Deadline))
+	h.gate.countAttempt()
+	resp, err := h.backend.do(ctx, r, backendHeader(r, request.Deadline))
 	if err == nil || ctx.Err() != nil || !safeMethod(r.Method) || r.ContentLength > 0 {
 		return resp, err
 	}
-	if !h.gate.retry(request) {
+	if !h.gate.allowRetry(request) {
 		return nil, err
 	}
 	h.metrics.retries.Inc()
-	return h.backend.do(ctx, r, outHeader(r, request.Deadline))
+	return h.backend.do(ctx, r, backendHeader(r, request.Deadline))
 }
 
 // claim asks for the right to run a non-idempotent request with a key. A
@@ -134,13 +134,13 @@
 // stateOfAnswer tells whether an answered request ran. A backend server that
 // refuses and says when to come back did not run it, and a repeat may.
 func stateOfAnswer(resp *http.Response) idempotency.State {
-	if shed(resp) && resp.Header.Get("Retry-After") != "" {
+	if isShed(resp) && resp.Header.Get("Retry-After") != "" {
 		return idempotency.Released
 	}
 	return idempotency.Done
 }
 
-func shed(resp *http.Response) bool {
+func isShed(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 }
 
@@ -212,7 +212,7 @@
 // hopHeaders are the headers that concern one connection only (RFC 9110, 7.6.1).
 var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-func outHeader(r *http.Request, deadline time.Time) http.Header {
+func backendHeader(r *http.Request, deadline time.Time) http.Header {
 	out := r.Header.Clone()
 	for _, name := range hopHeaders {
 		out.Del(name)
@@ -255,7 +255,7 @@
 	for {
 		n, err := body.Read(buf.next())
 		if n > 0 {
-			if _, werr := w.Write(buf.took(n)); werr != nil {
+			if _, werr := w.Write(buf.filled(n)); werr != nil {
 				return werr
 			}
 			if flush {
@@ -271,9 +271,9 @@
 	}
 }
 
-// result tells the controller how the backend server took a request.
-func result(resp *http.Response) admission.Result {
-	if !shed(resp) {
+// admissionResult tells the controller how the backend server took a request.
+func admissionResult(resp *http.Response) admission.Result {
+	if !isShed(resp) {
 		return admission.Result{Outcome: admission.OK}
 	}
 	seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
@@ -315,15 +315,15 @@
 	return &Fault{Status: status, Outcome: OutcomeNotRun, Reason: r.Reason.String(), Remedy: r.Error(), RetryAfter: r.RetryAfter}
 }
 
-// comeBackNoBackend is when to come back after the backend server took no byte.
-const comeBackNoBackend = time.Second
+// noBackendRetryAfter is when to come back after the backend server took no byte.
+const noBackendRetryAfter = time.Second
 
 // callFault is the answer to a request that the backend server did not answer.
 func (h *handler) callFault(r *http.Request, e *CallError) (admission.Outcome, *Fault) {
 	if !e.Sent {
 		return admission.Failed, &Fault{
 			Status: http.StatusServiceUnavailable, Outcome: OutcomeNotRun, Reason: "no_backend",
-			Remedy: e.Error(), RetryAfter: comeBackNoBackend,
+			Remedy: e.Error(), RetryAfter: noBackendRetryAfter,
 		}
 	}
 	f := &Fault{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: "no_answer", Remedy: e.Error()}
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -17,8 +17,8 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// served is a handler before a backend server.
-func served(t *testing.T, backendURL string) *handler {
+// newTestHandler is a handler before a backend server.
+func newTestHandler(t *testing.T, backendURL string) *handler {
 	t.Helper()
 	u, err := url.Parse(backendURL)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return h
 }
 
-func ask(h *handler, method, path string, body io.Reader) *httptest.ResponseRecorder {
+func serve(h *handler, method, path string, body io.Reader) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, "https://listing"+path, body)
 	r.Header.Set("Accept", "*/*")
@@ -77,10 +77,10 @@
 // each request is sent again. Cause: retries without a budget.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	url, requests := closingServer(t)
-	h := served(t, url)
+	h := newTestHandler(t, url)
 	const offered = 200
 	for range offered {
-		if w := ask(h, http.MethodGet, "/card/1", nil); w.Code != http.StatusBadGateway {
+		if w := serve(h, http.MethodGet, "/card/1", nil); w.Code != http.StatusBadGateway {
 			t.Fatalf("status %d", w.Code)
 		}
 	}
@@ -106,13 +106,13 @@
 		}
 	}))
 	t.Cleanup(server.Close)
-	h := served(t, server.URL)
-	ask(h, http.MethodGet, "/warm", nil) // leaves a connection to be used again
+	h := newTestHandler(t, server.URL)
+	serve(h, http.MethodGet, "/warm", nil) // leaves a connection to be used again
 	r := httptest.NewRequest(http.MethodPost, "https://listing/reserve", http.NoBody)
 	r.Header.Set(HeaderKey, "key-1")
 	r.ContentLength = 0
 	_, err := h.backend.do(t.Context(), r, r.Header)
-	if e := callFailed(err); err == nil || !e.Sent {
+	if e := asCallError(err); err == nil || !e.Sent {
 		t.Errorf("error %v", err)
 	}
 	if n := runs.Load(); n != 1 {
@@ -128,8 +128,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	h := served(t, "http://"+ln.Addr().String())
-	w := ask(h, http.MethodPost, "/reserve", strings.NewReader("part"))
+	h := newTestHandler(t, "http://"+ln.Addr().String())
+	w := serve(h, http.MethodPost, "/reserve", strings.NewReader("part"))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderOutcome) != OutcomeNotRun || w.Header().Get("Retry-After") == "" {
 		t.Errorf("status %d header %v", w.Code, w.Header())
 	}
@@ -145,7 +145,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
-	h := served(t, server.URL)
+	h := newTestHandler(t, server.URL)
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "https://listing/reserve", strings.NewReader("part"))
 	r.Header.Set(HeaderTimeout, "200")
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -3,20 +3,20 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	strangers       prometheus.Counter
-	foreign         prometheus.Counter
-	handedOn        prometheus.Counter
-	noWay           prometheus.Counter
-	sendErrors      prometheus.Counter
-	dataOverflow    prometheus.Counter
-	controlOverflow prometheus.Counter
-	controlBad      prometheus.Counter
-	connections     prometheus.Gauge
-	busySlots       prometheus.Gauge
-	keysReady       prometheus.Gauge
-	retries         prometheus.Counter
-	requests        *prometheus.CounterVec
-	refusals        *prometheus.CounterVec
+	unknownDatagrams prometheus.Counter
+	foreignPackets   prometheus.Counter
+	forwarded        prometheus.Counter
+	noReturnPath     prometheus.Counter
+	sendErrors       prometheus.Counter
+	dataOverflow     prometheus.Counter
+	controlOverflow  prometheus.Counter
+	controlRejected  prometheus.Counter
+	connections      prometheus.Gauge
+	busySlots        prometheus.Gauge
+	keysReady        prometheus.Gauge
+	retries          prometheus.Counter
+	requests         *prometheus.CounterVec
+	refusals         *prometheus.CounterVec
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
@@ -36,19 +36,19 @@
 		return v
 	}
 	return &metrics{
-		strangers:       counter("strange_datagrams_total", "Datagrams that no process of the fleet sent."),
-		foreign:         counter("foreign_packets_total", "Packets for another service, dropped."),
-		handedOn:        counter("handed_on_total", "First packets handed on to another agent."),
-		noWay:           counter("no_way_back_total", "Packets for callers whose path is not known."),
-		sendErrors:      counter("send_errors_total", "Datagrams that the kernel refused to send."),
-		dataOverflow:    counter("data_overflow_total", "Caller packets dropped because the data ring was full."),
-		controlOverflow: counter("control_overflow_total", "Control datagrams dropped because the control ring was full."),
-		controlBad:      counter("control_rejected_total", "Control datagrams that could not be opened or read."),
-		connections:     gauge("connections", "Open caller connections."),
-		busySlots:       gauge("busy_slots", "Requests at work on the backend server."),
-		keysReady:       gauge("keys_ready", "1 when requests with idempotency keys can run here."),
-		retries:         counter("retries_total", "Requests sent to the backend server a second time."),
-		requests:        vec("requests_total", "Requests by outcome.", "outcome"),
-		refusals:        vec("refusals_total", "Requests refused before anything was sent to the backend server, by reason.", "reason"),
+		unknownDatagrams: counter("strange_datagrams_total", "Datagrams that no process of the fleet sent."),
+		foreignPackets:   counter("foreign_packets_total", "Packets for another service, dropped."),
+		forwarded:        counter("handed_on_total", "First packets handed on to another agent."),
+		noReturnPath:     counter("no_way_back_total", "Packets for callers whose path is not known."),
+		sendErrors:       counter("send_errors_total", "Datagrams that the kernel refused to send."),
+		dataOverflow:     counter("data_overflow_total", "Caller packets dropped because the data ring was full."),
+		controlOverflow:  counter("control_overflow_total", "Control datagrams dropped because the control ring was full."),
+		controlRejected:  counter("control_rejected_total", "Control datagrams that could not be opened or read."),
+		connections:      gauge("connections", "Open caller connections."),
+		busySlots:        gauge("busy_slots", "Requests at work on the backend server."),
+		keysReady:        gauge("keys_ready", "1 when requests with idempotency keys can run here."),
+		retries:          counter("retries_total", "Requests sent to the backend server a second time."),
+		requests:         vec("requests_total", "Requests by outcome.", "outcome"),
+		refusals:         vec("refusals_total", "Requests refused before anything was sent to the backend server, by reason.", "reason"),
 	}
 }
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// dataRing is how many caller packets may wait for QUIC. When it is full
+	// dataQueueSize is how many caller packets may wait for QUIC. When it is full
 	// the newest is dropped and counted: QUIC recovers from loss and slows
 	// its sender down, while blocking would hold up control datagrams.
-	dataRing = 4096
-	// controlRing is the same for control datagrams; their protocols repeat.
-	controlRing = 256
+	dataQueueSize = 4096
+	// controlQueueSize is the same for control datagrams; their protocols repeat.
+	controlQueueSize = 256
 )
 
-// arrival is a caller packet for QUIC.
-type arrival struct {
+// callerPacket is a caller packet for QUIC.
+type callerPacket struct {
 	data *[udp.MaxDatagram]byte
 	n    int
 	from *net.UDPAddr
@@ -47,10 +47,10 @@
 	policy  firstPacketPolicy
 	service atomic.Uint32 // 0 until the catalogue entry is known
 	metrics *metrics
-	marks   *flowMarks // nil when tracing is off
+	traced  *tracedFlows // nil when tracing is off
 
-	in      *frame.Codec // of the receive duty
-	data    chan arrival
+	decoder *frame.Codec // of the receive duty
+	data    chan callerPacket
 	control chan control.Datagram
 	buffers sync.Pool
 	writers sync.Pool
@@ -79,9 +79,9 @@
 		paths:   newPaths(),
 		policy:  policy,
 		metrics: m,
-		in:      in,
-		data:    make(chan arrival, dataRing),
-		control: make(chan control.Datagram, controlRing),
+		decoder: in,
+		data:    make(chan callerPacket, dataQueueSize),
+		control: make(chan control.Datagram, controlQueueSize),
 		closed:  make(chan struct{}),
 		expired: make(chan struct{}),
 	}
@@ -106,44 +106,44 @@
 		}
 		now := time.Now()
 		for i := range n {
-			c.take(r, w, i, &h, now)
+			c.receiveDatagram(r, w, i, &h, now)
 		}
 		w.Flush()
 	}
 }
 
-func (c *packetConn) take(r *udp.Reader, w *udp.Writer, i int, h *frame.Header, now time.Time) {
+func (c *packetConn) receiveDatagram(r *udp.Reader, w *udp.Writer, i int, h *frame.Header, now time.Time) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
-		c.passControl(r.Source(i), b)
+		c.queueControl(r.Source(i), b)
 		return
 	}
-	if r.Truncated(i) || !c.in.Get(b, h) || h.Kind != frame.KindForward {
-		c.metrics.strangers.Inc()
+	if r.Truncated(i) || !c.decoder.Get(b, h) || h.Kind != frame.KindForward {
+		c.metrics.unknownDatagrams.Inc()
 		return
 	}
 	// After a restart another service's agent may hold this address, and a
 	// balancer with an old roster still sends here what was meant for it.
 	if h.Service != c.service.Load() {
-		c.metrics.foreign.Inc()
+		c.metrics.foreignPackets.Inc()
 		return
 	}
 	packet := b[frame.Len:]
 	if h.Flags&frame.FlagFirst != 0 {
 		if to, elsewhere := c.policy.place(h, packet); elsewhere {
-			c.in.Put(b, h)
+			c.decoder.Put(b, h)
 			w.Add(b, to, netip.Addr{})
-			c.metrics.handedOn.Inc()
+			c.metrics.forwarded.Inc()
 			return
 		}
 	}
-	c.marks.note(h, packet, now)
-	c.deliver(packet, c.paths.heard(h, now))
+	c.traced.recordFirstPacket(h, packet, now)
+	c.queuePacket(packet, c.paths.received(h, now))
 }
 
-func (c *packetConn) deliver(packet []byte, from *net.UDPAddr) {
+func (c *packetConn) queuePacket(packet []byte, from *net.UDPAddr) {
 	buf := c.buffers.Get().(*[udp.MaxDatagram]byte)
-	a := arrival{data: buf, n: copy(buf[:], packet), from: from}
+	a := callerPacket{data: buf, n: copy(buf[:], packet), from: from}
 	select {
 	case c.data <- a:
 	default:
@@ -152,7 +152,7 @@
 	}
 }
 
-func (c *packetConn) passControl(from netip.AddrPort, b []byte) {
+func (c *packetConn) queueControl(from netip.AddrPort, b []byte) {
 	data := append([]byte(nil), b...)
 	select {
 	case c.control <- control.Datagram{From: from, Data: data}:
@@ -186,20 +186,20 @@
 		return len(p), nil
 	}
 	now := time.Now()
-	before, kept := c.paths.space(key, p, now)
+	before, kept := c.paths.holdPacket(key, p, now)
 	if before != nil {
 		c.send(key, before.packet(), now)
 	}
 	if kept != nil {
-		time.AfterFunc(ackSpacing, func() { c.sendKept(key, kept) })
+		time.AfterFunc(ackSpacing, func() { c.sendHeld(key, kept) })
 		return len(p), nil
 	}
 	c.send(key, p, now)
 	return len(p), nil
 }
 
-// sendKept sends a packet that was kept back, if no later one has had it sent.
-func (c *packetConn) sendKept(key pathKey, h *heldPacket) {
+// sendHeld sends a packet that was kept back, if no later one has had it sent.
+func (c *packetConn) sendHeld(key pathKey, h *heldPacket) {
 	if now := time.Now(); c.paths.release(key, h, now) {
 		c.send(key, h.packet(), now)
 	}
@@ -207,10 +207,10 @@
 
 // send sends a packet on the ways of a path. Without any it is lost, as any datagram may be.
 func (c *packetConn) send(key pathKey, p []byte, now time.Time) {
-	var routes [waysPerPath]route
-	n := c.paths.back(key, now, &routes)
+	var routes [maxReturnPaths]route
+	n := c.paths.routes(key, now, &routes)
 	if n == 0 {
-		c.metrics.noWay.Inc()
+		c.metrics.noReturnPath.Inc()
 		return
 	}
 	o := c.writers.Get().(*outBuffer)
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -9,35 +9,35 @@
 )
 
 var (
-	epoch      = time.Unix(1_700_000_000, 0)
-	testKey    = pathKey{caller: netip.MustParseAddrPort("192.0.2.1:5000"), address: netip.MustParseAddr("198.51.100.1")}
-	balancerA  = netip.MustParseAddrPort("10.0.0.1:7700")
-	balancerB  = netip.MustParseAddrPort("10.0.0.2:7700")
-	balancerC  = netip.MustParseAddrPort("10.0.0.3:7700")
-	threeOfOne = []netip.AddrPort{balancerA, balancerB, balancerC}
+	epoch        = time.Unix(1_700_000_000, 0)
+	testKey      = pathKey{caller: netip.MustParseAddrPort("192.0.2.1:5000"), address: netip.MustParseAddr("198.51.100.1")}
+	balancerA    = netip.MustParseAddrPort("10.0.0.1:7700")
+	balancerB    = netip.MustParseAddrPort("10.0.0.2:7700")
+	balancerC    = netip.MustParseAddrPort("10.0.0.3:7700")
+	allBalancers = []netip.AddrPort{balancerA, balancerB, balancerC}
 )
 
-// callers drives a table of paths in place of callers and balancers.
-type callers struct {
+// pathTest drives a table of paths in place of pathTest and balancers.
+type pathTest struct {
 	t   *paths
 	now time.Time
 	// echo holds the newest sequence number that each balancer got.
 	echo map[netip.AddrPort]uint32
 }
 
-func newCallers() *callers {
-	return &callers{t: newPaths(), now: epoch, echo: make(map[netip.AddrPort]uint32)}
+func newPathTest() *pathTest {
+	return &pathTest{t: newPaths(), now: epoch, echo: make(map[netip.AddrPort]uint32)}
 }
 
-func (c *callers) hear(k pathKey, via netip.AddrPort) string {
+func (c *pathTest) receive(k pathKey, via netip.AddrPort) string {
 	h := frame.Header{Kind: frame.KindForward, Caller: k.caller, Address: k.address, Via: via, Echo: c.echo[via]}
-	return c.t.heard(&h, c.now).String()
+	return c.t.received(&h, c.now).String()
 }
 
 // send sends one packet and returns the balancers that it went to.
-func (c *callers) send(k pathKey) []netip.AddrPort {
-	var routes [waysPerPath]route
-	n := c.t.back(k, c.now, &routes)
+func (c *pathTest) send(k pathKey) []netip.AddrPort {
+	var routes [maxReturnPaths]route
+	n := c.t.routes(k, c.now, &routes)
 	var to []netip.AddrPort
 	for _, r := range routes[:n] {
 		to = append(to, r.balancer)
@@ -46,7 +46,7 @@
 	return to
 }
 
-func keyNumber(n int) pathKey {
+func callerKey(n int) pathKey {
 	k := testKey
 	k.caller = netip.AddrPortFrom(k.caller.Addr(), uint16(5000+n))
 	return k
@@ -57,13 +57,13 @@
 // them dies. Cause: the balancer's port was part of the path's address, so that
 // each path knew one way back only and QUIC saw a migrating caller.
 func TestOnePathThroughTwoBalancers(t *testing.T) {
-	c := newCallers()
-	if a, b := c.hear(testKey, balancerA), c.hear(testKey, balancerB); a != b {
+	c := newPathTest()
+	if a, b := c.receive(testKey, balancerA), c.receive(testKey, balancerB); a != b {
 		t.Fatalf("two paths: %s and %s", a, b)
 	}
 	other := testKey
 	other.address = netip.MustParseAddr("198.51.100.2")
-	if a, b := c.hear(testKey, balancerA), c.hear(other, balancerA); a == b {
+	if a, b := c.receive(testKey, balancerA), c.receive(other, balancerA); a == b {
 		t.Fatal("two addresses of a service are one path")
 	}
 	k, ok := keyOf(testKey.virtualAddr())
@@ -75,12 +75,12 @@
 // TestSilentPathTriesOtherWays: a path whose packets go unanswered is tried by
 // ways other than the one that it was on.
 func TestSilentPathTriesOtherWays(t *testing.T) {
-	c := newCallers()
-	for _, b := range threeOfOne {
-		c.hear(testKey, b)
+	c := newPathTest()
+	for _, b := range allBalancers {
+		c.receive(testKey, b)
 	}
 	on := c.send(testKey)[0]
-	c.now = c.now.Add(silenceMost + time.Millisecond)
+	c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	if to := c.send(testKey); len(to) != 3 {
 		t.Fatalf("silent on %v, tried %v", on, to)
 	}
@@ -89,10 +89,10 @@
 // TestForgedCallerGetsNoCopies: a path that is known by first packets only may
 // have a forged address. Copies to it would amplify a stranger's traffic.
 func TestForgedCallerGetsNoCopies(t *testing.T) {
-	c := newCallers()
-	for _, b := range threeOfOne {
+	c := newPathTest()
+	for _, b := range allBalancers {
 		h := frame.Header{Kind: frame.KindForward, Flags: frame.FlagFirst, Caller: testKey.caller, Address: testKey.address, Via: b}
-		c.t.heard(&h, c.now)
+		c.t.received(&h, c.now)
 	}
 	tried := make(map[netip.AddrPort]bool)
 	for range 6 {
@@ -101,7 +101,7 @@
 			t.Fatalf("%d datagrams for one", len(to))
 		}
 		tried[to[0]] = true
-		c.now = c.now.Add(silenceMost + time.Millisecond)
+		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	}
 	if len(tried) != 3 {
 		t.Fatalf("tried %v only", tried)
@@ -114,15 +114,15 @@
 // window, and each further lost acknowledgement doubles the pause. Cause: dead
 // balancers stayed in the rotation although no path heard them any more.
 func TestDeadBalancerIsLeftOut(t *testing.T) {
-	c := newCallers()
-	for _, b := range threeOfOne {
-		c.hear(testKey, b)
+	c := newPathTest()
+	for _, b := range allBalancers {
+		c.receive(testKey, b)
 	}
-	c.now = c.now.Add(staleAfter + time.Millisecond)
-	c.hear(keyNumber(1), balancerA) // another path; this one hears nothing
+	c.now = c.now.Add(failedAfter + time.Millisecond)
+	c.receive(callerKey(1), balancerA) // another path; this one hears nothing
 	for range 6 {
-		c.now = c.now.Add(silenceMost + time.Millisecond)
-		c.hear(keyNumber(1), balancerA)
+		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
+		c.receive(callerKey(1), balancerA)
 		for _, b := range c.send(testKey) {
 			if b != balancerA {
 				t.Fatalf("sent to %v, which is dead", b)
@@ -138,12 +138,12 @@
 // and no way stood out. Here B loses all that goes to callers.
 func TestWayThatLosesEverythingIsLeftOut(t *testing.T) {
 	const paths, rounds = 12, 200
-	c := newCallers()
+	c := newPathTest()
 	lost, sent := 0, 0
 	for round := range rounds {
 		c.now = c.now.Add(20 * time.Millisecond)
 		for i := range paths {
-			k := keyNumber(i)
+			k := callerKey(i)
 			answered := round == 0
 			for _, b := range c.send(k) {
 				answered = answered || b != balancerB
@@ -155,7 +155,7 @@
 				}
 			}
 			if answered {
-				c.hear(k, threeOfOne[(round+i)%3])
+				c.receive(k, allBalancers[(round+i)%3])
 			}
 		}
 	}
@@ -168,22 +168,22 @@
 // goes to callers stall on it, unless what other flows have seen is used.
 func TestNewFlowsAvoidWayThatLoses(t *testing.T) {
 	const flows = 200
-	c := newCallers()
+	c := newPathTest()
 	lost := 0
 	for i := range flows {
-		k := keyNumber(i)
-		c.hear(k, threeOfOne[i%3])
+		k := callerKey(i)
+		c.receive(k, allBalancers[i%3])
 		first := c.send(k)[0]
-		c.now = c.now.Add(silenceLeast / 2)
+		c.now = c.now.Add(minResponseTimeout / 2)
 		if first != balancerB {
-			c.hear(k, balancerB) // it hears and echoes; only callers get nothing
+			c.receive(k, balancerB) // it hears and echoes; only callers get nothing
 			continue
 		}
 		lost++
-		c.now = c.now.Add(silenceMost)
-		c.hear(keyNumber(0), balancerA)
-		c.hear(keyNumber(0), balancerB)
-		c.hear(keyNumber(0), balancerC)
+		c.now = c.now.Add(maxResponseTimeout)
+		c.receive(callerKey(0), balancerA)
+		c.receive(callerKey(0), balancerB)
+		c.receive(callerKey(0), balancerC)
 		c.send(k)
 	}
 	if lost*10 > flows {
@@ -194,24 +194,24 @@
 // TestVanishedCallersExcludeNoWay: callers that crash fall silent on sound
 // ways. No way may be left out for that while others are answered on it.
 func TestVanishedCallersExcludeNoWay(t *testing.T) {
-	c := newCallers()
+	c := newPathTest()
 	for round := range 300 {
 		c.now = c.now.Add(70 * time.Millisecond)
 		for i := range 6 {
-			k := keyNumber(i)
-			c.hear(k, threeOfOne[(round+i)%3])
+			k := callerKey(i)
+			c.receive(k, allBalancers[(round+i)%3])
 			c.send(k)
 		}
 		for i := range 3 { // heard once, then never again
-			c.hear(keyNumber(100+3*round+i), threeOfOne[i])
-			c.send(keyNumber(100 + 3*round + i))
+			c.receive(callerKey(100+3*round+i), allBalancers[i])
+			c.send(callerKey(100 + 3*round + i))
 			if round >= 9 {
-				c.send(keyNumber(100 + 3*(round-9) + i))
+				c.send(callerKey(100 + 3*(round-9) + i))
 			}
 		}
 	}
-	for _, b := range threeOfOne {
-		if w := c.t.ways[b]; w.grade(c.now, c.t.newest) != usable {
+	for _, b := range allBalancers {
+		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
 			t.Errorf("%v is left out: %+v", b, *w)
 		}
 	}
@@ -223,32 +223,32 @@
 // against them, until those are left out and only dead ones are tried. Cause:
 // the living were measured by what the dead had delivered before they died.
 func TestLivingWaysOutlastDeadOnes(t *testing.T) {
-	c := newCallers()
-	dead := threeOfOne[0]
-	for _, b := range threeOfOne {
-		c.hear(testKey, b)
+	c := newPathTest()
+	dead := allBalancers[0]
+	for _, b := range allBalancers {
+		c.receive(testKey, b)
 	}
-	c.now = c.now.Add(staleAfter)
+	c.now = c.now.Add(failedAfter)
 	for range 50 {
-		c.now = c.now.Add(silenceMost + time.Millisecond)
-		for i, b := range threeOfOne[1:] {
-			c.hear(keyNumber(1+i), b)
+		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
+		for i, b := range allBalancers[1:] {
+			c.receive(callerKey(1+i), b)
 		}
 		c.send(testKey) // falls silent on a living way
-		c.now = c.now.Add(silenceMost + time.Millisecond)
-		for i, b := range threeOfOne[1:] {
-			c.hear(keyNumber(1+i), b)
+		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
+		for i, b := range allBalancers[1:] {
+			c.receive(callerKey(1+i), b)
 		}
 		for _, b := range c.send(testKey) {
 			if b == dead {
 				t.Fatal("sent to a dead balancer")
 			}
 		}
-		c.hear(testKey, balancerB)
-		c.hear(testKey, balancerC)
+		c.receive(testKey, balancerB)
+		c.receive(testKey, balancerC)
 	}
-	for _, b := range threeOfOne[1:] {
-		if w := c.t.ways[b]; w.grade(c.now, c.t.newest) != usable {
+	for _, b := range allBalancers[1:] {
+		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
 			t.Errorf("%v is left out: %+v", b, *w)
 		}
 	}
@@ -257,17 +257,17 @@
 // TestUnechoedWayIsCut: symptom: long flows stall. Sequence: a balancer hears
 // callers but gets nothing from this agent. Cause: it was the one last heard.
 func TestUnechoedWayIsCut(t *testing.T) {
-	c := newCallers()
-	c.hear(testKey, balancerA)
+	c := newPathTest()
+	c.receive(testKey, balancerA)
 	c.now = c.now.Add(time.Millisecond)
-	c.hear(testKey, balancerB)
+	c.receive(testKey, balancerB)
 	if to := c.send(testKey); to[0] != balancerB {
 		t.Fatalf("sent to %v", to)
 	}
 	c.echo[balancerB] = 0 // it never arrived
 	c.now = c.now.Add(echoTimeout + time.Millisecond)
-	c.hear(testKey, balancerA)
-	c.hear(testKey, balancerB)
+	c.receive(testKey, balancerA)
+	c.receive(testKey, balancerB)
 	to := c.send(testKey)
 	if to[0] != balancerA {
 		t.Fatalf("sent by the cut way: %v", to)
@@ -275,8 +275,8 @@
 	if len(to) != 2 || to[1] != balancerB {
 		t.Fatalf("cut way not probed: %v", to)
 	}
-	c.hear(testKey, balancerB) // the probe is echoed
-	if c.t.ways[balancerB].cut {
+	c.receive(testKey, balancerB) // the probe is echoed
+	if c.t.returnPaths[balancerB].broken {
 		t.Fatal("healed way is still cut")
 	}
 }
@@ -285,31 +285,31 @@
 // path that is sent to and not heard is told of once a silence, and of many at once in one
 // line a second.
 func TestSilentPathIsToldOf(t *testing.T) {
-	c := newCallers()
+	c := newPathTest()
 	var told []stall
 	c.t.stalls.log = func(s stall) { told = append(told, s) }
 	const callers = 20
 	for i := range callers {
-		c.hear(keyNumber(i), balancerA)
+		c.receive(callerKey(i), balancerA)
 	}
 	silence := func(d time.Duration) {
 		for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(100 * time.Millisecond) {
 			for i := range callers {
-				c.send(keyNumber(i))
+				c.send(callerKey(i))
 			}
 		}
 	}
-	silence(stallAfter - time.Second)
+	silence(stallTimeout - time.Second)
 	if len(told) != 0 {
 		t.Fatalf("told of %+v before the path stood still", told)
 	}
 	silence(5 * time.Second)
-	if len(told) != 1 || len(told[0].ways) != 1 || told[0].ways[0].balancer != balancerA {
+	if len(told) != 1 || len(told[0].returnPaths) != 1 || told[0].returnPaths[0].balancer != balancerA {
 		t.Fatalf("told of %+v, want one line with the way", told)
 	}
-	c.hear(keyNumber(0), balancerA)
-	silence(stallAfter + time.Second)
-	if len(told) != 2 || told[1].key != keyNumber(0) || told[1].others != callers-1 {
+	c.receive(callerKey(0), balancerA)
+	silence(stallTimeout + time.Second)
+	if len(told) != 2 || told[1].key != callerKey(0) || told[1].others != callers-1 {
 		t.Errorf("told of %+v, want another line once the path was heard in between", told)
 	}
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -17,7 +17,7 @@
 		KeepAlivePeriod:         keepAlivePeriod,
 		InitialPacketSize:       packetSize,
 		DisablePathMTUDiscovery: true,
-		MaxIncomingStreams:      streamsPerConnection,
+		MaxIncomingStreams:      maxStreamsPerConnection,
 		Allow0RTT:               false,
 	}
 }
--- a/internal/agent/spacing.go
+++ b/internal/agent/spacing.go
@@ -10,8 +10,8 @@
 	// ackSpacing is the time between two packets that are to be acknowledged by two
 	// datagrams: above the 25 ms by which a caller's QUIC delays an acknowledgement.
 	ackSpacing = 30 * time.Millisecond
-	// spacedFor is how long after it was silent a path is spaced.
-	spacedFor = 10 * time.Second
+	// spacingDuration is how long after it was silent a path is spaced.
+	spacingDuration = 10 * time.Second
 )
 
 // spacing keeps the last packet of each burst back for ackSpacing on a path that was silent
@@ -36,11 +36,11 @@
 func (h *heldPacket) packet() []byte { return h.b[:h.n] }
 
 // start has the path spaced from now on.
-func (s *spacing) start(now time.Time) { s.until = now.Add(spacedFor) }
+func (s *spacing) start(now time.Time) { s.until = now.Add(spacingDuration) }
 
-// take takes a packet that is to be sent. It returns the one that was kept back before, nil
+// hold takes a packet that is to be sent. It returns the one that was kept back before, nil
 // if there is none, which goes first; and kept, if the packet itself is kept back.
-func (s *spacing) take(packet []byte, now time.Time) (before, kept *heldPacket) {
+func (s *spacing) hold(packet []byte, now time.Time) (before, kept *heldPacket) {
 	before, s.held = s.held, nil
 	spaced := now.Before(s.until) && (before != nil || now.Sub(s.sentAt) < ackSpacing)
 	s.sentAt = now
@@ -62,15 +62,15 @@
 	return true
 }
 
-// space takes a packet for a path that is to be sent, as spacing.take does.
-func (t *paths) space(key pathKey, packet []byte, now time.Time) (before, kept *heldPacket) {
+// holdPacket takes a packet for a path that is to be sent, as spacing.take does.
+func (t *paths) holdPacket(key pathKey, packet []byte, now time.Time) (before, kept *heldPacket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.byKey[key]
 	if p == nil {
 		return nil, nil
 	}
-	return p.spacing.take(packet, now)
+	return p.spacing.hold(packet, now)
 }
 
 // release reports whether a packet that was kept back is to be sent now.
--- a/internal/agent/tracing.go
+++ b/internal/agent/tracing.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// marksLimit bounds the traced flows whose handshake is under way. Further
+	// maxTracedFlows bounds the traced flows whose handshake is under way. Further
 	// ones stay untraced.
-	marksLimit = 4096
-	// marksPerFlow bounds the balancers that one flow's first packets came by.
-	marksPerFlow = 4
+	maxTracedFlows = 4096
+	// maxBalancersPerFlow bounds the balancers that one flow's first packets came by.
+	maxBalancersPerFlow = 4
 )
 
-// mark is what the forwarding headers told of a traced flow.
-type mark struct {
+// tracedFlow is what the forwarding headers told of a traced flow.
+type tracedFlow struct {
 	at  time.Time
 	via []netip.AddrPort // balancers that forwarded first packets
 	ids []tracing.Flow   // of their spans, in the same order
@@ -38,20 +38,20 @@
 	claimed bool       // the first traced request claims the spans
 }
 
-// flowMarks joins requests to the spans of the balancers that forwarded their
-// flow's first packets. A nil *flowMarks is tracing that is off.
-type flowMarks struct {
+// tracedFlows joins requests to the spans of the balancers that forwarded their
+// flow's first packets. A nil *tracedFlows is tracing that is off.
+type tracedFlows struct {
 	spans  *tracing.Provider
 	link   *control.Link
 	hash   *tracing.Flows // of the receive duty
 	packet quicwire.Packet
 
 	mu    sync.Mutex // guards marks and what they point to until connected
-	marks map[pathKey]*mark
+	byKey map[pathKey]*tracedFlow
 }
 
-// newFlowMarks returns nil when tracing is off.
-func newFlowMarks(p *tracing.Provider, ring fleetkey.Ring, link *control.Link) (*flowMarks, error) {
+// newTracedFlows returns nil when tracing is off.
+func newTracedFlows(p *tracing.Provider, ring fleetkey.Ring, link *control.Link) (*tracedFlows, error) {
 	if !p.On() {
 		return nil, nil
 	}
@@ -59,11 +59,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &flowMarks{spans: p, link: link, hash: hash, marks: make(map[pathKey]*mark)}, nil
+	return &tracedFlows{spans: p, link: link, hash: hash, byKey: make(map[pathKey]*tracedFlow)}, nil
 }
 
-// note takes in a first packet of a traced flow. The receive duty calls it.
-func (m *flowMarks) note(h *frame.Header, packet []byte, now time.Time) {
+// recordFirstPacket takes in a first packet of a traced flow. The receive duty calls it.
+func (m *tracedFlows) recordFirstPacket(h *frame.Header, packet []byte, now time.Time) {
 	if m == nil || h.Flags&frame.FlagSampled == 0 || !quicwire.Parse(packet, connid.Len, &m.packet) {
 		return
 	}
@@ -71,39 +71,39 @@
 	key := pathKey{caller: h.Caller, address: h.Address}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.marks[key]
+	f := m.byKey[key]
 	// A caller's socket may open another flow: its marks are its own.
 	if f == nil || f.ids[0].Trace != flow.Trace {
-		if f == nil && !m.room(now) {
+		if f == nil && !m.makeRoom(now) {
 			return
 		}
-		f = &mark{at: now}
-		m.marks[key] = f
+		f = &tracedFlow{at: now}
+		m.byKey[key] = f
 	}
-	if len(f.via) < marksPerFlow && !slices.Contains(f.via, h.Via) {
+	if len(f.via) < maxBalancersPerFlow && !slices.Contains(f.via, h.Via) {
 		f.via = append(f.via, h.Via)
 		f.ids = append(f.ids, flow)
 	}
 }
 
-// room forgets flows that never connected when there are many. m.mu is held.
-func (m *flowMarks) room(now time.Time) bool {
-	if len(m.marks) < marksLimit {
+// makeRoom forgets flows that never connected when there are many. m.mu is held.
+func (m *tracedFlows) makeRoom(now time.Time) bool {
+	if len(m.byKey) < maxTracedFlows {
 		return true
 	}
-	for k, f := range m.marks {
+	for k, f := range m.byKey {
 		if now.Sub(f.at) > idleTimeout {
-			delete(m.marks, k)
+			delete(m.byKey, k)
 		}
 	}
-	return len(m.marks) < marksLimit
+	return len(m.byKey) < maxTracedFlows
 }
 
-type markKey struct{}
+type tracedFlowKey struct{}
 
-// connected puts a connection's mark into its context. Packets that come later
+// attach puts a connection's mark into its context. Packets that come later
 // change it no more.
-func (m *flowMarks) connected(ctx context.Context, remote net.Addr) context.Context {
+func (m *tracedFlows) attach(ctx context.Context, remote net.Addr) context.Context {
 	if m == nil {
 		return ctx
 	}
@@ -117,28 +117,28 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.marks[key]
+	f := m.byKey[key]
 	if f == nil {
 		return ctx
 	}
-	delete(m.marks, key)
-	return context.WithValue(ctx, markKey{}, f)
+	delete(m.byKey, key)
+	return context.WithValue(ctx, tracedFlowKey{}, f)
 }
 
 // wrap returns h with a span around each request of a traced flow.
-func (m *flowMarks) wrap(h http.Handler) http.Handler {
+func (m *tracedFlows) wrap(h http.Handler) http.Handler {
 	if m == nil {
 		return h
 	}
-	return m.spans.Wrap(h, m.decide)
+	return m.spans.Wrap(h, m.spanLinks)
 }
 
-// decide picks the requests of flows that a balancer marked, unless the caller
+// spanLinks picks the requests of flows that a balancer marked, unless the caller
 // wants no trace. The agent's span is the child of the caller's and linked to
 // the balancers': the first request claims those for its own trace, later ones
 // of the connection were forwarded without a first packet.
-func (m *flowMarks) decide(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
-	f, ok := r.Context().Value(markKey{}).(*mark)
+func (m *tracedFlows) spanLinks(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
+	f, ok := r.Context().Value(tracedFlowKey{}).(*tracedFlow)
 	if !ok || !m.spans.Picks(parent) {
 		return nil, false
 	}
@@ -146,7 +146,7 @@
 	defer f.mu.Unlock()
 	if parent.IsValid() && !f.claimed {
 		f.claimed = true
-		m.claim(f, parent)
+		m.claimSpans(f, parent)
 	}
 	for _, id := range f.ids {
 		links = append(links, trace.Link{SpanContext: trace.NewSpanContext(trace.SpanContextConfig{
@@ -156,9 +156,9 @@
 	return links, true
 }
 
-// claim tells the balancers whose trace their spans belong to. A lost claim
+// claimSpans tells the balancers whose trace their spans belong to. A lost claimSpans
 // leaves such a span the root of a trace of its own. f.mu is held.
-func (m *flowMarks) claim(f *mark, parent trace.SpanContext) {
+func (m *tracedFlows) claimSpans(f *tracedFlow, parent trace.SpanContext) {
 	for i, via := range f.via {
 		m.link.Send(seal.TopicTrace, via, tracing.Claim{Span: f.ids[i].Span, Trace: parent.TraceID(), Parent: parent.SpanID()})
 		f.ids[i].Trace = parent.TraceID()
