--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside a backend server. It ends QUIC and TLS
-// for its service, holds all state of its flows, decides about every request,
-// and is the only one that starts work on the backend server.
+// Package agent implements the agent, the process beside a backend server. It terminates
+// QUIC and TLS for its service, holds all state of its flows, admits or refuses every
+// request, and is the only process that sends requests to the backend server.
 package agent
 
 import (
@@ -36,47 +36,48 @@
 )
 
 const (
-	// idleTimeout ends a connection that was silent for so long.
+	// idleTimeout is how long a connection may receive nothing before it is closed.
 	idleTimeout = 30 * time.Second
-	// keepAlivePeriod keeps an open flow alive through pauses of its content.
+	// keepAlivePeriod is the time between keep-alive packets, which hold a connection open
+	// while no content is sent.
 	keepAlivePeriod = 10 * time.Second
 	// packetSize is the size of QUIC packets in bytes. With the forwarding
-	// header and the UDP and IP headers it stays below 1,500.
+	// header and the UDP and IP headers it stays below 1,500 bytes.
 	packetSize = 1350
-	// maxStreamsPerConnection bounds the requests that one connection has open.
+	// maxStreamsPerConnection bounds the open requests of one connection.
 	maxStreamsPerConnection = 256
-	// drainNotice is how long an agent that leaves goes on taking requests,
-	// so that balancers hear of it before it refuses any.
+	// drainNotice is how long a draining agent continues to accept requests, so
+	// that balancers are notified before it refuses any.
 	drainNotice = time.Second
-	// flushTimeout is how long an agent that leaves waits, after its last answer
-	// was written, for callers to close their connections. A caller closes
-	// once it has everything; without this time the end of the last answers
-	// would be lost with the connection. Callers whose close was itself lost
-	// would hold the agent until the idle timeout, so the wait is bounded.
+	// flushTimeout bounds how long a draining agent waits, after its last response
+	// was written, for callers to close their connections. A caller closes its
+	// connection when it has received everything; without the wait the end of the
+	// last responses would be lost with the connection. A caller whose close was
+	// lost would hold up the agent until the idle timeout, so the wait is bounded.
 	flushTimeout = 3 * time.Second
-	// bufferWarningVariable is the variable that keeps quic-go from writing to
-	// standard error that it can't size the buffers of a virtual connection.
-	// The internal socket has its buffers sized already.
+	// bufferWarningVariable is the environment variable that stops quic-go from
+	// writing a warning to standard error when it can't size the buffers of the
+	// virtual connection. The buffers of the internal socket are sized already.
 	bufferWarningVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 )
 
-// Config is the settings of an agent.
+// Config holds the settings of an agent.
 type Config struct {
-	Internal    netip.AddrPort // IPv4 address of the internal socket, as balancers reach it
+	Internal    netip.AddrPort // IPv4 address of the internal socket, on which balancers reach the agent
 	Service     string
 	Zone        string // availability zone
 	Region      string
 	Backend     *url.URL
 	Certificate tls.Certificate
 	Keys        fleetkey.Ring
-	Seeds       []netip.AddrPort // balancers to announce to at first
-	Store       store.Interface  // the platform's store, to read contact slots; may be nil if Seeds are given
-	Ramp        placement.Ramp   // cold start of the backend server
+	Seeds       []netip.AddrPort // balancers that the agent announces itself to at first
+	Store       store.Interface  // the platform's store, from which contact slots are read; may be nil if Seeds are given
+	Ramp        placement.Ramp   // weight of the backend server during its cold start
 	Idempotency idempotency.Config
-	Traces      *tracing.Provider // nil is off
+	Traces      *tracing.Provider // nil turns tracing off
 }
 
-// Agent is one agent. Its lifecycle is New, Run, Drain, Close.
+// Agent is an agent. Its lifecycle is New, Run, Drain, Close.
 type Agent struct {
 	cfg     Config
 	log     *zap.Logger
@@ -99,7 +100,7 @@
 	closeOnce sync.Once
 }
 
-// New checks the settings and opens the agent's socket.
+// New checks the settings and opens the agent's socket. Close releases it.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Agent, error) {
 	socket, err := udp.Listen(cfg.Internal)
 	if err != nil {
@@ -132,7 +133,7 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// openTransport builds QUIC and HTTP/3 over the internal socket.
+// openTransport sets up QUIC and HTTP/3 over the internal socket.
 func (a *Agent) openTransport() error {
 	ids, err := a.cfg.Keys.ConnIDs()
 	if err != nil {
@@ -155,9 +156,8 @@
 		StatelessResetKey:     &reset,
 		TokenGeneratorKey:     &token,
 	}
-	// Sessions resumed by tickets are encrypted under the service's key only,
-	// and 0-RTT stays off: early data can be replayed, and a replayed request
-	// would run twice.
+	// Session tickets are encrypted under the service's key only. 0-RTT is off,
+	// because early data can be replayed and a replayed request would run twice.
 	os.Setenv(bufferWarningVariable, "true")
 	tlsConfig := http3.ConfigureTLSConfig(&tls.Config{Certificates: []tls.Certificate{a.cfg.Certificate}})
 	a.ln, err = a.quic.ListenEarly(tlsConfig, QUICConfig())
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// connContext counts a connection until its end, or refuses it.
+// connContext counts a connection until it ends, or closes it if a limit is reached.
 func (a *Agent) connContext(ctx context.Context, c *quic.Conn) context.Context {
 	owner := addrOf(c.RemoteAddr()).String()
 	var refusal admission.Refusal
@@ -190,7 +190,7 @@
 	return a.conn.traced.attach(ctx, c.RemoteAddr())
 }
 
-// setEntry puts the service's catalogue entry in force.
+// setEntry puts a version of the service's catalogue entry in force.
 func (a *Agent) setEntry(e *catalogue.Entry) {
 	old := a.entry.Swap(e)
 	if old != nil && old.Version == e.Version {
@@ -204,16 +204,16 @@
 	a.log.Info("catalogue entry in force", zap.Uint64("version", e.Version), zap.Uint32("number", e.Number))
 }
 
-// Ready reports whether the agent takes new flows.
+// Ready reports whether the agent accepts new flows.
 func (a *Agent) Ready() bool { return a.ready.Load() }
 
-// KeysReady reports whether requests with idempotency keys can run here.
+// KeysReady reports whether requests with idempotency keys can run at this agent.
 func (a *Agent) KeysReady() bool { return a.claims.ready() }
 
-// Internal returns the address that other processes use.
+// Internal returns the address of the internal socket, which other processes use.
 func (a *Agent) Internal() netip.AddrPort { return a.cfg.Internal }
 
-// Run does the agent's duties until Close.
+// Run runs the agent until Close.
 func (a *Agent) Run() error {
 	var g run.Group
 	stop := func(error) { a.Close() }
@@ -233,8 +233,8 @@
 	return err
 }
 
-// Drain announces that the agent leaves, goes on for leaveNotice, then takes
-// no new work and waits until the open requests have ended.
+// Drain announces that the agent leaves, accepts requests for another drainNotice, then
+// refuses new ones and waits until the open requests have ended or ctx is done.
 func (a *Agent) Drain(ctx context.Context) {
 	a.flows.leaving.Store(true)
 	a.control.leave()
@@ -256,7 +256,7 @@
 	}
 }
 
-// Close ends the agent at once.
+// Close stops the agent at once.
 func (a *Agent) Close() {
 	a.closeOnce.Do(func() {
 		a.cancel()
@@ -269,7 +269,7 @@
 	})
 }
 
-// idGenerator mints connection IDs that lead back to this agent.
+// idGenerator generates connection IDs by which balancers forward packets to this agent.
 type idGenerator struct {
 	codec   *connid.Codec
 	agent   netip.AddrPort
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -19,8 +19,8 @@
 	backendIdleTimeout = 30 * time.Second
 )
 
-// CallError is a request to the backend server that got no whole answer
-// header. Sent tells whether any byte of the request may have reached it.
+// CallError reports a request to the backend server that got no complete response
+// header. Sent is true if any byte of the request may have reached the server.
 type CallError struct {
 	Sent bool
 	Err  error
@@ -35,7 +35,7 @@
 
 func (e *CallError) Unwrap() error { return e.Err }
 
-// backend calls one backend server over HTTP/1.1.
+// backend sends requests to one backend server over HTTP/1.1.
 type backend struct {
 	url       *url.URL
 	transport *http.Transport
@@ -57,20 +57,20 @@
 	}}
 }
 
-// countingConn counts the bytes written, by which a failed call tells whether
-// the backend server can have seen any of its request.
+// countingConn counts the bytes written. The count shows after a failed call whether
+// any byte of the request may have reached the backend server.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
-	// Counted before the write: a write that fails may have sent a part.
+	// Counted before the write, since a failed write may have sent a part.
 	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-// sendTracker watches one call for bytes that went out.
+// sendTracker records whether any byte of one call was written.
 type sendTracker struct {
 	conn          atomic.Pointer[countingConn]
 	writtenBefore atomic.Int64
@@ -92,16 +92,15 @@
 	return c != nil && c.written.Load() > p.writtenBefore.Load()
 }
 
-// singleUse hides what the body is, so that http.Transport can't send it again.
+// singleUse hides the type of a body, so that http.Transport can't send it again.
 //
-// Transport repeats a request on a new connection when the one it reused was
-// closed before an answer came, if the body is empty and the request carries
-// an Idempotency-Key. The backend server may have run the first copy: the work
-// would run twice. A body that is neither nil nor rewindable is never repeated.
+// Transport repeats a request on a new connection when the reused connection was
+// closed before a response arrived, if the body is empty and the request has an
+// Idempotency-Key. The backend server may have run the first copy, so the request
+// could run twice. Transport never repeats a body that is neither nil nor rewindable.
 type singleUse struct{ io.ReadCloser }
 
-// do sends a request once and returns the answer's header and body. A failure
-// is a *CallError.
+// do sends a request once and returns the response. Errors: *CallError.
 func (b *backend) do(ctx context.Context, in *http.Request, header http.Header) (*http.Response, error) {
 	probe := &sendTracker{}
 	ctx = httptrace.WithClientTrace(ctx, probe.trace())
@@ -115,8 +114,8 @@
 		Body:          singleUse{in.Body},
 		ContentLength: in.ContentLength,
 	}).WithContext(ctx)
-	// A safe request has a body only if it gives its length: HTTP/3 leaves the
-	// length of an empty body unknown.
+	// A safe request counts as having a body only if its length is given, since
+	// HTTP/3 leaves the length of an empty body unknown.
 	if safeMethod(in.Method) && in.ContentLength <= 0 {
 		out.Body, out.ContentLength = nil, 0
 	}
@@ -127,7 +126,7 @@
 	return resp, nil
 }
 
-// safeMethod reports whether requests with the method may run any number of
+// safeMethod reports whether requests with the method are safe to run any number of
 // times (RFC 9110, 9.2.1).
 func safeMethod(m string) bool {
 	return m == http.MethodGet || m == http.MethodHead || m == http.MethodOptions
@@ -135,7 +134,8 @@
 
 func (b *backend) close() { b.transport.CloseIdleConnections() }
 
-// asCallError returns the CallError in err.
+// asCallError returns the CallError in err. Any other error counts as one after the
+// request was sent.
 func asCallError(err error) *CallError {
 	var e *CallError
 	if errors.As(err, &e) {
--- a/internal/agent/backendhealth.go
+++ b/internal/agent/backendhealth.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// healthInterval is how often the backend server is connected to.
+	// healthInterval is the time between two connection attempts to the backend server.
 	healthInterval = 500 * time.Millisecond
 	healthTimeout  = 400 * time.Millisecond
-	// failureThreshold is how many connects in a row must fail before the
-	// backend server counts as gone: one lost packet must not take it out.
+	// failureThreshold is how many connection attempts in a row must fail before the
+	// backend server counts as unreachable. One lost packet must not take it out of service.
 	failureThreshold = 2
 )
 
-// setBackendReachable takes in whether the backend server can be reached.
+// setBackendReachable records whether the backend server is reachable, and announces the
+// agent's state after a change.
 func (d *controlLoop) setBackendReachable(now time.Time, up bool) {
 	if up == !d.reachableSince.IsZero() {
 		return
@@ -29,12 +30,12 @@
 		d.reachableSince = now
 	}
 	d.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackendReachable(now, up) })
-	d.a.log.Info("backend server", zap.Bool("reachable", up))
+	d.a.log.Info("backend server reachability changed", zap.Bool("reachable", up))
 	d.announceState(now)
 }
 
-// watchBackend connects to the backend server at intervals. The agent's own
-// connect goes before the health endpoint, which may lag or mislead.
+// watchBackend connects to the backend server at intervals. It does not use the server's
+// health endpoint, which may be late or wrong.
 func (d *controlLoop) watchBackend(ctx context.Context) {
 	dialer := &net.Dialer{Timeout: healthTimeout}
 	tick := time.NewTicker(healthInterval)
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -17,35 +17,35 @@
 
 const (
 	voterTickInterval = time.Second
-	// memberListRequestsPerFreshness is which part of the freshness that a vote needs may pass
-	// between two requests for the roster, so that a lost answer does no harm.
+	// memberListRequestsPerFreshness is how many requests for the member list are sent within
+	// the time for which a vote counts it as fresh, so that a lost response does no harm.
 	memberListRequestsPerFreshness = 3
 )
 
 // claims runs the two state machines of package idempotency: the requester for
-// this agent's own requests and the home that votes on others'.
+// this agent's own requests and the voter for the requests of all agents.
 type claims struct {
 	link *control.Link
 	self netip.AddrPort
 
-	mu  sync.Mutex // guards all below
+	mu  sync.Mutex // guards the fields below
 	cfg idempotency.Config
-	// freshness is cfg.Freshness with its default filled in.
+	// freshness is cfg.Freshness, or its default if that is 0.
 	freshness  time.Duration
 	electorate *idempotency.Electorate
 	req        *idempotency.Requester
-	voter      *idempotency.Voter // nil once the agent leaves: it votes no more
+	voter      *idempotency.Voter // nil after stopVoting
 	nextID     uint64
 	waiting    map[uint64]chan idempotency.Effect
 	effects    []idempotency.Effect
 
 	memberListSeq         uint64
-	memberListRequestedAt time.Time // when the roster request with rosterSeq went out
+	memberListRequestedAt time.Time // when the request with memberListSeq was sent
 	tickedAt              time.Time
-	listedAt              time.Time // when the roster first named this agent
+	listedAt              time.Time // when the member list first contained this agent
 	complete              bool
-	otherServing          int // other agents of the service that take new flows
-	otherAgents           int // other agents of the service
+	otherServing          int // number of other agents of the service that accept new flows
+	otherAgents           int // number of other agents of the service
 }
 
 func newClaims(link *control.Link, self netip.AddrPort, cfg idempotency.Config) *claims {
@@ -67,13 +67,14 @@
 	}
 }
 
-// claim is the right to run one request with a key, once.
+// claim is the right to run a request with an idempotency key once.
 type claim struct {
 	claims *claims
 	id     uint64
 }
 
-// finish tells what became of the request.
+// finish records the outcome of the request and the response's status. It does nothing
+// on a nil claim.
 func (c *claim) finish(s idempotency.State, status int) {
 	if c == nil {
 		return
@@ -81,8 +82,8 @@
 	c.claims.do(func(now time.Time) { c.claims.req.Finish(now, c.id, s, status) })
 }
 
-// begin waits for the right to run a request with the key. Its answer holds
-// until the first byte only if that follows at once.
+// begin waits for the right to run a request with the key, or returns the fault to answer
+// with. The caller has to send the request at once, since the claim may expire otherwise.
 func (c *claims) begin(ctx context.Context, key idempotency.Key) (*claim, *Fault) {
 	wait := make(chan idempotency.Effect, 2)
 	var id uint64
@@ -115,7 +116,7 @@
 	return ok
 }
 
-// do runs f and carries out the effects that follow.
+// do runs f with the lock held and executes the effects that result.
 func (c *claims) do(f func(now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +124,7 @@
 	c.runEffects()
 }
 
-// runEffects carries out effects until there are none. c.mu is held.
+// runEffects executes the requester's effects until there are none. c.mu is held.
 func (c *claims) runEffects() {
 	for {
 		c.effects = c.req.Effects(c.effects[:0])
@@ -158,8 +159,8 @@
 	}
 }
 
-// receive takes in a message of the topics claim, vote, report and roster. ok
-// is false for a message that can't be read.
+// receive handles a message of the topics claim, vote, report and member list. ok
+// is false if the message can't be decoded.
 func (c *claims) receive(topic seal.Topic, from netip.AddrPort, b []byte) (ok bool) {
 	var err error
 	c.do(func(now time.Time) {
@@ -189,9 +190,9 @@
 	return err == nil
 }
 
-// receiveMemberList takes in the answer to the newest request. The time that counts
-// is the one at which the request went out: an answer may have lain in the
-// socket while this process was frozen.
+// receiveMemberList handles the response to the latest request and ignores any other. The
+// member list is as old as the request: the response may have waited in the socket buffer
+// while this process was suspended.
 func (c *claims) receiveMemberList(now time.Time, m control.RosterAnswer) {
 	if m.Seq != c.memberListSeq {
 		return
@@ -221,7 +222,8 @@
 	c.otherServing = int(m.Serving)
 }
 
-// tick asks for the roster when that is due and drives the machines.
+// tick requests the member list from a balancer when that is due, and advances the state
+// machines.
 func (c *claims) tick(balancer netip.AddrPort, service uint32) {
 	c.do(func(now time.Time) {
 		if now.Sub(c.memberListRequestedAt) >= c.freshness/memberListRequestsPerFreshness && balancer.IsValid() {
@@ -237,16 +239,16 @@
 	})
 }
 
-// fenced reports whether this agent's start fence is still up: others count on
-// no vote of it yet. c.mu is held.
+// fenced reports whether this agent's start fence is still in force, during which other
+// agents do not rely on its votes. c.mu is held.
 func (c *claims) fenced(now time.Time) bool {
 	return c.listedAt.IsZero() || now.Sub(c.listedAt) <= c.cfg.Fence()
 }
 
-// acceptsFlows reports whether the agent may take new flows: requests with keys can
-// run here, or the service has just begun and has no agent that serves them
-// better. An agent added to a service at work must not draw flows whose
-// requests it has to refuse.
+// acceptsFlows reports whether the agent may accept new flows: either requests with keys can
+// run here, or the service has recently started and no other agent can serve them better. An
+// agent that is added to a running service must not attract flows whose requests it would
+// have to refuse.
 func (c *claims) acceptsFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,24 +266,24 @@
 	return c.voter != nil && !c.fenced(time.Now())
 }
 
-// stopVoting ends this agent's votes. It comes before the agent announces that it
-// leaves, so that whoever hears of that may stop counting it.
+// stopVoting ends this agent's votes. It has to be called before the agent announces that it
+// leaves, since other agents stop counting the agent as soon as they are notified.
 func (c *claims) stopVoting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.voter = nil
 }
 
-// Values of HeaderOutcome for requests with a key.
+// Further values of HeaderOutcome for requests with an idempotency key.
 const (
-	OutcomeRan     = "ran"     // an earlier attempt with the key ran and was answered
+	OutcomeRan     = "ran"     // an earlier attempt with the key ran and got a response
 	OutcomeRunning = "running" // an earlier attempt with the key is running
 )
 
-// HeaderFirstStatus is the status that the earlier attempt was answered with.
+// HeaderFirstStatus is the status of the response to the earlier attempt.
 const HeaderFirstStatus = "Hemlock-First-Status"
 
-// claimFault is the final answer to a request that may not run.
+// claimFault returns the response to a request that is not allowed to run.
 func claimFault(e idempotency.Effect) *Fault {
 	f := &Fault{Status: http.StatusConflict, RetryAfter: e.RetryAfter}
 	switch {
--- a/internal/agent/contacts.go
+++ b/internal/agent/contacts.go
@@ -7,11 +7,11 @@
 	"github.com/hemlockscale/hemlockscale/internal/contact"
 )
 
-// contactTimeout is how long all balancers must be silent before contact slots
-// are read again.
+// contactTimeout is the time without an acknowledgement from any balancer after which
+// contact slots are read again.
 const contactTimeout = 10 * time.Second
 
-// results is where outcomes of store calls come from; nil without a store.
+// results returns the channel of the results of store calls, nil without a store.
 func (d *controlLoop) results() <-chan contact.Result {
 	if d.contacts == nil {
 		return nil
@@ -19,8 +19,8 @@
 	return d.contacts.Results
 }
 
-// readContacts reads contact slots until some balancer is known, and again when
-// all that are known have been silent for contactSilence.
+// readContacts reads contact slots until a balancer is known, and again when no known
+// balancer has sent an acknowledgement for contactTimeout.
 func (d *controlLoop) readContacts(ctx context.Context, now time.Time) {
 	if d.slots == nil {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// receiveContact takes in a contact slot that was read.
+// receiveContact handles the result of reading a contact slot.
 func (d *controlLoop) receiveContact(now time.Time, r contact.Result) {
 	d.slots.Done(now, d.contacts.Done(r))
 	d.seeds = append(d.slots.Contacts(), d.a.cfg.Seeds...)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -17,25 +17,25 @@
 
 const controlTickInterval = 50 * time.Millisecond
 
-// controlLoop is the control controlLoop: it keeps the catalogue entry, announces the agent
-// and judges the backend server. One goroutine runs it.
+// controlLoop keeps the catalogue entry up to date, announces the agent to the balancers
+// and tracks whether the backend server is reachable. One goroutine runs it.
 type controlLoop struct {
 	a             *Agent
 	link          *control.Link
-	announcer     *membership.Announcer // nil until the entry is known
+	announcer     *membership.Announcer // nil until the catalogue entry is known
 	rng           *rand.Rand
 	leaveRequests chan struct{}
 
 	held           *catalogue.HeldEntry
 	slots          *membership.Slots // nil without a store
 	contacts       *contact.Caller
-	seeds          []netip.AddrPort // of the settings and the contact slots
+	seeds          []netip.AddrPort // from the settings and the contact slots
 	requestedAt    time.Time
-	newerFrom      netip.AddrPort // a balancer that has another version of the entry
-	observerIndex  int            // of observers
+	newerFrom      netip.AddrPort // a balancer that has another version of the entry; zero if none is known
+	observerIndex  int            // index of the observer used last
 	health         chan bool
-	reachableSince time.Time // when the backend server became reachable; zero while it is not
-	acceptsFlows   bool      // requests with idempotency keys can run here
+	reachableSince time.Time // when the backend server became reachable; zero while it is unreachable
+	acceptsFlows   bool      // claims.acceptsFlows has returned true
 	leaving        bool
 }
 
@@ -56,11 +56,11 @@
 	return d
 }
 
-// leave makes the duty announce that the agent leaves.
+// leave makes the control loop announce that the agent leaves.
 func (d *controlLoop) leave() {
 	select {
 	case d.leaveRequests <- struct{}{}:
-	default: // announced already
+	default: // already requested
 	}
 }
 
@@ -107,8 +107,9 @@
 	}
 }
 
-// nextObserver returns the balancers that this agent reports to in turn, so that
-// one that died spoils no two requests in a row.
+// nextObserver returns the next of the balancers that this agent reports to, in turn, so
+// that a failed balancer does not affect two requests in a row. It returns the zero value if
+// there is none.
 func (d *controlLoop) nextObserver() netip.AddrPort {
 	observers := d.announcer.Observers()
 	if len(observers) == 0 {
@@ -125,7 +126,7 @@
 	for _, e := range d.announcer.Outbox() {
 		b, err := membership.Encode(e.Msg)
 		if err != nil {
-			d.a.log.Error("membership message not sent", zap.Error(err))
+			d.a.log.Error("membership message can't be encoded, not sent", zap.Error(err))
 			continue
 		}
 		d.link.SendBytes(seal.TopicMembership, e.To, b)
@@ -183,14 +184,14 @@
 		Seed:  d.rng.Uint64(),
 	})
 	if err != nil {
-		d.a.log.Error("can't announce", zap.Error(err))
+		d.a.log.Error("agent can't be announced to balancers and receives no flows", zap.Error(err))
 		return
 	}
 	d.announcer = announcer
 	d.announceState(now)
 }
 
-// announceState announces what the agent can do now.
+// announceState announces the agent's current state.
 func (d *controlLoop) announceState(now time.Time) {
 	if d.announcer == nil {
 		return
--- a/internal/agent/copybuffer.go
+++ b/internal/agent/copybuffer.go
@@ -12,16 +12,16 @@
 	largeBuffers = sync.Pool{New: func() any { b := make([]byte, largeCopySize); return &b }}
 )
 
-// copyBuffer is the memory that an answer is copied through. It begins small
-// and becomes large once the answer fills it: an open feed holds its buffer for
-// hours and fills little of it, and large ones would be the greatest part of
-// what a flow costs; a download is slowed down by small ones.
+// copyBuffer is the buffer through which a response body is copied. It starts small and
+// is replaced by a large one when a read fills it. An open feed holds its buffer for
+// hours and fills little of it, so large buffers would dominate the memory of a flow;
+// small buffers would slow down downloads.
 type copyBuffer struct {
 	b    *[]byte
 	full bool // the last read filled the small buffer
 }
 
-// next returns the room for the next read.
+// next returns the buffer for the next read.
 func (c *copyBuffer) next() []byte {
 	switch {
 	case c.b == nil:
@@ -33,13 +33,13 @@
 	return *c.b
 }
 
-// filled returns the n bytes that the last read brought.
+// filled records that the last read returned n bytes, and returns them.
 func (c *copyBuffer) filled(n int) []byte {
 	c.full = n == len(*c.b)
 	return (*c.b)[:n]
 }
 
-// free gives the memory back.
+// free returns the buffer to its pool.
 func (c *copyBuffer) free() {
 	if c.b == nil {
 		return
--- a/internal/agent/copybuffer_test.go
+++ b/internal/agent/copybuffer_test.go
@@ -7,16 +7,16 @@
 	defer c.free()
 	for range 3 {
 		if n := len(c.next()); n != smallCopySize {
-			t.Fatalf("%d bytes of room, want %d", n, smallCopySize)
+			t.Fatalf("buffer of %d bytes, want %d", n, smallCopySize)
 		}
 		c.filled(smallCopySize - 1)
 	}
 	c.filled(smallCopySize)
 	if n := len(c.next()); n != largeCopySize {
-		t.Fatalf("%d bytes of room after a full read, want %d", n, largeCopySize)
+		t.Fatalf("buffer of %d bytes after a full read, want %d", n, largeCopySize)
 	}
 	c.filled(1)
 	if n := len(c.next()); n != largeCopySize {
-		t.Fatalf("%d bytes of room, want %d still", n, largeCopySize)
+		t.Fatalf("buffer of %d bytes after a short read, want %d still", n, largeCopySize)
 	}
 }
--- a/internal/agent/entry.go
+++ b/internal/agent/entry.go
@@ -9,20 +9,20 @@
 	"github.com/hemlockscale/hemlockscale/internal/seal"
 )
 
-// entryRequestInterval is the least time between two requests for the entry.
+// entryRequestInterval is the minimum time between two requests for the entry.
 const entryRequestInterval = 250 * time.Millisecond
 
-// offerEntry gives this agent's entry to a balancer that has no catalogue, as
-// after a restart of all balancers while the store is down: the agents' entries
-// are then all that is left of it.
+// offerEntry sends this agent's entry to a balancer that has no catalogue. After a
+// restart of all balancers during an outage of the store, the agents' entries are the
+// only remaining copy of the catalogue.
 func (d *controlLoop) offerEntry(to netip.AddrPort) {
 	if m, ok := d.held.Offer(); ok {
 		d.link.SendBytes(seal.TopicCatalogue, to, m.Encode())
 	}
 }
 
-// requestEntry asks for the catalogue entry until it is known, and again once an
-// ack has told of another version.
+// requestEntry requests the catalogue entry until it is known, and again when an
+// acknowledgement has reported another version.
 func (d *controlLoop) requestEntry(now time.Time) {
 	if now.Sub(d.requestedAt) < entryRequestInterval {
 		return
@@ -39,8 +39,9 @@
 	d.link.SendBytes(seal.TopicCatalogue, to, d.held.Request().Encode())
 }
 
-// receiveVersion takes in what an ack says of this agent's entry. Asking only when
-// the entry changed keeps agents from asking at each of the fleet's edits.
+// receiveVersion handles the version of this agent's entry in an acknowledgement. The
+// version is that of the entry, not of the catalogue, so that agents request nothing when
+// entries of other services change.
 func (d *controlLoop) receiveVersion(from netip.AddrPort, version uint64) {
 	held, _ := d.held.Entry()
 	switch {
@@ -60,12 +61,12 @@
 	changed := d.held.Receive(m)
 	entry, found := d.held.Entry()
 	if !changed || !found {
-		// An entry that was deleted leaves the last one in force for the
-		// flows that are open; balancers send no new ones.
+		// When the entry is deleted, the last version stays in force for the open
+		// flows. Balancers send no new flows.
 		return
 	}
 	d.a.setEntry(&entry)
-	// A service that was deleted and entered again has a new number.
+	// A service that was deleted and added again has a new number.
 	if d.announcer == nil || d.announcer.Self().Service != entry.Number {
 		d.startAnnouncing(now)
 	}
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -16,34 +16,34 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// flows decides which new flows this agent keeps. place is called by the receive
-// duty alone, load by any goroutine, update and ended under the gate's lock.
+// flows decides which new flows this agent keeps. Only the receive loop calls place, any
+// goroutine may call load, and updateLoad and recordOutcome are called under the gate's lock.
 type flows struct {
 	self           netip.AddrPort
 	decider        *placement.Decider
 	packet         quicwire.Packet
 	meter          placement.Meter
 	busy           prometheus.Gauge
-	maxConnections atomic.Int64 // limit of the catalogue entry
+	maxConnections atomic.Int64 // connection limit of the catalogue entry
 	level          atomic.Uint32
-	perRequest     atomic.Uint32 // what one more request would add to level
+	perRequest     atomic.Uint32 // increase of level for one more request
 	recent         recentFlows
 	leaving        atomic.Bool
 }
 
-// recentPeriod is how long a flow that was kept counts as one request. After that
-// its requests count by themselves.
+// recentPeriod is the length of a counting period of recentFlows. A kept flow counts as one
+// request for one to two periods; after that its actual requests are counted.
 const recentPeriod = 250 * time.Millisecond
 
-// recentFlows counts the flows kept in the last freshTime. A flow has no request
-// until its handshake is over; without the count an agent that callers turn to
-// all at once looks idle to each of them, and flows stay where they were placed.
+// recentFlows counts the flows kept in the current and the previous recentPeriod. A flow has
+// no request until its handshake is complete. Without the count, an agent would appear idle
+// to each of many callers that connect at the same time, and flows stay where they are placed.
 type recentFlows struct {
-	periodStart       atomic.Int64 // beginning of the present period, Unix nanoseconds
-	current, previous atomic.Int64 // flows kept in the present period and the one before
+	periodStart       atomic.Int64 // start of the current period, Unix nanoseconds
+	current, previous atomic.Int64 // flows kept in the current and the previous period
 }
 
-// rotate begins a new period when the present one is over. One goroutine calls it.
+// rotate starts a new period when the current one is over. It is not safe for concurrent use.
 func (f *recentFlows) rotate(now time.Time) {
 	if now.UnixNano()-f.periodStart.Load() < int64(recentPeriod) {
 		return
@@ -62,8 +62,8 @@
 	return f
 }
 
-// place implements firstPacketPolicy. A flow is handed on once and may be sent
-// back once, by an agent that is busier than the one it came from.
+// place implements firstPacketPolicy. A flow is forwarded once, and may be returned once
+// by an agent that is busier than the one that forwarded it.
 func (f *flows) place(h *frame.Header, packet []byte) (to netip.AddrPort, elsewhere bool) {
 	if !quicwire.Parse(packet, connid.Len, &f.packet) {
 		return netip.AddrPort{}, false
@@ -90,7 +90,7 @@
 	return d.To, true
 }
 
-// updateLoad takes in the gate's counts after each change of them.
+// updateLoad computes the occupancy from the gate's counts after each change of them.
 func (f *flows) updateLoad(now time.Time, l admission.Load) {
 	usage := placement.Usage{
 		SlotsBusy:      l.Slots,
@@ -108,10 +108,10 @@
 	f.perRequest.Store(uint32(max(1, int(more.Occupancy())-int(usage.Occupancy()))))
 }
 
-// recordOutcome takes in how the backend server recordOutcome a request.
+// recordOutcome records the outcome of a request to the backend server.
 func (f *flows) recordOutcome(now time.Time, o admission.Outcome) {
 	if o == admission.Canceled {
-		return // it says nothing of the backend server
+		return // a cancelled request says nothing about the backend server
 	}
 	f.meter.Done(now, o != admission.OK)
 }
--- a/internal/agent/flows_test.go
+++ b/internal/agent/flows_test.go
@@ -18,11 +18,10 @@
 	return b
 }
 
-// TestBurstOfFlowsIsSpread: symptom: of three agents one gets all callers that
-// come at once, the others none, and for as long as their connections last.
-// Sequence: callers connect within a few milliseconds; no request has come yet
-// when the last of them is placed. Cause: load was counted in requests, so the
-// agent looked idle to each of them.
+// TestBurstOfFlowsIsSpread guards against one of three agents that receives all callers that
+// connect within a few milliseconds, and keeps them for as long as their connections last.
+// If load counts requests only, the agent appears idle to each caller, since no request has
+// arrived when the last flow is placed.
 func TestBurstOfFlowsIsSpread(t *testing.T) {
 	g := newGate(admission.Config{})
 	f := newFlows(g, netip.MustParseAddrPort("10.0.0.1:7700"), newMetrics(prometheus.NewRegistry()))
@@ -36,12 +35,11 @@
 		}
 	}
 	if kept == 0 || kept > burst/2 {
-		t.Errorf("kept %d of %d flows beside an agent with little to do", kept, burst)
+		t.Errorf("kept %d of %d flows while another agent has a low load", kept, burst)
 	}
 }
 
-// TestFreshFlowsAreForgotten checks that flows kept count for two periods at
-// the most.
+// TestFreshFlowsAreForgotten checks that a kept flow counts for two periods at most.
 func TestFreshFlowsAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var f recentFlows
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -8,7 +8,7 @@
 	"github.com/hemlockscale/hemlockscale/admission"
 )
 
-// gateTickInterval is how often waiting requests are looked at again.
+// gateTickInterval is the time between two checks of the waiting requests.
 const gateTickInterval = 20 * time.Millisecond
 
 // gate lets goroutines wait for the decisions of an admission.Controller.
@@ -19,10 +19,10 @@
 	budget    admission.Budget
 	waiting   map[uint64]chan admission.Effect
 	effects   []admission.Effect
-	onLoad    func(time.Time, admission.Load)    // told the counts after each change of them
-	onOutcome func(time.Time, admission.Outcome) // told how each request ended
-	open      int                                // requests between enter and the end of their permit
-	idle      chan struct{}                      // closed once draining and open is 0
+	onLoad    func(time.Time, admission.Load)    // called with the counts after each change of them
+	onOutcome func(time.Time, admission.Outcome) // called with the outcome of each request
+	open      int                                // number of requests between enter and the end of their permit
+	idle      chan struct{}                      // closed when draining and open is 0
 	draining  bool
 }
 
@@ -41,12 +41,12 @@
 	once sync.Once
 }
 
-// headerReceived tells that the answer's header came.
+// headerReceived records that the response header has arrived.
 func (p *permit) headerReceived() {
 	p.gate.do(func(c *admission.Controller, now time.Time) { c.Opened(now, p.id) })
 }
 
-// done gives the permit back. Only the first call counts.
+// done returns the permit with the request's result. Only the first call has an effect.
 func (p *permit) done(r admission.Result) {
 	p.once.Do(func() {
 		p.gate.do(func(c *admission.Controller, now time.Time) {
@@ -59,8 +59,8 @@
 	})
 }
 
-// enter waits until r may start. A *admission.Refusal means that it was not
-// and will not be run; so does an error of ctx.
+// enter waits until r may start. After an error, which is an admission.Refusal or the
+// error of ctx, the request has not run and will not run.
 func (g *gate) enter(ctx context.Context, r admission.Request) (*permit, error) {
 	g.mu.Lock()
 	g.nextID++
@@ -99,8 +99,8 @@
 	return nil, ctx.Err()
 }
 
-// cancel takes back a waiting request. It may have been started in the
-// meantime: then its slot is given back, and nothing was sent.
+// cancel withdraws a waiting request. If it has been admitted in the meantime, its slot
+// is released; nothing was sent to the backend server.
 func (g *gate) cancel(id uint64) {
 	g.do(func(c *admission.Controller, now time.Time) {
 		delete(g.waiting, id)
@@ -111,7 +111,7 @@
 	g.requestEnded()
 }
 
-// requestEnded counts the end of an open request.
+// requestEnded records the end of an open request.
 func (g *gate) requestEnded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,7 +119,7 @@
 	g.signalIdle()
 }
 
-// signalIdle tells the drain when the last open request has ended. g.mu is held.
+// signalIdle closes idle when the gate is draining and no request is open. g.mu is held.
 func (g *gate) signalIdle() {
 	if !g.draining || g.open > 0 {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// do runs f on the controller and delivers the decisions that follow.
+// do runs f on the controller and delivers the resulting decisions to waiting requests.
 func (g *gate) do(f func(*admission.Controller, time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// tick is the duty that lets waiting requests meet their deadlines.
+// tick makes the controller check the deadlines of waiting requests until ctx is done.
 func (g *gate) tick(ctx context.Context) {
 	t := time.NewTicker(gateTickInterval)
 	defer t.Stop()
@@ -167,14 +167,14 @@
 	}
 }
 
-// countAttempt counts a request's first attempt.
+// countAttempt counts the first attempt of a request in the retry budget.
 func (g *gate) countAttempt() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget.Offered()
 }
 
-// allowRetry reports whether a request may be attempted once more.
+// allowRetry reports whether the retry budget allows another attempt of a request.
 func (g *gate) allowRetry(r admission.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,7 +182,7 @@
 	return g.budget.Retry(now, r, g.ctrl.Load(now).ServiceTime)
 }
 
-// drain refuses new requests and waits until the open ones have ended.
+// drain refuses new requests and waits until the open ones have ended or ctx is done.
 func (g *gate) drain(ctx context.Context) {
 	g.do(func(c *admission.Controller, _ time.Time) {
 		c.Drain()
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -18,27 +18,27 @@
 	"github.com/hemlockscale/hemlockscale/idempotency"
 )
 
-// Headers between callers, agents and backend servers.
+// HTTP headers between callers, agents and backend servers.
 const (
-	// HeaderTimeout is how long the caller waits for the answer's header, in
-	// milliseconds. The agent passes on what is left of it.
+	// HeaderTimeout is how long the caller waits for the response header, in
+	// milliseconds. The agent forwards the remaining time to the backend server.
 	HeaderTimeout = "Request-Timeout-Ms"
-	// HeaderOutcome tells what is known of a request that got no answer of
-	// the backend server: OutcomeNotRun or OutcomeUnknown.
+	// HeaderOutcome is what is known about a request that got no response from
+	// the backend server: OutcomeNotRun, OutcomeUnknown, OutcomeRan or OutcomeRunning.
 	HeaderOutcome = "Hemlock-Outcome"
-	// HeaderReason is the reason of a refusal in one word.
+	// HeaderReason is the reason of a refusal, one word.
 	HeaderReason = "Hemlock-Reason"
-	// HeaderKey names one non-idempotent request across its repeats.
+	// HeaderKey identifies a non-idempotent request across its retries.
 	HeaderKey = "Idempotency-Key"
 )
 
 // Values of HeaderOutcome.
 const (
 	OutcomeNotRun  = "not-run" // no byte of the request reached the backend server
-	OutcomeUnknown = "unknown" // it may have run; ask before sending it again
+	OutcomeUnknown = "unknown" // the request may have run; check before sending it again
 )
 
-// handler serves the requests of one service's callers.
+// handler serves the requests of a service's callers.
 type handler struct {
 	entry   *atomic.Pointer[catalogue.Entry]
 	gate    *gate
@@ -47,21 +47,21 @@
 	metrics *metrics
 }
 
-// Fault is the final answer to a request that the backend server did not
-// answer. Its JSON form is the answer's body.
+// Fault is the agent's response to a request that got no response from the backend
+// server. Its JSON form is the response body.
 type Fault struct {
 	Status     int           `json:"status"`
 	Outcome    string        `json:"outcome"`
 	Reason     string        `json:"reason"`
 	Remedy     string        `json:"remedy"`
 	RetryAfter time.Duration `json:"-"`
-	// FirstStatus is the status of the earlier attempt; 0 if there is none.
+	// FirstStatus is the status of the response to an earlier attempt; 0 if there is none.
 	FirstStatus int `json:"first_status,omitempty"`
 }
 
 func (f *Fault) Error() string { return f.Reason + " (" + f.Outcome + "): " + f.Remedy }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	entry := h.entry.Load()
 	ctx, header := withHeaderDeadline(r, entry)
@@ -96,10 +96,9 @@
 	permit.done(admissionResult(resp))
 }
 
-// call sends a request to the backend server. A safe one that got no answer,
-// for example because its connection was closed under it, is sent once more if
-// the retry budget allows: without a budget a backend server that fails would
-// get twice its load at the worst time.
+// call sends a request to the backend server. A safe request that got no response, for
+// example because its connection was closed, is sent once more if the retry budget
+// allows. Without a budget, a failing backend server would receive twice its load.
 func (h *handler) call(ctx context.Context, r *http.Request, request admission.Request) (*http.Response, error) {
 	h.gate.countAttempt()
 	resp, err := h.backend.do(ctx, r, backendHeader(r, request.Deadline))
@@ -113,8 +112,8 @@
 	return h.backend.do(ctx, r, backendHeader(r, request.Deadline))
 }
 
-// claim asks for the right to run a non-idempotent request with a key. A
-// request without a key is run once by never being sent again.
+// claim requests the right to run a non-idempotent request with a key. A non-idempotent
+// request without a key needs none, since it is never sent twice.
 func (h *handler) claim(ctx context.Context, r *http.Request, e *catalogue.Entry) (*claim, *Fault) {
 	key := r.Header.Get(HeaderKey)
 	if safeMethod(r.Method) || key == "" {
@@ -123,7 +122,8 @@
 	return h.claims.begin(ctx, idempotency.KeyOf(e.Number, e.Owner, key))
 }
 
-// stateOfFailure tells whether a request without an answer may have run.
+// stateOfFailure returns the state of a request without a response: Lost if it may have run,
+// Released if not.
 func stateOfFailure(e *CallError) idempotency.State {
 	if e.Sent {
 		return idempotency.Lost
@@ -131,8 +131,8 @@
 	return idempotency.Released
 }
 
-// stateOfAnswer tells whether an answered request ran. A backend server that
-// refuses and says when to come back did not run it, and a repeat may.
+// stateOfAnswer returns the state of a request with a response. A backend server that sheds
+// a request and returns Retry-After has not run it, so a retry is allowed.
 func stateOfAnswer(resp *http.Response) idempotency.State {
 	if isShed(resp) && resp.Header.Get("Retry-After") != "" {
 		return idempotency.Released
@@ -144,8 +144,7 @@
 	return resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 }
 
-// headerDeadline bounds the time until the answer's header. A long body may
-// take any time after that.
+// headerDeadline bounds the time until the response header. The body may take any time.
 type headerDeadline struct {
 	deadline time.Time
 	timer    *time.Timer
@@ -153,8 +152,8 @@
 
 func (d headerDeadline) stop() { d.timer.Stop() }
 
-// withHeaderDeadline returns a context that is cancelled when the caller goes
-// away, or at the deadline unless it is stopped before.
+// withHeaderDeadline returns a context that is cancelled when the caller disconnects, or
+// at the deadline unless that is stopped before.
 func withHeaderDeadline(r *http.Request, e *catalogue.Entry) (context.Context, headerDeadline) {
 	timeout := e.Limits.Deadline
 	if timeout == 0 {
@@ -177,8 +176,8 @@
 	}
 }
 
-// classOf returns the class of a request: a feed is known by what it accepts,
-// all others are of their entry's class.
+// classOf returns the class of a request. A request that accepts an event stream is a feed;
+// all others have the class of the catalogue entry.
 func classOf(r *http.Request, e *catalogue.Entry) catalogue.Class {
 	if strings.Contains(r.Header.Get("Accept"), "text/event-stream") {
 		return catalogue.ClassStream
@@ -186,7 +185,7 @@
 	return e.Class
 }
 
-// callerAddr returns the caller's own address behind the virtual one.
+// callerAddr returns the caller's address from the request's virtual address.
 func callerAddr(r *http.Request) netip.Addr {
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -195,8 +194,8 @@
 	return addrOf(net.UDPAddrFromAddrPort(a))
 }
 
-// addrOf returns the caller's address behind a virtual one, or the unspecified
-// address for any other.
+// addrOf returns the caller's address that a virtual address encodes, or the unspecified
+// address for any other address.
 func addrOf(a net.Addr) netip.Addr {
 	u, ok := a.(*net.UDPAddr)
 	if !ok {
@@ -224,9 +223,9 @@
 	return out
 }
 
-// answer passes the backend server's answer on. If it breaks off, the
-// caller's stream is reset: a cut answer must never look whole, which it would
-// if the stream were closed normally and the answer had no length.
+// answer forwards the backend server's response. If the response is truncated, the caller's
+// stream is reset. If it were closed normally, a response without a length would appear
+// complete.
 func (h *handler) answer(w http.ResponseWriter, resp *http.Response) {
 	header := w.Header()
 	for k, v := range resp.Header {
@@ -244,13 +243,13 @@
 	h.metrics.requests.WithLabelValues("answered").Inc()
 }
 
-// copyBody copies an answer's body. flush sends each part on as it comes.
+// copyBody copies a response body. With flush, each part is sent as soon as it is read.
 func copyBody(w http.ResponseWriter, body io.Reader, flush bool) error {
 	var buf copyBuffer
 	defer buf.free()
 	rc := http.NewResponseController(w)
 	if flush {
-		rc.Flush() // the header goes out before the first part
+		rc.Flush() // send the header before the first part
 	}
 	for {
 		n, err := body.Read(buf.next())
@@ -271,7 +270,7 @@
 	}
 }
 
-// admissionResult tells the controller how the backend server took a request.
+// admissionResult returns the result of a request with a response for the controller.
 func admissionResult(resp *http.Response) admission.Result {
 	if !isShed(resp) {
 		return admission.Result{Outcome: admission.OK}
@@ -280,7 +279,7 @@
 	return admission.Result{Outcome: admission.Shed, RetryAfter: time.Duration(seconds) * time.Second}
 }
 
-// refuse sends a fault at once.
+// refuse sends f as the response.
 func (h *handler) refuse(w http.ResponseWriter, f *Fault) {
 	h.metrics.refusals.WithLabelValues(f.Reason).Inc()
 	h.metrics.requests.WithLabelValues(f.Outcome).Inc()
@@ -302,7 +301,7 @@
 	return max(1, int((d+time.Second-1)/time.Second))
 }
 
-// refusalFault is the answer to a request that the gate did not let in.
+// refusalFault returns the response to a request that the gate did not admit.
 func refusalFault(err error) *Fault {
 	var r admission.Refusal
 	if !errors.As(err, &r) {
@@ -315,10 +314,11 @@
 	return &Fault{Status: status, Outcome: OutcomeNotRun, Reason: r.Reason.String(), Remedy: r.Error(), RetryAfter: r.RetryAfter}
 }
 
-// noBackendRetryAfter is when to come back after the backend server took no byte.
+// noBackendRetryAfter is the Retry-After of a request of which no byte was sent.
 const noBackendRetryAfter = time.Second
 
-// callFault is the answer to a request that the backend server did not answer.
+// callFault returns the outcome of and the response to a request that got no response from
+// the backend server.
 func (h *handler) callFault(r *http.Request, e *CallError) (admission.Outcome, *Fault) {
 	if !e.Sent {
 		return admission.Failed, &Fault{
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -17,7 +17,7 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// newTestHandler is a handler before a backend server.
+// newTestHandler returns a handler for a backend server.
 func newTestHandler(t *testing.T, backendURL string) *handler {
 	t.Helper()
 	u, err := url.Parse(backendURL)
@@ -43,7 +43,8 @@
 	return w
 }
 
-// closingServer accepts connections, reads a request's first bytes and closes.
+// closingServer returns a server that accepts connections, reads the first bytes of a request
+// and closes the connection, and the number of requests read.
 func closingServer(t *testing.T) (url string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -72,9 +73,9 @@
 	return "http://" + ln.Addr().String(), requests
 }
 
-// TestRetriesStayWithinBudget: symptom: a backend server that fails gets twice
-// its load. Sequence: it closes every connection after reading the request;
-// each request is sent again. Cause: retries without a budget.
+// TestRetriesStayWithinBudget guards against a failing backend server that receives twice its
+// load. The server closes every connection after reading the request, and without a retry
+// budget each request is sent again.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	url, requests := closingServer(t)
 	h := newTestHandler(t, url)
@@ -89,10 +90,9 @@
 	}
 }
 
-// TestPostIsSentOnce: symptom: a reservation runs twice. Sequence: a request
-// with an idempotency key and no body goes out on a connection that was kept
-// open; the backend server has closed it after running the request.
-// Cause: http.Transport repeats such a request by itself.
+// TestPostIsSentOnce guards against a reservation that runs twice. A request with an idempotency
+// key and no body is sent on a reused connection, which the backend server closes after it has
+// run the request. http.Transport would repeat such a request by itself.
 func TestPostIsSentOnce(t *testing.T) {
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,7 @@
 	}))
 	t.Cleanup(server.Close)
 	h := newTestHandler(t, server.URL)
-	serve(h, http.MethodGet, "/warm", nil) // leaves a connection to be used again
+	serve(h, http.MethodGet, "/warm", nil) // leaves an idle connection that the next request reuses
 	r := httptest.NewRequest(http.MethodPost, "https://listing/reserve", http.NoBody)
 	r.Header.Set(HeaderKey, "key-1")
 	r.ContentLength = 0
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestNotRunWithoutBackend: a request that no byte of reached the backend
-// server is refused as not run, with a time to come back.
+// TestNotRunWithoutBackend checks that a request of which no byte has reached the backend
+// server is refused as not run, with a Retry-After.
 func TestNotRunWithoutBackend(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -135,12 +135,12 @@
 	}
 }
 
-// TestDeadlineIsPassedOn checks that the backend server is told what is left of
-// the caller's time, and that the caller is answered when it is over.
+// TestDeadlineIsPassedOn checks that the backend server receives the remaining time of the
+// caller, and that the caller gets a response when that is over.
 func TestDeadlineIsPassedOn(t *testing.T) {
 	told := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // the server watches the connection after that
+		io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body is read
 		told <- r.Header.Get(HeaderTimeout)
 		<-r.Context().Done()
 	}))
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestCloseEndsEverything: an agent that ends leaves no goroutine behind,
-// whether it ran or not. TestMain looks for them.
+// TestCloseEndsEverything checks that a closed agent leaves no goroutine behind, whether Run
+// was called or not. TestMain detects goroutines that are left.
 func TestCloseEndsEverything(t *testing.T) {
 	ring, err := fleetkey.Parse("1:000102030405060708090a0b0c0d0e0f")
 	if err != nil {
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// dataQueueSize is how many caller packets may wait for QUIC. When it is full
-	// the newest is dropped and counted: QUIC recovers from loss and slows
-	// its sender down, while blocking would hold up control datagrams.
+	// dataQueueSize is how many caller packets may wait for QUIC. When the queue
+	// is full, the newest packet is dropped and counted. QUIC recovers from the loss
+	// and slows its sender down, while blocking would delay control datagrams.
 	dataQueueSize = 4096
-	// controlQueueSize is the same for control datagrams; their protocols repeat.
+	// controlQueueSize is how many control datagrams may wait. Further ones are
+	// dropped, since their protocols retransmit.
 	controlQueueSize = 256
 )
 
-// callerPacket is a caller packet for QUIC.
+// callerPacket is a caller's packet that waits for QUIC.
 type callerPacket struct {
 	data *[udp.MaxDatagram]byte
 	n    int
 	from *net.UDPAddr
 }
 
-// firstPacketPolicy decides where a flow's first packet goes.
+// firstPacketPolicy decides which agent receives a flow's first packet.
 type firstPacketPolicy interface {
-	// place returns the agent that the packet goes on to and marks it in the
-	// header, or reports that the flow stays here.
+	// place returns the agent to forward the packet to, with elsewhere true and the
+	// header's flags set, or elsewhere false if the flow stays at this agent.
 	place(h *frame.Header, packet []byte) (to netip.AddrPort, elsewhere bool)
-	// load returns the occupancy that goes with return datagrams.
+	// load returns the occupancy that return datagrams report.
 	load() byte
 }
 
-// packetConn carries QUIC's packets inside frames over the internal socket.
-// To QUIC it is a net.PacketConn whose addresses are virtual, see pathKey.
+// packetConn carries QUIC packets inside frames over the internal socket. It implements
+// net.PacketConn with virtual addresses, see pathKey.
 type packetConn struct {
 	socket  *udp.Conn
 	paths   *paths
@@ -49,7 +50,7 @@
 	metrics *metrics
 	traced  *tracedFlows // nil when tracing is off
 
-	decoder *frame.Codec // of the receive duty
+	decoder *frame.Codec // used by receive only
 	data    chan callerPacket
 	control chan control.Datagram
 	buffers sync.Pool
@@ -62,7 +63,7 @@
 	expireOnce sync.Once
 }
 
-// outBuffer is the memory that one return datagram is built in.
+// outBuffer is the buffer in which a return datagram is built.
 type outBuffer struct {
 	codec  *frame.Codec
 	header frame.Header
@@ -93,8 +94,7 @@
 	return c, nil
 }
 
-// receive is the duty that reads the internal socket. It returns when the
-// socket is closed.
+// receive reads the internal socket until it is closed.
 func (c *packetConn) receive() error {
 	r := udp.NewReader(c.socket)
 	w := udp.NewWriter(c.socket)
@@ -122,8 +122,8 @@
 		c.metrics.unknownDatagrams.Inc()
 		return
 	}
-	// After a restart another service's agent may hold this address, and a
-	// balancer with an old roster still sends here what was meant for it.
+	// After a restart an agent of another service may have this address. A balancer with an
+	// outdated member list may then send packets here that are for the previous service.
 	if h.Service != c.service.Load() {
 		c.metrics.foreignPackets.Inc()
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-// WriteTo sends a packet to the caller behind the virtual address.
+// WriteTo sends a packet to the caller that the virtual address identifies.
 func (c *packetConn) WriteTo(p []byte, to net.Addr) (int, error) {
 	u, ok := to.(*net.UDPAddr)
 	if !ok {
@@ -198,14 +198,15 @@
 	return len(p), nil
 }
 
-// sendHeld sends a packet that was kept back, if no later one has had it sent.
+// sendHeld sends a held packet unless a later packet has already caused it to be sent.
 func (c *packetConn) sendHeld(key pathKey, h *heldPacket) {
 	if now := time.Now(); c.paths.release(key, h, now) {
 		c.send(key, h.packet(), now)
 	}
 }
 
-// send sends a packet on the ways of a path. Without any it is lost, as any datagram may be.
+// send sends a packet through the return paths selected for the caller. It drops the packet
+// if there is none, since any datagram may be lost.
 func (c *packetConn) send(key pathKey, p []byte, now time.Time) {
 	var routes [maxReturnPaths]route
 	n := c.paths.routes(key, now, &routes)
@@ -233,7 +234,7 @@
 	}
 }
 
-// Close ends ReadFrom. The socket is closed by the agent.
+// Close makes ReadFrom return net.ErrClosed. The agent closes the socket.
 func (c *packetConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return nil
@@ -244,14 +245,14 @@
 	return net.UDPAddrFromAddrPort(c.socket.LocalAddr())
 }
 
-// SetDeadline is SetReadDeadline: writes never wait.
+// SetDeadline calls SetReadDeadline, since writes never block.
 func (c *packetConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// SetWriteDeadline does nothing: writes never wait.
+// SetWriteDeadline does nothing, since writes never block.
 func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetReadDeadline ends ReadFrom for good when t is set. QUIC sets a deadline
-// only when it closes, to wake its reader.
+// SetReadDeadline makes ReadFrom fail permanently if t is not zero. QUIC sets a deadline
+// only to unblock its reader when it closes.
 func (c *packetConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() {
 		c.expireOnce.Do(func() { close(c.expired) })
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// pathIdleTimeout is after how much silence a path is forgotten. It is above
-	// the idle timeout of connections, so no open connection loses its path.
+	// pathIdleTimeout is how long after its last packet a path is removed. It is longer
+	// than the idle timeout of connections, so no open connection loses its path.
 	pathIdleTimeout = 2 * idleTimeout
-	// minResponseTimeout and silenceMost bound how long a path may be silent after
-	// something was sent on it before other ways back are tried. The least is
-	// above the 25 ms by which QUIC delays acknowledgements; trying other ways
-	// too early costs copies only.
+	// minResponseTimeout and maxResponseTimeout bound how long after a packet was sent a
+	// caller may send nothing before other return paths are tried. The minimum is
+	// above the 25 ms by which QUIC delays acknowledgements; trying other return paths
+	// too early costs only copies.
 	minResponseTimeout = 60 * time.Millisecond
 	maxResponseTimeout = 600 * time.Millisecond
-	// responseTimeGain is the weight of one observation in a path's answer time.
+	// responseTimeGain is the weight of one observation in a path's response time.
 	responseTimeGain = 1.0 / 8
-	// switchGrace is for how long after a path has changed its way answers may
-	// still be to what it sent by the way before.
+	// switchGrace is how long after a path has switched to another return path responses may
+	// still be to packets sent through the previous one.
 	switchGrace = 30 * time.Millisecond
-	// maxReturnPaths bounds the balancers remembered for one path.
+	// maxReturnPaths bounds the return paths that are kept for one path.
 	maxReturnPaths = 4
 )
 
-// pathKey is a caller and the service address that it uses.
+// pathKey identifies a path by a caller and the service address that it uses.
 //
-// The balancer is no part of it. Were it one, each balancer that a packet comes
-// through would be another path: QUIC would take every packet for a migration
-// of its caller, and no path would know more than one way back.
+// The balancer is not part of the key. Otherwise each balancer that forwards a packet
+// would create another path: QUIC would handle every packet as a migration of its caller,
+// and no path would have more than one return path.
 type pathKey struct {
 	caller  netip.AddrPort
 	address netip.Addr
 }
 
-// virtualAddr encodes a path key as one address for QUIC, so that two
-// addresses of a service used from one caller socket stay two paths. The
-// address is never sent to.
+// virtualAddr encodes a path key as one address for QUIC, so that two addresses of
+// a service that are used from one caller socket are two paths. No datagram is sent
+// to the virtual address.
 func (k pathKey) virtualAddr() *net.UDPAddr {
 	var ip [16]byte
 	ip[0] = 0xfd
@@ -50,7 +50,7 @@
 	return &net.UDPAddr{IP: ip[:], Port: int(k.caller.Port())}
 }
 
-// keyOf reads a path key back from its virtual address.
+// keyOf decodes the path key from its virtual address. ok is false for other addresses.
 func keyOf(a *net.UDPAddr) (k pathKey, ok bool) {
 	if len(a.IP) != net.IPv6len {
 		return k, false
@@ -61,36 +61,36 @@
 	return k, true
 }
 
-// candidate is a way that a path was heard through.
+// candidate is a return path through a balancer that has forwarded a path's packets.
 type candidate struct {
 	returnPath *returnPath
 	receivedAt time.Time
 }
 
-// path is one caller at one service address.
+// path is the state of one caller at one service address.
 //
-// It sends by one way for as long as that delivers. Were each packet sent by
-// another way, a way that loses everything would cost every path its share of
-// packets for as long as it lasts, and no one could tell which way it was.
+// It uses one return path for as long as that delivers. If each packet used another
+// one, a return path that loses everything would cost every path a share of its packets
+// for as long as the fault lasts, and it would not show which return path has the fault.
 type path struct {
 	virtual      *net.UDPAddr
 	receivedAt   time.Time
-	sentAt       time.Time     // first send since the path was heard; zero if none
-	responseTime time.Duration // usual time from a first send until the path is heard
+	sentAt       time.Time     // first send since the last packet was received; zero if none
+	responseTime time.Duration // average time from a first send until a packet is received
 	candidates   [maxReturnPaths]candidate
-	// validated is set once the caller has used a connection ID that this
-	// agent gave it. Until then its address may be forged, and copies would
-	// have the fleet amplify a stranger's traffic towards it.
+	// validated is set when the caller has used a connection ID that this agent
+	// has assigned. Until then its address may be forged, and copies would amplify
+	// an attacker's traffic towards that address.
 	validated     bool
-	stallReported bool // it was told of that the path stands still
+	stallReported bool // reportStall has reported or counted this stall
 	spacing       spacing
 
-	current      *returnPath // nil while the path looks for one
+	current      *returnPath // return path in use; nil while the path searches for one
 	currentSince time.Time
-	creditedAt   time.Time // when on was last credited with a delivery
+	creditedAt   time.Time // when a delivery was last recorded for current
 }
 
-// recordReceived records that the path was heard through w.
+// recordReceived records that a packet of the path was received through w.
 func (p *path) recordReceived(w *returnPath, now time.Time) {
 	p.recordAnswer(now)
 	p.receivedAt = now
@@ -110,8 +110,8 @@
 	p.candidates[oldest] = candidate{returnPath: w, receivedAt: now}
 }
 
-// recordAnswer learns from an answer how long answers take, and at most once in a
-// silence limit that the path's way delivers.
+// recordAnswer updates the path's response time when a packet is received after a send. At
+// most once per minResponseTimeout it also records a delivery for the current return path.
 func (p *path) recordAnswer(now time.Time) {
 	if p.sentAt.IsZero() {
 		return
@@ -126,9 +126,9 @@
 	p.current.recordDelivery()
 }
 
-// unresponsive reports whether nothing was heard since something was sent a while
-// ago. Packets sent by the path's way may all be lost then: a caller that
-// receives nothing has nothing to acknowledge, and so is never heard.
+// unresponsive reports whether nothing was received for longer than the response timeout
+// after a send. The current return path may then lose all packets: a caller that receives
+// nothing has nothing to acknowledge and sends nothing.
 func (p *path) unresponsive(now time.Time) bool {
 	if p.sentAt.IsZero() {
 		p.sentAt = now
@@ -138,8 +138,8 @@
 	return now.Sub(p.sentAt) > limit
 }
 
-// mostRecent returns the way that the path was heard through mostRecent, of those that are
-// at least as good as least; nil if there is none.
+// mostRecent returns the return path through which the path's last packet was received, among
+// those with at least the grade least; nil if there is none.
 func (p *path) mostRecent(least grade, now, lastReceivedAt time.Time) *returnPath {
 	var best *candidate
 	for i := range p.candidates {
@@ -157,7 +157,7 @@
 	return best.returnPath
 }
 
-// dueProbe returns a cut way that is due to be tried again, nil if there is none.
+// dueProbe returns a broken return path that is due to be probed, nil if there is none.
 func (p *path) dueProbe(now time.Time) *returnPath {
 	for i := range p.candidates {
 		if w := p.candidates[i].returnPath; w != nil && w != p.current && w.probeDue(now) {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// listReturnPaths fills out with the path's ways that are at least as good as least.
+// listReturnPaths fills out with the path's return paths that have at least the grade least.
 func (p *path) listReturnPaths(out *[maxReturnPaths]*returnPath, least grade, now, newest time.Time) (n int) {
 	clear(out[:])
 	for i := range p.candidates {
@@ -180,15 +180,15 @@
 	return n
 }
 
-// paths is the table of all paths and ways of an agent. Paths are bounded by
-// the idle sweep; ways by the number of balancers.
+// paths is the table of all paths and return paths of an agent. Idle paths are removed;
+// return paths are bounded by the number of balancers.
 type paths struct {
 	mu              sync.Mutex
 	byKey           map[pathKey]*path
 	returnPaths     map[netip.AddrPort]*returnPath
-	newest          time.Time // when any way was heard last
+	newest          time.Time // when a packet was last received through any return path
 	sweptAt         time.Time
-	unvalidatedTurn int // of unvalidated paths among their ways
+	unvalidatedTurn int // counter that rotates unvalidated paths among their return paths
 	stalls          stalls
 }
 
@@ -196,8 +196,7 @@
 	return &paths{byKey: make(map[pathKey]*path), returnPaths: make(map[netip.AddrPort]*returnPath)}
 }
 
-// received records a forwarded packet and returns the address that QUIC knows
-// its path by.
+// received records a forwarded packet and returns the virtual address of its path.
 func (t *paths) received(h *frame.Header, now time.Time) *net.UDPAddr {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,7 +207,7 @@
 		t.returnPaths[h.Via] = w
 	}
 	w.receivedAt, t.newest = now, now
-	// The echo on a handed-on packet is the one of the agent that handed it on.
+	// The echo in a packet forwarded by another agent belongs to that agent.
 	if h.Flags&frame.FlagHandedOn == 0 {
 		w.receiveEcho(now, h.Echo)
 	}
@@ -223,7 +222,7 @@
 	return p.virtual
 }
 
-// sweep forgets idle paths and balancers, once in a pathIdle.
+// sweep removes idle paths and return paths, at most once per pathIdleTimeout.
 func (t *paths) sweep(now time.Time) {
 	if now.Sub(t.sweptAt) < pathIdleTimeout {
 		return
@@ -241,15 +240,15 @@
 	}
 }
 
-// route is one way for a return datagram.
+// route is the balancer and the sequence number of one return datagram.
 type route struct {
 	balancer netip.AddrPort
 	seq      uint32
 }
 
-// routes fills out with where a packet for a path goes: one way, and more for
-// copies when the path is silent or a cut way is to be probed. QUIC discards
-// the copies that arrive.
+// routes fills out with the routes of a packet for a path: one return path, and more for
+// copies when the path is unresponsive or a broken return path is to be probed. QUIC
+// discards duplicates.
 func (t *paths) routes(key pathKey, now time.Time, out *[maxReturnPaths]route) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,7 +272,7 @@
 		p.spacing.start(now)
 		if p.current != nil {
 			p.current.recordFailure(now, t.bestDelivery(now))
-			p.current = nil // a path counts against its way once, however long it stays silent
+			p.current = nil // a path records one failure, however long it stays unresponsive
 		}
 		return t.searchReturnPaths(p, now, out)
 	}
@@ -287,9 +286,10 @@
 	return 1
 }
 
-// switchReturnPath puts a path on the usable way that it was heard through last, or on
-// any usable one: the fabric hands a caller's packets to any balancer, so any
-// balancer reaches the caller. If none is usable it is the one heard last.
+// switchReturnPath switches a path to the usable return path through which it received its
+// last packet, or to any usable one: the network may route a caller's packets to any balancer,
+// so any balancer can reach the caller. If none is usable it selects the most recent one of
+// the best grade.
 func (t *paths) switchReturnPath(p *path, now time.Time) {
 	w := p.mostRecent(gradeUsable, now, t.newest)
 	if w == nil {
@@ -303,14 +303,14 @@
 	}
 }
 
-// searchReturnPaths fills out with ways for a path that is silent: all those that may
-// deliver. Dead ways are left out while there are others. Were a packet lost
-// once more, QUIC would take it for congestion, shrink its window to two
-// packets, and then each lost acknowledgement would double the pause.
+// searchReturnPaths fills out with all return paths that may deliver, for a path that is
+// unresponsive. It omits failed ones while there are others. If a packet were lost again,
+// QUIC would assume congestion and shrink its window to two packets, and then each lost
+// acknowledgement would double the pause.
 func (t *paths) searchReturnPaths(p *path, now time.Time, out *[maxReturnPaths]*returnPath) (n int) {
 	n = p.listReturnPaths(out, gradeUsable, now, t.newest)
 	if n < 2 {
-		// A caller that never got an answer was heard by few balancers.
+		// A caller that never got a response has sent few packets, through few balancers.
 		if w := t.otherUsable(now, out[0]); w != nil {
 			out[n] = w
 			n++
@@ -327,7 +327,7 @@
 	return n
 }
 
-// otherUsable returns some usable way besides w, nil if there is none.
+// otherUsable returns any usable return path except w, nil if there is none.
 func (t *paths) otherUsable(now time.Time, w *returnPath) *returnPath {
 	for _, o := range t.returnPaths {
 		if o != w && o.grade(now, t.newest) == gradeUsable {
@@ -337,8 +337,8 @@
 	return nil
 }
 
-// bestDelivery returns the delivery of the best way that is alive. That of a
-// dead one stays what it was, and no living way should be measured by it.
+// bestDelivery returns the highest delivery rate of the return paths that have not failed.
+// That of a failed one no longer changes, so others must not be compared with it.
 func (t *paths) bestDelivery(now time.Time) float64 {
 	best := 0.0
 	for _, w := range t.returnPaths {
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -17,11 +17,11 @@
 	allBalancers = []netip.AddrPort{balancerA, balancerB, balancerC}
 )
 
-// pathTest drives a table of paths in place of pathTest and balancers.
+// pathTest drives a table of paths in place of callers and balancers.
 type pathTest struct {
 	t   *paths
 	now time.Time
-	// echo holds the newest sequence number that each balancer got.
+	// echo holds the latest sequence number that each balancer has received.
 	echo map[netip.AddrPort]uint32
 }
 
@@ -34,7 +34,7 @@
 	return c.t.received(&h, c.now).String()
 }
 
-// send sends one packet and returns the balancers that it went to.
+// send sends one packet and returns the balancers to which it was sent.
 func (c *pathTest) send(k pathKey) []netip.AddrPort {
 	var routes [maxReturnPaths]route
 	n := c.t.routes(k, c.now, &routes)
@@ -52,28 +52,27 @@
 	return k
 }
 
-// TestOnePathThroughTwoBalancers: symptom: open downloads stall for 7.5 s after
-// a balancer's death. Sequence: a caller is heard through two balancers, one of
-// them dies. Cause: the balancer's port was part of the path's address, so that
-// each path knew one way back only and QUIC saw a migrating caller.
+// TestOnePathThroughTwoBalancers guards against open downloads that stall for 7.5 s after a
+// balancer has failed, when a caller's packets arrive through two balancers. With the balancer
+// in the path's address, each path has one return path only and QUIC sees a migrating caller.
 func TestOnePathThroughTwoBalancers(t *testing.T) {
 	c := newPathTest()
 	if a, b := c.receive(testKey, balancerA), c.receive(testKey, balancerB); a != b {
-		t.Fatalf("two paths: %s and %s", a, b)
+		t.Fatalf("packets of one caller through two balancers are two paths: %s and %s", a, b)
 	}
 	other := testKey
 	other.address = netip.MustParseAddr("198.51.100.2")
 	if a, b := c.receive(testKey, balancerA), c.receive(other, balancerA); a == b {
-		t.Fatal("two addresses of a service are one path")
+		t.Fatal("packets for two addresses of a service are one path")
 	}
 	k, ok := keyOf(testKey.virtualAddr())
 	if !ok || k != testKey {
-		t.Fatalf("key %v became %v", testKey, k)
+		t.Fatalf("key %v decoded as %v", testKey, k)
 	}
 }
 
-// TestSilentPathTriesOtherWays: a path whose packets go unanswered is tried by
-// ways other than the one that it was on.
+// TestSilentPathTriesOtherWays checks that a path without responses is tried through return
+// paths other than the one in use.
 func TestSilentPathTriesOtherWays(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
@@ -82,12 +81,12 @@
 	on := c.send(testKey)[0]
 	c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	if to := c.send(testKey); len(to) != 3 {
-		t.Fatalf("silent on %v, tried %v", on, to)
+		t.Fatalf("unresponsive on %v, tried %v, want all three balancers", on, to)
 	}
 }
 
-// TestForgedCallerGetsNoCopies: a path that is known by first packets only may
-// have a forged address. Copies to it would amplify a stranger's traffic.
+// TestForgedCallerGetsNoCopies checks that no copies are sent on a path with first packets
+// only. Its address may be forged, and copies would amplify an attacker's traffic.
 func TestForgedCallerGetsNoCopies(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
@@ -98,44 +97,42 @@
 	for range 6 {
 		to := c.send(testKey)
 		if len(to) != 1 {
-			t.Fatalf("%d datagrams for one", len(to))
+			t.Fatalf("%d datagrams for one packet, want 1", len(to))
 		}
 		tried[to[0]] = true
 		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	}
 	if len(tried) != 3 {
-		t.Fatalf("tried %v only", tried)
+		t.Fatalf("tried only %v, want all three balancers", tried)
 	}
 }
 
-// TestDeadBalancerIsLeftOut: symptom: flows crawl for half a minute after an
-// availability zone's balancers die. Sequence: acknowledgements are lost, a
-// path falls silent, copies go by ways that are dead as well, QUIC shrinks its
-// window, and each further lost acknowledgement doubles the pause. Cause: dead
-// balancers stayed in the rotation although no path heard them any more.
+// TestDeadBalancerIsLeftOut guards against flows that are slow for half a minute after an
+// availability zone's balancers have failed. Acknowledgements are lost, copies are sent
+// through failed balancers from which no path receives packets, QUIC shrinks its window, and
+// each further lost acknowledgement doubles the pause.
 func TestDeadBalancerIsLeftOut(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
 	}
 	c.now = c.now.Add(failedAfter + time.Millisecond)
-	c.receive(callerKey(1), balancerA) // another path; this one hears nothing
+	c.receive(callerKey(1), balancerA) // another path; testKey's receives nothing
 	for range 6 {
 		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 		c.receive(callerKey(1), balancerA)
 		for _, b := range c.send(testKey) {
 			if b != balancerA {
-				t.Fatalf("sent to %v, which is dead", b)
+				t.Fatalf("sent to %v, which has failed", b)
 			}
 		}
 	}
 }
 
-// TestWayThatLosesEverythingIsLeftOut: symptom: a third of what agents send is
-// lost for as long as a balancer hears but reaches no caller. Sequence: such a
-// balancer goes on being heard and echoing. Cause: packets of each path went by
-// whichever balancer it was heard through last, so that every path lost a part
-// and no way stood out. Here B loses all that goes to callers.
+// TestWayThatLosesEverythingIsLeftOut guards against losing a third of the agents' packets for
+// as long as a balancer forwards and echoes but reaches no caller, as B does here. If each
+// path sends through the balancer of its last packet, every path loses a part and no return
+// path stands out.
 func TestWayThatLosesEverythingIsLeftOut(t *testing.T) {
 	const paths, rounds = 12, 200
 	c := newPathTest()
@@ -160,12 +157,12 @@
 		}
 	}
 	if lost*20 > sent {
-		t.Fatalf("%d of %d packets went by the way that loses them", lost, sent)
+		t.Fatalf("%d of %d packets sent through the balancer that loses them", lost, sent)
 	}
 }
 
-// TestNewFlowsAvoidWayThatLoses: flows that come up while a way loses all that
-// goes to callers stall on it, unless what other flows have seen is used.
+// TestNewFlowsAvoidWayThatLoses guards against new flows that stall on a return path which
+// loses all packets to callers, although other flows have already shown that it does.
 func TestNewFlowsAvoidWayThatLoses(t *testing.T) {
 	const flows = 200
 	c := newPathTest()
@@ -176,7 +173,7 @@
 		first := c.send(k)[0]
 		c.now = c.now.Add(minResponseTimeout / 2)
 		if first != balancerB {
-			c.receive(k, balancerB) // it hears and echoes; only callers get nothing
+			c.receive(k, balancerB) // B receives and echoes, but its packets to callers are lost
 			continue
 		}
 		lost++
@@ -191,8 +188,8 @@
 	}
 }
 
-// TestVanishedCallersExcludeNoWay: callers that crash fall silent on sound
-// ways. No way may be left out for that while others are answered on it.
+// TestVanishedCallersExcludeNoWay checks that callers that crash, and so stop responding on
+// working return paths, do not exclude a return path on which other callers respond.
 func TestVanishedCallersExcludeNoWay(t *testing.T) {
 	c := newPathTest()
 	for round := range 300 {
@@ -202,7 +199,7 @@
 			c.receive(k, allBalancers[(round+i)%3])
 			c.send(k)
 		}
-		for i := range 3 { // heard once, then never again
+		for i := range 3 { // received once, then never again
 			c.receive(callerKey(100+3*round+i), allBalancers[i])
 			c.send(callerKey(100 + 3*round + i))
 			if round >= 9 {
@@ -217,11 +214,10 @@
 	}
 }
 
-// TestLivingWaysOutlastDeadOnes: symptom: after half of the balancers died a
-// flow stalls for half a minute. Sequence: callers' acknowledgements get lost on
-// their way to the dead balancers, paths fall silent on sound ways and count
-// against them, until those are left out and only dead ones are tried. Cause:
-// the living were measured by what the dead had delivered before they died.
+// TestLivingWaysOutlastDeadOnes guards against a flow that stalls for half a minute after half
+// of the balancers have failed. Acknowledgements to failed balancers are lost, so paths become
+// unresponsive on working return paths. Compared with the failed ones' last delivery rate, the
+// working ones would be excluded and only failed ones tried.
 func TestLivingWaysOutlastDeadOnes(t *testing.T) {
 	c := newPathTest()
 	dead := allBalancers[0]
@@ -234,14 +230,14 @@
 		for i, b := range allBalancers[1:] {
 			c.receive(callerKey(1+i), b)
 		}
-		c.send(testKey) // falls silent on a living way
+		c.send(testKey) // becomes unresponsive on a working return path
 		c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 		for i, b := range allBalancers[1:] {
 			c.receive(callerKey(1+i), b)
 		}
 		for _, b := range c.send(testKey) {
 			if b == dead {
-				t.Fatal("sent to a dead balancer")
+				t.Fatal("sent to a failed balancer")
 			}
 		}
 		c.receive(testKey, balancerB)
@@ -254,36 +250,37 @@
 	}
 }
 
-// TestUnechoedWayIsCut: symptom: long flows stall. Sequence: a balancer hears
-// callers but gets nothing from this agent. Cause: it was the one last heard.
+// TestUnechoedWayIsCut guards against long flows that stall because the agent sends through the
+// balancer of their last packet, which forwards callers' packets but receives nothing from
+// this agent.
 func TestUnechoedWayIsCut(t *testing.T) {
 	c := newPathTest()
 	c.receive(testKey, balancerA)
 	c.now = c.now.Add(time.Millisecond)
 	c.receive(testKey, balancerB)
 	if to := c.send(testKey); to[0] != balancerB {
-		t.Fatalf("sent to %v", to)
+		t.Fatalf("sent to %v, want the balancer of the last packet first", to)
 	}
-	c.echo[balancerB] = 0 // it never arrived
+	c.echo[balancerB] = 0 // the packet never arrived
 	c.now = c.now.Add(echoTimeout + time.Millisecond)
 	c.receive(testKey, balancerA)
 	c.receive(testKey, balancerB)
 	to := c.send(testKey)
 	if to[0] != balancerA {
-		t.Fatalf("sent by the cut way: %v", to)
+		t.Fatalf("sent through the broken return path: %v", to)
 	}
 	if len(to) != 2 || to[1] != balancerB {
-		t.Fatalf("cut way not probed: %v", to)
+		t.Fatalf("broken return path not probed: %v", to)
 	}
 	c.receive(testKey, balancerB) // the probe is echoed
 	if c.t.returnPaths[balancerB].broken {
-		t.Fatal("healed way is still cut")
+		t.Fatal("return path is still broken after its probe was echoed")
 	}
 }
 
-// One of eight downloads stood still for 88 s while its agent's log had no line on it. A
-// path that is sent to and not heard is told of once a silence, and of many at once in one
-// line a second.
+// TestSilentPathIsToldOf guards against a stalled download without a line in its agent's log,
+// which one of eight downloads had for 88 s. A path that does not respond is reported once per
+// stall, and many stalled paths in one report per second.
 func TestSilentPathIsToldOf(t *testing.T) {
 	c := newPathTest()
 	var told []stall
@@ -301,15 +298,15 @@
 	}
 	silence(stallTimeout - time.Second)
 	if len(told) != 0 {
-		t.Fatalf("told of %+v before the path stood still", told)
+		t.Fatalf("reported %+v before the path was stalled", told)
 	}
 	silence(5 * time.Second)
 	if len(told) != 1 || len(told[0].returnPaths) != 1 || told[0].returnPaths[0].balancer != balancerA {
-		t.Fatalf("told of %+v, want one line with the way", told)
+		t.Fatalf("reported %+v, want one report with the return path", told)
 	}
 	c.receive(callerKey(0), balancerA)
 	silence(stallTimeout + time.Second)
 	if len(told) != 2 || told[1].key != callerKey(0) || told[1].others != callers-1 {
-		t.Errorf("told of %+v, want another line once the path was heard in between", told)
+		t.Errorf("reported %+v, want another report after the path had received a packet in between", told)
 	}
 }
--- a/internal/agent/returnpath.go
+++ b/internal/agent/returnpath.go
@@ -6,51 +6,50 @@
 )
 
 const (
-	// echoTimeout is how long a return datagram may stay unechoed by a
-	// balancer that goes on sending before its way back counts as cut.
+	// echoTimeout is how long the echo of a return datagram may be missing from the packets
+	// of a balancer before the return path through it counts as broken.
 	echoTimeout = 400 * time.Millisecond
-	// probeInterval is how often a cut way is tried again.
+	// probeInterval is the time between two probes of a broken return path.
 	probeInterval = 500 * time.Millisecond
-	// failedAfter is how much longer than the others a balancer may be unheard
-	// by all paths before it counts as dead.
+	// failedAfter is how much older a balancer's last packet may be than the last packet
+	// from any balancer before the balancer counts as failed.
 	failedAfter = 300 * time.Millisecond
-	// minExclusion is for how long a way that does not deliver is left out at
-	// first. Each time that it fails again the time doubles, to excludeMost:
-	// a trial of a way that still fails stalls one flow.
+	// minExclusion is how long a return path that does not deliver is excluded the first
+	// time. The time doubles with each further failure, up to maxExclusion, because every
+	// trial of a return path that still fails stalls a flow.
 	minExclusion = time.Second
 	maxExclusion = 32 * time.Second
-	// deliveryGain is the weight of one observation in a way's delivery.
+	// deliveryGain is the weight of one observation in a return path's delivery rate.
 	deliveryGain = 1.0 / 8
-	// maxDeliveryGap is how far a way's delivery may lie below the best one's.
-	// Callers that vanish count against the ways of their paths too, but
-	// against all ways alike.
+	// maxDeliveryGap is how far a return path's delivery rate may be below the best one.
+	// Callers that disappear also lower the rates, but those of all return paths alike.
 	maxDeliveryGap = 0.4
 )
 
-// returnPath is the returnPath back through one balancer, shared by all paths.
+// returnPath is the path back to callers through one balancer, shared by all paths.
 //
-// Three things go wrong with it, none of which shows at the caller side of
-// this agent's socket.
+// It detects three faults, none of which causes an error on this agent's socket:
 //
-// The balancer dies: it is no longer heard, by any path, while others are.
+// The balancer fails: no path receives packets from it any more, while packets from other
+// balancers arrive.
 //
-// The agent's datagrams no longer reach it, while its own still arrive: the
-// sequence number of a return datagram never comes back as an echo.
+// The agent's datagrams no longer reach the balancer, while the balancer's still arrive: the
+// sequence number of a return datagram is never echoed.
 //
-// What it sends to callers is lost, while it still hears, echoes and is heard:
-// paths that use it fall silent, one after the other, and paths that use other
-// ways do not. That is told by delivery.
+// The balancer's packets to callers are lost, while it still receives, echoes and forwards:
+// paths that use it become unresponsive one after another, and paths that use other balancers
+// do not. deliveryRate shows this.
 type returnPath struct {
 	balancer   netip.AddrPort
 	receivedAt time.Time
 
 	seq          uint32
 	sampleSeq    uint32    // sequence number whose echo is awaited
-	sampleSentAt time.Time // when it was sent; zero if none is awaited
+	sampleSentAt time.Time // when sampleSeq was sent; zero if no echo is awaited
 	broken       bool
 	probedAt     time.Time
 
-	deliveryRate  float64 // share of the paths' epochs on this way in which callers answered
+	deliveryRate  float64 // moving average of the share of observations in which callers responded
 	excludedUntil time.Time
 	backoff       time.Duration
 }
@@ -59,7 +58,7 @@
 	return &returnPath{balancer: balancer, deliveryRate: 1}
 }
 
-// receiveEcho takes in a datagram from the balancer at now with its echo.
+// receiveEcho handles the echo in a datagram from the balancer.
 func (w *returnPath) receiveEcho(now time.Time, echo uint32) {
 	if w.sampleSentAt.IsZero() {
 		return
@@ -74,7 +73,7 @@
 	}
 }
 
-// nextSeq numbers a return datagram sent through w at now.
+// nextSeq returns the sequence number of a return datagram that is sent through w at now.
 func (w *returnPath) nextSeq(now time.Time) uint32 {
 	w.seq++
 	if w.sampleSentAt.IsZero() || w.broken {
@@ -83,7 +82,7 @@
 	return w.seq
 }
 
-// probeDue reports whether a cut way is to be tried again.
+// probeDue reports whether a broken return path is to be probed now.
 func (w *returnPath) probeDue(now time.Time) bool {
 	if !w.broken || now.Sub(w.probedAt) < probeInterval {
 		return false
@@ -92,7 +91,7 @@
 	return true
 }
 
-// recordDelivery records that a path on this way was answered.
+// recordDelivery records that a caller has responded to a packet sent through w.
 func (w *returnPath) recordDelivery() {
 	w.deliveryRate += (1 - w.deliveryRate) * deliveryGain
 	if w.deliveryRate > 1-maxDeliveryGap {
@@ -100,8 +99,8 @@
 	}
 }
 
-// recordFailure records that a path on this way fell silent. best is the delivery of
-// the best way.
+// recordFailure records that a path that uses w has become unresponsive. best is the highest
+// delivery rate of all return paths.
 func (w *returnPath) recordFailure(now time.Time, best float64) {
 	w.deliveryRate -= w.deliveryRate * deliveryGain
 	if w.deliveryRate > best-maxDeliveryGap || now.Before(w.excludedUntil) {
@@ -111,17 +110,18 @@
 	w.excludedUntil = now.Add(w.backoff)
 }
 
-// grade tells how much is to be expected of a way.
+// grade rates whether a return path is expected to deliver.
 type grade int
 
-// The grades, from the worst.
+// The grades, the worst first.
 const (
-	gradeFailed   grade = iota // not heard while others are, or cut
-	gradeExcluded              // heard, but left out for what it lost
-	gradeUsable                // nothing speaks against it
+	gradeFailed   grade = iota // no packets received while others deliver some, or broken
+	gradeExcluded              // packets received, but excluded for its delivery rate
+	gradeUsable                // no fault detected
 )
 
-// grade returns the grade of w. newest is when any way was heard last.
+// grade returns the grade of w. newest is when a packet was last received through any
+// return path.
 func (w *returnPath) grade(now, newest time.Time) grade {
 	switch {
 	case w.broken || newest.Sub(w.receivedAt) > failedAfter:
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -6,7 +6,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Handler returns what serves the callers' requests, for servers beside the
+// Handler returns the handler of the callers' requests, for use in servers other than the
 // agent's own.
 func (a *Agent) Handler() http.Handler { return a.http.Handler }
 
--- a/internal/agent/spacing.go
+++ b/internal/agent/spacing.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// ackSpacing is the time between two packets that are to be acknowledged by two
-	// datagrams: above the 25 ms by which a caller's QUIC delays an acknowledgement.
+	// ackSpacing is the time between two packets that are to be acknowledged separately. It
+	// is above the 25 ms by which a caller's QUIC delays an acknowledgement.
 	ackSpacing = 30 * time.Millisecond
-	// spacingDuration is how long after it was silent a path is spaced.
+	// spacingDuration is how long packets are spaced after a path was unresponsive.
 	spacingDuration = 10 * time.Second
 )
 
-// spacing keeps the last packet of each burst back for ackSpacing on a path that was silent
-// a while ago.
+// spacing delays the last packet of each burst by ackSpacing on a path that was recently
+// unresponsive.
 //
-// Where half of the balancers are gone, the fabric loses half of what callers send. QUIC
-// sends two packets when its timer fires, they arrive together, and the caller answers with
-// one acknowledgement. Each one that is lost doubles the timer: some flows stood still for a
-// minute. Two packets that arrive apart are answered twice.
+// If half of the balancers have failed, the network loses half of the packets that callers
+// send. QUIC sends two packets when its timer fires. They arrive together, and the caller
+// sends one acknowledgement for both. Each lost acknowledgement doubles the timer, which
+// stalled some flows for a minute. Two packets that arrive apart are acknowledged separately.
 type spacing struct {
 	until  time.Time
 	sentAt time.Time
 	held   *heldPacket
 }
 
-// heldPacket is a packet that is kept back.
+// heldPacket is a packet whose sending is delayed.
 type heldPacket struct {
 	n int
 	b [udp.MaxDatagram]byte
@@ -35,11 +35,12 @@
 
 func (h *heldPacket) packet() []byte { return h.b[:h.n] }
 
-// start has the path spaced from now on.
+// start enables spacing for spacingDuration.
 func (s *spacing) start(now time.Time) { s.until = now.Add(spacingDuration) }
 
-// hold takes a packet that is to be sent. It returns the one that was kept back before, nil
-// if there is none, which goes first; and kept, if the packet itself is kept back.
+// hold is called with each packet to be sent. It returns the packet held before, which has
+// to be sent first, and the held copy of the packet itself if it is to be delayed. Either
+// may be nil.
 func (s *spacing) hold(packet []byte, now time.Time) (before, kept *heldPacket) {
 	before, s.held = s.held, nil
 	spaced := now.Before(s.until) && (before != nil || now.Sub(s.sentAt) < ackSpacing)
@@ -52,7 +53,7 @@
 	return before, s.held
 }
 
-// release gives up a packet that was kept back, and reports whether it still was.
+// release ends the delay of h, and reports whether h was still held and has to be sent.
 func (s *spacing) release(h *heldPacket, now time.Time) bool {
 	if s.held != h {
 		return false
@@ -62,7 +63,7 @@
 	return true
 }
 
-// holdPacket takes a packet for a path that is to be sent, as spacing.take does.
+// holdPacket calls spacing.hold for a packet to be sent on a path.
 func (t *paths) holdPacket(key pathKey, packet []byte, now time.Time) (before, kept *heldPacket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +74,7 @@
 	return p.spacing.hold(packet, now)
 }
 
-// release reports whether a packet that was kept back is to be sent now.
+// release calls spacing.release for a held packet of a path.
 func (t *paths) release(key pathKey, h *heldPacket, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/agent/spacing_test.go
+++ b/internal/agent/spacing_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Guards against two packets that arrive together, and so are answered by one
-// acknowledgement that may be lost, on a path that was silent.
+// Guards against two packets that arrive together on a path that was unresponsive, and are
+// acknowledged by a single packet, which may be lost.
 func TestPacketsOfASilentPathAreSpaced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s spacing
 	if _, kept := s.hold([]byte{1}, now); kept != nil {
-		t.Fatal("a path that was never silent is spaced")
+		t.Fatal("packet held on a path that was never unresponsive")
 	}
 	s.start(now)
 	now = now.Add(ackSpacing)
 	if before, kept := s.hold([]byte{2}, now); before != nil || kept != nil {
-		t.Fatalf("the first packet of a burst: before %v, kept %v", before, kept)
+		t.Fatalf("first packet of a burst: before %v, held %v, want neither", before, kept)
 	}
 	_, second := s.hold([]byte{3}, now)
 	if second == nil {
-		t.Fatal("the second packet of a burst is not kept back")
+		t.Fatal("second packet of a burst is not held")
 	}
 	before, third := s.hold([]byte{4}, now)
 	if before != second || third == nil {
-		t.Fatal("of three packets the second is not sent when the third comes")
+		t.Fatal("second of three packets is not sent before the third")
 	}
 	if s.release(second, now) {
-		t.Error("a packet is sent twice")
+		t.Error("packet is sent twice")
 	}
 	if !s.release(third, now.Add(ackSpacing)) {
-		t.Error("the last packet of a burst is not sent")
+		t.Error("last packet of a burst is not sent")
 	}
 	now = now.Add(spacingDuration)
 	s.hold([]byte{5}, now)
 	if _, kept := s.hold([]byte{6}, now); kept != nil {
-		t.Error("a path is spaced long after it was silent")
+		t.Error("packet held after spacingDuration")
 	}
 }
--- a/internal/agent/stalls.go
+++ b/internal/agent/stalls.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// stallTimeout is the silence of a path from which it counts as standing still: above
-	// the time in which a way that does not deliver is found out and left.
+	// stallTimeout is how long after a send a path without a response counts as stalled. It is
+	// above the time in which a return path that does not deliver is detected and replaced.
 	stallTimeout = 3 * time.Second
-	// stallLogInterval is the time between two log lines on paths that stand still. A zone
-	// that is gone silences thousands at once.
+	// stallLogInterval is the minimum time between two log lines on stalled paths. The failure
+	// of an availability zone stalls thousands at once.
 	stallLogInterval = time.Second
 )
 
-// stall is a path that was sent to for stallAfter without being heard.
+// stall describes a path on which nothing was received for stallTimeout after a send.
 type stall struct {
 	key         pathKey
 	returnPaths []returnPathState
-	// others is the number of paths that stand still and got no line of their own.
+	// others is the number of stalled paths without a log line of their own since the last line.
 	others int
 }
 
-// returnPathState is a way of a path and what is expected of it.
+// returnPathState is the state of a return path for a log line.
 type returnPathState struct {
 	balancer      netip.AddrPort
 	grade         grade
-	sinceReceived time.Duration // since the balancer was heard last, by any path
+	sinceReceived time.Duration // time since any path received a packet from the balancer
 	deliveryRate  float64
 }
 
 // String returns the state for a log line.
 func (s returnPathState) String() string {
-	return fmt.Sprintf("%v %s, unheard for %v, delivers %.2f", s.balancer, s.grade, s.sinceReceived.Round(time.Millisecond), s.deliveryRate)
+	return fmt.Sprintf("%v %s, nothing received for %v, delivery rate %.2f", s.balancer, s.grade, s.sinceReceived.Round(time.Millisecond), s.deliveryRate)
 }
 
 // String returns the grade's name.
-func (g grade) String() string { return [...]string{"dead", "left out", "usable"}[g] }
+func (g grade) String() string { return [...]string{"dead", "excluded", "usable"}[g] }
 
-// stalls tells of paths that stand still. Without its lines a download that hangs can't be
-// traced: that the agent sends and is not heard, or that it does not send, looks alike.
+// stalls reports stalled paths. Without its log lines the cause of a hanging download can't be
+// found: an agent that sends and gets no response looks the same as one that does not send.
 type stalls struct {
-	log        func(stall) // nil: nobody is told
+	log        func(stall) // nil: stalls are not reported
 	loggedAt   time.Time
 	suppressed int
 }
 
-// reportStall takes a path that waits for an answer, and tells of it once a silence.
+// reportStall reports a path that waits for a response once it is stalled, once per stall.
+// Within stallLogInterval of a report, further paths are only counted. t.mu is held.
 func (t *paths) reportStall(key pathKey, p *path, now time.Time) {
 	if p.stallReported || now.Sub(p.sentAt) < stallTimeout || t.stalls.log == nil {
 		return
@@ -69,9 +70,9 @@
 	t.stalls.log(s)
 }
 
-// logStall writes the line of a path that stands still.
+// logStall returns a function that logs a stalled path.
 func logStall(log *zap.Logger) func(stall) {
 	return func(s stall) {
-		log.Warn("path silent", zap.Stringer("caller", s.key.caller), zap.Stringer("address", s.key.address), zap.Stringers("ways", s.returnPaths), zap.Int("others", s.others))
+		log.Warn("caller does not respond on any return path", zap.Stringer("caller", s.key.caller), zap.Stringer("address", s.key.address), zap.Stringers("return_paths", s.returnPaths), zap.Int("other_stalled_paths", s.others))
 	}
 }
--- a/internal/agent/tracing.go
+++ b/internal/agent/tracing.go
@@ -21,36 +21,36 @@
 )
 
 const (
-	// maxTracedFlows bounds the traced flows whose handshake is under way. Further
-	// ones stay untraced.
+	// maxTracedFlows bounds the traced flows whose handshake is in progress. Further
+	// flows are not traced.
 	maxTracedFlows = 4096
-	// maxBalancersPerFlow bounds the balancers that one flow's first packets came by.
+	// maxBalancersPerFlow bounds the balancers recorded for one flow's first packets.
 	maxBalancersPerFlow = 4
 )
 
-// tracedFlow is what the forwarding headers told of a traced flow.
+// tracedFlow holds what the forwarding headers contain about a traced flow.
 type tracedFlow struct {
 	at  time.Time
 	via []netip.AddrPort // balancers that forwarded first packets
-	ids []tracing.Flow   // of their spans, in the same order
+	ids []tracing.Flow   // IDs of the spans of via, in the same order
 
-	mu      sync.Mutex // guards claimed and ids once the flow is connected
-	claimed bool       // the first traced request claims the spans
+	mu      sync.Mutex // guards claimed and ids after attach
+	claimed bool       // a traced request has claimed the spans
 }
 
-// tracedFlows joins requests to the spans of the balancers that forwarded their
-// flow's first packets. A nil *tracedFlows is tracing that is off.
+// tracedFlows links requests to the spans of the balancers that forwarded their flow's
+// first packets. A nil *tracedFlows means that tracing is off.
 type tracedFlows struct {
 	spans  *tracing.Provider
 	link   *control.Link
-	hash   *tracing.Flows // of the receive duty
+	hash   *tracing.Flows // used by the receive loop only
 	packet quicwire.Packet
 
-	mu    sync.Mutex // guards marks and what they point to until connected
+	mu    sync.Mutex // guards byKey and its flows until attach
 	byKey map[pathKey]*tracedFlow
 }
 
-// newTracedFlows returns nil when tracing is off.
+// newTracedFlows returns nil if tracing is off.
 func newTracedFlows(p *tracing.Provider, ring fleetkey.Ring, link *control.Link) (*tracedFlows, error) {
 	if !p.On() {
 		return nil, nil
@@ -62,7 +62,8 @@
 	return &tracedFlows{spans: p, link: link, hash: hash, byKey: make(map[pathKey]*tracedFlow)}, nil
 }
 
-// recordFirstPacket takes in a first packet of a traced flow. The receive duty calls it.
+// recordFirstPacket records a first packet if its flow is traced. Only the receive loop
+// calls it.
 func (m *tracedFlows) recordFirstPacket(h *frame.Header, packet []byte, now time.Time) {
 	if m == nil || h.Flags&frame.FlagSampled == 0 || !quicwire.Parse(packet, connid.Len, &m.packet) {
 		return
@@ -72,7 +73,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.byKey[key]
-	// A caller's socket may open another flow: its marks are its own.
+	// A caller's socket may open another flow, which gets an entry of its own.
 	if f == nil || f.ids[0].Trace != flow.Trace {
 		if f == nil && !m.makeRoom(now) {
 			return
@@ -86,7 +87,8 @@
 	}
 }
 
-// makeRoom forgets flows that never connected when there are many. m.mu is held.
+// makeRoom reports whether another flow may be recorded. At the limit it first removes
+// flows whose connection was never established. m.mu is held.
 func (m *tracedFlows) makeRoom(now time.Time) bool {
 	if len(m.byKey) < maxTracedFlows {
 		return true
@@ -101,8 +103,7 @@
 
 type tracedFlowKey struct{}
 
-// attach puts a connection's mark into its context. Packets that come later
-// change it no more.
+// attach moves a connection's traced flow into its context. Later packets do not change it.
 func (m *tracedFlows) attach(ctx context.Context, remote net.Addr) context.Context {
 	if m == nil {
 		return ctx
@@ -125,7 +126,7 @@
 	return context.WithValue(ctx, tracedFlowKey{}, f)
 }
 
-// wrap returns h with a span around each request of a traced flow.
+// wrap returns a handler that records a span for each request of a traced flow.
 func (m *tracedFlows) wrap(h http.Handler) http.Handler {
 	if m == nil {
 		return h
@@ -133,10 +134,10 @@
 	return m.spans.Wrap(h, m.spanLinks)
 }
 
-// spanLinks picks the requests of flows that a balancer marked, unless the caller
-// wants no trace. The agent's span is the child of the caller's and linked to
-// the balancers': the first request claims those for its own trace, later ones
-// of the connection were forwarded without a first packet.
+// spanLinks reports whether a request is traced, which it is if a balancer has selected its
+// flow and the caller does not disable tracing. The agent's span is a child of the caller's
+// and has links to the balancers' spans. The first traced request of a connection claims
+// those for its trace, since later requests were forwarded without a first packet.
 func (m *tracedFlows) spanLinks(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
 	f, ok := r.Context().Value(tracedFlowKey{}).(*tracedFlow)
 	if !ok || !m.spans.Picks(parent) {
@@ -156,8 +157,8 @@
 	return links, true
 }
 
-// claimSpans tells the balancers whose trace their spans belong to. A lost claimSpans
-// leaves such a span the root of a trace of its own. f.mu is held.
+// claimSpans notifies the balancers of the trace that their spans belong to. If a claim is
+// lost, the span stays the root of a trace of its own. f.mu is held.
 func (m *tracedFlows) claimSpans(f *tracedFlow, parent trace.SpanContext) {
 	for i, via := range f.via {
 		m.link.Send(seal.TopicTrace, via, tracing.Claim{Span: f.ids[i].Span, Trace: parent.TraceID(), Parent: parent.SpanID()})
