--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -85,18 +85,18 @@
 // begin waits for the right to run a request with the key, or returns the fault to answer
 // with. The caller has to send the request at once, since the claim may expire otherwise.
 func (c *claims) begin(ctx context.Context, key idempotency.Key) (*claim, *Fault) {
-	wait := make(chan idempotency.Effect, 2)
+	effects := make(chan idempotency.Effect, 2)
 	var id uint64
 	c.do(func(now time.Time) {
 		c.nextID++
 		id = c.nextID
-		c.waiting[id] = wait
+		c.waiting[id] = effects
 		c.req.Begin(now, id, key)
 	})
 	defer c.do(func(time.Time) { delete(c.waiting, id) })
 	for {
 		select {
-		case e := <-wait:
+		case e := <-effects:
 			if e.Kind != idempotency.Run {
 				return nil, claimFault(e)
 			}
@@ -255,8 +255,8 @@
 	if c.listedAt.IsZero() {
 		return false
 	}
-	atWork := c.otherAgents > 0 && 2*c.otherServing >= c.otherAgents
-	return c.complete || !atWork || !c.fenced(time.Now())
+	serviceRunning := c.otherAgents > 0 && 2*c.otherServing >= c.otherAgents
+	return c.complete || !serviceRunning || !c.fenced(time.Now())
 }
 
 // ready reports whether requests with keys can run at this agent.
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -64,7 +64,7 @@
 
 // place implements firstPacketPolicy. A flow is forwarded once, and may be returned once
 // by an agent that is busier than the one that forwarded it.
-func (f *flows) place(h *frame.Header, packet []byte) (to netip.AddrPort, elsewhere bool) {
+func (f *flows) place(h *frame.Header, packet []byte) (to netip.AddrPort, forward bool) {
 	if !quicwire.Parse(packet, connid.Len, &f.packet) {
 		return netip.AddrPort{}, false
 	}
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -138,10 +138,10 @@
 // TestDeadlineIsPassedOn checks that the backend server receives the remaining time of the
 // caller, and that the caller gets a response when that is over.
 func TestDeadlineIsPassedOn(t *testing.T) {
-	told := make(chan string, 1)
+	received := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body is read
-		told <- r.Header.Get(HeaderTimeout)
+		received <- r.Header.Get(HeaderTimeout)
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
@@ -153,7 +153,7 @@
 	if w.Code != http.StatusGatewayTimeout || w.Header().Get(HeaderOutcome) != OutcomeUnknown {
 		t.Errorf("status %d outcome %q", w.Code, w.Header().Get(HeaderOutcome))
 	}
-	left, err := time.ParseDuration(<-told + "ms")
+	left, err := time.ParseDuration(<-received + "ms")
 	if err != nil || left <= 0 || left > 200*time.Millisecond {
 		t.Errorf("left %v: %v", left, err)
 	}
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -35,7 +35,7 @@
 type firstPacketPolicy interface {
 	// place returns the agent to forward the packet to, with elsewhere true and the
 	// header's flags set, or elsewhere false if the flow stays at this agent.
-	place(h *frame.Header, packet []byte) (to netip.AddrPort, elsewhere bool)
+	place(h *frame.Header, packet []byte) (to netip.AddrPort, forward bool)
 	// load returns the occupancy that return datagrams report.
 	load() byte
 }
@@ -130,7 +130,7 @@
 	}
 	packet := b[frame.Len:]
 	if h.Flags&frame.FlagFirst != 0 {
-		if to, elsewhere := c.policy.place(h, packet); elsewhere {
+		if to, forward := c.policy.place(h, packet); forward {
 			c.decoder.Put(b, h)
 			w.Add(b, to, netip.Addr{})
 			c.metrics.forwarded.Inc()
@@ -186,12 +186,12 @@
 		return len(p), nil
 	}
 	now := time.Now()
-	before, kept := c.paths.holdPacket(key, p, now)
+	before, held := c.paths.holdPacket(key, p, now)
 	if before != nil {
 		c.send(key, before.packet(), now)
 	}
-	if kept != nil {
-		time.AfterFunc(ackSpacing, func() { c.sendHeld(key, kept) })
+	if held != nil {
+		time.AfterFunc(ackSpacing, func() { c.sendHeld(key, held) })
 		return len(p), nil
 	}
 	c.send(key, p, now)
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -116,8 +116,8 @@
 	if p.sentAt.IsZero() {
 		return
 	}
-	if took := now.Sub(p.sentAt); took < maxResponseTimeout/2 {
-		p.responseTime += time.Duration(float64(took-p.responseTime) * responseTimeGain)
+	if responseTime := now.Sub(p.sentAt); responseTime < maxResponseTimeout/2 {
+		p.responseTime += time.Duration(float64(responseTime-p.responseTime) * responseTimeGain)
 	}
 	if p.current == nil || now.Sub(p.currentSince) < switchGrace || now.Sub(p.creditedAt) < minResponseTimeout {
 		return
@@ -134,8 +134,8 @@
 		p.sentAt = now
 		return false
 	}
-	limit := min(max(2*p.responseTime+minResponseTimeout/2, minResponseTimeout), maxResponseTimeout)
-	return now.Sub(p.sentAt) > limit
+	timeout := min(max(2*p.responseTime+minResponseTimeout/2, minResponseTimeout), maxResponseTimeout)
+	return now.Sub(p.sentAt) > timeout
 }
 
 // mostRecent returns the return path through which the path's last packet was received, among
@@ -256,12 +256,12 @@
 	if p == nil {
 		return 0
 	}
-	var ways [maxReturnPaths]*returnPath
-	n = t.selectReturnPaths(p, now, &ways)
+	var selected [maxReturnPaths]*returnPath
+	n = t.selectReturnPaths(p, now, &selected)
 	if !p.sentAt.IsZero() {
 		t.reportStall(key, p, now)
 	}
-	for i, w := range ways[:n] {
+	for i, w := range selected[:n] {
 		out[i] = route{balancer: w.balancer, seq: w.nextSeq(now)}
 	}
 	return n
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -283,30 +283,30 @@
 // stall, and many stalled paths in one report per second.
 func TestSilentPathIsToldOf(t *testing.T) {
 	c := newPathTest()
-	var told []stall
-	c.t.stalls.log = func(s stall) { told = append(told, s) }
+	var reported []stall
+	c.t.stalls.log = func(s stall) { reported = append(reported, s) }
 	const callers = 20
 	for i := range callers {
 		c.receive(callerKey(i), balancerA)
 	}
-	silence := func(d time.Duration) {
+	sendUnanswered := func(d time.Duration) {
 		for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(100 * time.Millisecond) {
 			for i := range callers {
 				c.send(callerKey(i))
 			}
 		}
 	}
-	silence(stallTimeout - time.Second)
-	if len(told) != 0 {
-		t.Fatalf("reported %+v before the path was stalled", told)
+	sendUnanswered(stallTimeout - time.Second)
+	if len(reported) != 0 {
+		t.Fatalf("reported %+v before the path was stalled", reported)
 	}
-	silence(5 * time.Second)
-	if len(told) != 1 || len(told[0].returnPaths) != 1 || told[0].returnPaths[0].balancer != balancerA {
-		t.Fatalf("reported %+v, want one report with the return path", told)
+	sendUnanswered(5 * time.Second)
+	if len(reported) != 1 || len(reported[0].returnPaths) != 1 || reported[0].returnPaths[0].balancer != balancerA {
+		t.Fatalf("reported %+v, want one report with the return path", reported)
 	}
 	c.receive(callerKey(0), balancerA)
-	silence(stallTimeout + time.Second)
-	if len(told) != 2 || told[1].key != callerKey(0) || told[1].others != callers-1 {
-		t.Errorf("reported %+v, want another report after the path had received a packet in between", told)
+	sendUnanswered(stallTimeout + time.Second)
+	if len(reported) != 2 || reported[1].key != callerKey(0) || reported[1].others != callers-1 {
+		t.Errorf("reported %+v, want another report after the path had received a packet in between", reported)
 	}
 }
--- a/internal/agent/spacing.go
+++ b/internal/agent/spacing.go
@@ -41,11 +41,11 @@
 // hold is called with each packet to be sent. It returns the packet held before, which has
 // to be sent first, and the held copy of the packet itself if it is to be delayed. Either
 // may be nil.
-func (s *spacing) hold(packet []byte, now time.Time) (before, kept *heldPacket) {
+func (s *spacing) hold(packet []byte, now time.Time) (before, held *heldPacket) {
 	before, s.held = s.held, nil
-	spaced := now.Before(s.until) && (before != nil || now.Sub(s.sentAt) < ackSpacing)
+	delay := now.Before(s.until) && (before != nil || now.Sub(s.sentAt) < ackSpacing)
 	s.sentAt = now
-	if !spaced {
+	if !delay {
 		return before, nil
 	}
 	s.held = &heldPacket{}
@@ -64,7 +64,7 @@
 }
 
 // holdPacket calls spacing.hold for a packet to be sent on a path.
-func (t *paths) holdPacket(key pathKey, packet []byte, now time.Time) (before, kept *heldPacket) {
+func (t *paths) holdPacket(key pathKey, packet []byte, now time.Time) (before, held *heldPacket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.byKey[key]
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -119,77 +119,77 @@
 func (c *ValueClient) Fetch(ctx context.Context, processes []netip.AddrPort, known store.Value) (ReceivedValue, error) {
 	rand.Shuffle(len(processes), func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
 	processes = processes[:min(len(processes), MaxParallelRequests)]
-	asking, stop := context.WithCancel(ctx)
-	defer stop()
+	requestCtx, cancelAll := context.WithCancel(ctx)
+	defer cancelAll()
 	limits := transfer.Limits{Answer: responseTimeout << min(c.unanswered, maxTimeoutDoublings), Step: progressTimeout}
-	answers := make(chan valueResponse)
+	responses := make(chan valueResponse)
 	cancels := make([]context.CancelFunc, len(processes))
 	for i, p := range processes {
-		var one context.Context
-		one, cancels[i] = context.WithCancel(asking)
+		var processCtx context.Context
+		processCtx, cancels[i] = context.WithCancel(requestCtx)
 		go func() {
-			a := c.request(one, p, known, limits)
+			response := c.request(processCtx, p, known, limits)
 			select {
-			case answers <- a:
-			case <-one.Done():
-				a.close()
+			case responses <- response:
+			case <-processCtx.Done():
+				response.close()
 			}
 		}()
 	}
-	return c.firstNewer(processes, cancels, answers, known)
+	return c.firstNewer(processes, cancels, responses, known)
 }
 
 // firstNewer reads the first response that has a newer value and cancels the other requests.
-func (c *ValueClient) firstNewer(processes []netip.AddrPort, cancels []context.CancelFunc, answers <-chan valueResponse, known store.Value) (ReceivedValue, error) {
-	failed := &NoNewerValueError{Requested: len(processes)}
-	answered := false
+func (c *ValueClient) firstNewer(processes []netip.AddrPort, cancels []context.CancelFunc, responses <-chan valueResponse, known store.Value) (ReceivedValue, error) {
+	noNewer := &NoNewerValueError{Requested: len(processes)}
+	responded := false
 	for range processes {
-		a := <-answers
-		answered = answered || a.resp != nil
-		if a.err == nil {
+		response := <-responses
+		responded = responded || response.resp != nil
+		if response.err == nil {
 			c.unanswered = 0
 			for i, p := range processes {
-				if p != a.process {
+				if p != response.process {
 					cancels[i]()
 				}
 			}
-			return c.receive(a, known)
+			return c.receive(response, known)
 		}
-		failed.Last = a.err
-		a.close()
+		noNewer.Last = response.err
+		response.close()
 	}
-	if answered || len(processes) == 0 {
+	if responded || len(processes) == 0 {
 		c.unanswered = 0
 	} else {
 		c.unanswered++
 	}
-	return ReceivedValue{}, failed
+	return ReceivedValue{}, noNewer
 }
 
 // request sends a request to one process and waits for the response header.
 func (c *ValueClient) request(ctx context.Context, process netip.AddrPort, known store.Value, limits transfer.Limits) valueResponse {
-	a := valueResponse{process: process, known: c.contentNumber(known)}
-	a.ctx, a.exchange = transfer.Begin(ctx, limits)
-	req, err := http.NewRequestWithContext(a.ctx, http.MethodGet, "http://"+process.String()+valuePath, nil)
+	response := valueResponse{process: process, known: c.contentNumber(known)}
+	response.ctx, response.exchange = transfer.Begin(ctx, limits)
+	req, err := http.NewRequestWithContext(response.ctx, http.MethodGet, "http://"+process.String()+valuePath, nil)
 	if err != nil {
-		a.err = err
-		return a
+		response.err = err
+		return response
 	}
 	req.Header.Set("Accept-Encoding", encodingName)
 	if known.Version != 0 {
 		req.Header.Set(versionHeader, strconv.FormatUint(known.Version, 10))
-		req.Header.Set(contentHeader, strconv.FormatUint(a.known, 10))
+		req.Header.Set(contentHeader, strconv.FormatUint(response.known, 10))
 	}
 	if known.Version != 0 && !c.fetchFull {
 		req.Header.Set("If-None-Match", tagOf(known.Data))
 	}
-	a.resp, err = c.http.Do(req)
+	response.resp, err = c.http.Do(req)
 	if err != nil {
-		a.err = &ValueTransferError{Process: process, Err: transfer.Err(a.ctx, err)}
-		return a
+		response.err = &ValueTransferError{Process: process, Err: transfer.Err(response.ctx, err)}
+		return response
 	}
-	a.err = a.checkNewer(known)
-	return a
+	response.err = response.checkNewer(known)
+	return response
 }
 
 // contentNumber returns the number of the known value's content, 0 if there is none.
@@ -201,60 +201,60 @@
 }
 
 // checkNewer returns why a response has no newer value, nil if it has one.
-func (a *valueResponse) checkNewer(known store.Value) error {
-	switch a.resp.StatusCode {
+func (r *valueResponse) checkNewer(known store.Value) error {
+	switch r.resp.StatusCode {
 	case http.StatusOK, http.StatusNotModified, http.StatusNoContent:
 	default:
-		return &ResponseStatusError{Process: a.process, Status: a.resp.Status}
+		return &ResponseStatusError{Process: r.process, Status: r.resp.Status}
 	}
-	version, err := a.version()
+	version, err := r.version()
 	if err != nil {
-		return &ValueTransferError{Process: a.process, Err: err}
+		return &ValueTransferError{Process: r.process, Err: err}
 	}
-	content, err := headerNumber(a.resp.Header, contentHeader)
+	content, err := headerNumber(r.resp.Header, contentHeader)
 	switch {
 	case err != nil:
-		return &ValueTransferError{Process: a.process, Err: err}
-	case version <= known.Version && content <= a.known, a.resp.StatusCode == http.StatusNoContent:
-		return &NotNewerError{Process: a.process, Version: version}
+		return &ValueTransferError{Process: r.process, Err: err}
+	case version <= known.Version && content <= r.known, r.resp.StatusCode == http.StatusNoContent:
+		return &NotNewerError{Process: r.process, Version: version}
 	}
 	return nil
 }
 
-func (a *valueResponse) version() (uint64, error) {
-	return strconv.ParseUint(a.resp.Header.Get(versionHeader), 10, 64)
+func (r *valueResponse) version() (uint64, error) {
+	return strconv.ParseUint(r.resp.Header.Get(versionHeader), 10, 64)
 }
 
-func (a *valueResponse) close() {
-	if a.resp != nil {
-		a.resp.Body.Close()
+func (r *valueResponse) close() {
+	if r.resp != nil {
+		r.resp.Body.Close()
 	}
-	a.exchange.End()
+	r.exchange.End()
 }
 
 // receive reads the value of a response that has a newer one.
-func (c *ValueClient) receive(a valueResponse, known store.Value) (ReceivedValue, error) {
-	defer a.close()
-	version, err := a.version()
+func (c *ValueClient) receive(response valueResponse, known store.Value) (ReceivedValue, error) {
+	defer response.close()
+	version, err := response.version()
 	if err != nil {
-		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: err}
+		return ReceivedValue{}, &ValueTransferError{Process: response.process, Err: err}
 	}
-	v := ReceivedValue{Value: store.Value{Data: known.Data, Version: version}, Process: a.process}
-	if a.resp.StatusCode == http.StatusNotModified {
+	v := ReceivedValue{Value: store.Value{Data: known.Data, Version: version}, Process: response.process}
+	if response.resp.StatusCode == http.StatusNotModified {
 		return v, nil
 	}
 	if c.BodyStarted != nil {
 		c.BodyStarted()
 	}
-	data, err := io.ReadAll(io.LimitReader(a.exchange.Body(a.resp.Body, a.resp.ContentLength), maxValueBytes))
+	data, err := io.ReadAll(io.LimitReader(response.exchange.Body(response.resp.Body, response.resp.ContentLength), maxValueBytes))
 	if err != nil {
-		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: transfer.Err(a.ctx, err)}
+		return ReceivedValue{}, &ValueTransferError{Process: response.process, Err: transfer.Err(response.ctx, err)}
 	}
 	v.Bytes = int64(len(data))
-	v.Data, err = decodeBody(a.resp.Header, data, known.Data)
+	v.Data, err = decodeBody(response.resp.Header, data, known.Data)
 	c.fetchFull = err != nil
 	if err != nil {
-		return ReceivedValue{}, &ValueTransferError{Process: a.process, Err: err}
+		return ReceivedValue{}, &ValueTransferError{Process: response.process, Err: err}
 	}
 	return v, nil
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -70,13 +70,13 @@
 
 // Run keeps the value up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	others := NewValueClient()
-	others.BodyStarted, others.ContentNumber = f.Plan.Receiving, f.Source.ContentNumber
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	client := NewValueClient()
+	client.BodyStarted, client.ContentNumber = f.Plan.Receiving, f.Source.ContentNumber
 	calls, fetches := make(chan struct{}, 1), make(chan struct{}, 1)
-	duties.Go(func() { f.storeLoop(ctx, calls) })
-	duties.Go(func() { f.fetchLoop(ctx, others, fetches) })
+	loops.Go(func() { f.storeLoop(ctx, calls) })
+	loops.Go(func() { f.fetchLoop(ctx, client, fetches) })
 	for {
 		select {
 		case <-ctx.Done():
@@ -132,7 +132,7 @@
 }
 
 // fetchLoop makes the fetches from other processes that are due.
-func (f *Follower) fetchLoop(ctx context.Context, others *ValueClient, due <-chan struct{}) {
+func (f *Follower) fetchLoop(ctx context.Context, client *ValueClient, due <-chan struct{}) {
 	for ctx.Err() == nil {
 		from, ok := f.Plan.Fetch()
 		if !ok {
@@ -142,14 +142,14 @@
 			}
 			continue
 		}
-		f.fetch(ctx, others, from)
+		f.fetch(ctx, client, from)
 		f.Plan.Fetched()
 	}
 }
 
-func (f *Follower) fetch(ctx context.Context, others *ValueClient, from []netip.AddrPort) {
+func (f *Follower) fetch(ctx context.Context, client *ValueClient, from []netip.AddrPort) {
 	known, begun := f.known(), Now()
-	v, err := others.Fetch(ctx, from, known)
+	v, err := client.Fetch(ctx, from, known)
 	took := Now().Sub(begun)
 	if err != nil {
 		f.Log.Info("no newer value from other processes", zap.String("key", f.Source.Name()), zap.Duration("took", took), zap.Error(err))
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -146,18 +146,18 @@
 }
 
 // Run keeps the process registered until ctx ends.
-func (i *Registrar) Run(ctx context.Context) error {
+func (r *Registrar) Run(ctx context.Context) error {
 	backoff := store.Backoff{Base: retryBase, Max: retryMax}
 	for {
-		err := i.step(ctx)
-		i.logStoreState(err)
-		wait := time.Until(i.nextCallAt())
+		err := r.step(ctx)
+		r.logStoreState(err)
+		wait := time.Until(r.nextCallAt())
 		if err == nil {
 			backoff.Reset()
 		} else {
 			wait = backoff.Next()
 		}
-		i.pause(ctx, wait)
+		r.pause(ctx, wait)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -167,21 +167,21 @@
 // pause waits for d, or until the store may have lost the process's own key. In that case the
 // lease is renewed after a random delay, which shows whether the key is lost. The delay
 // spreads the calls of the processes, which are notified at the same moment.
-func (i *Registrar) pause(ctx context.Context, d time.Duration) {
+func (r *Registrar) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
-	case <-i.leaseCheckDue():
+	case <-r.leaseCheckDue():
 		sleep(ctx, rand.N(reclaimJitter))
-		i.renewAt = time.Time{}
+		r.renewAt = time.Time{}
 	}
 }
 
 // leaseCheckDue returns the channel that requests an early renewal. It is created on first
 // use, since messages of other processes may arrive before Run is called.
-func (i *Registrar) leaseCheckDue() chan struct{} {
-	i.initLeaseCheck.Do(func() { i.leaseCheck = make(chan struct{}, 1) })
-	return i.leaseCheck
+func (r *Registrar) leaseCheckDue() chan struct{} {
+	r.initLeaseCheck.Do(func() { r.leaseCheck = make(chan struct{}, 1) })
+	return r.leaseCheck
 }
 
 // ObserveVersion records the version of a value that any process has read from the store. If
@@ -189,53 +189,53 @@
 // may lack this process's key, so the lease is renewed soon. The next regular renewal would
 // detect the loss up to 14 s later, and processes that start until then would not find this
 // process.
-func (i *Registrar) ObserveVersion(version uint64) {
+func (r *Registrar) ObserveVersion(version uint64) {
 	era := store.EraOf(version)
-	if uint64(era) <= i.latestEra.Load() {
+	if uint64(era) <= r.latestEra.Load() {
 		return
 	}
-	i.latestEra.Store(uint64(era))
-	if i.fromEarlierEra(i.leaseID()) {
-		signal(i.leaseCheckDue())
+	r.latestEra.Store(uint64(era))
+	if r.fromEarlierEra(r.leaseID()) {
+		signal(r.leaseCheckDue())
 	}
 }
 
 // observeItems records the store era of a response of the store to this process, which is
 // that of the highest version among its items.
-func (i *Registrar) observeItems(items []store.Item) {
+func (r *Registrar) observeItems(items []store.Item) {
 	latest := uint64(0)
 	for n := range items {
 		latest = max(latest, items[n].Version)
 	}
-	i.observeOwnEra(store.EraOf(latest))
+	r.observeOwnEra(store.EraOf(latest))
 }
 
 // observeOwnEra records the store era of a response of the store to this process. A new era
 // is announced to the other processes: in an idle fleet no other process may call the store
 // for a second or two, and by then their keys have to be back.
-func (i *Registrar) observeOwnEra(era store.Era) {
-	if uint64(era) <= i.latestEra.Load() {
+func (r *Registrar) observeOwnEra(era store.Era) {
+	if uint64(era) <= r.latestEra.Load() {
 		return
 	}
 	first := store.VersionAt(era, 0)
-	i.ObserveVersion(first)
-	if i.StoreRestored != nil {
-		i.StoreRestored(first)
+	r.ObserveVersion(first)
+	if r.StoreRestored != nil {
+		r.StoreRestored(first)
 	}
 }
 
 // fromEarlierEra reports whether a lease is of an earlier store era than the latest observed.
-func (i *Registrar) fromEarlierEra(lease store.LeaseID) bool {
+func (r *Registrar) fromEarlierEra(lease store.LeaseID) bool {
 	era, _, ok := lease.Split()
-	return ok && uint64(era) < i.latestEra.Load()
+	return ok && uint64(era) < r.latestEra.Load()
 }
 
 // nextCallAt returns when the next call is due.
-func (i *Registrar) nextCallAt() time.Time {
-	if i.renewAt.Before(i.listAt) {
-		return i.renewAt
+func (r *Registrar) nextCallAt() time.Time {
+	if r.renewAt.Before(r.listAt) {
+		return r.renewAt
 	}
-	return i.listAt
+	return r.listAt
 }
 
 // revokeTimeout bounds the time that Deregister takes.
@@ -244,51 +244,51 @@
 // Deregister removes this process's key from the store. Every balancer that starts queries
 // all registered agents, and flows whose agent is not known yet wait for all responses. If
 // the removal fails, the key expires with its lease.
-func (i *Registrar) Deregister(ctx context.Context) {
-	i.deregistered.Store(true)
-	lease := i.leaseID()
+func (r *Registrar) Deregister(ctx context.Context) {
+	r.deregistered.Store(true)
+	lease := r.leaseID()
 	if lease == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
-	err := i.revoke(ctx, lease)
-	i.Log.Info("deregistration from the store finished", zap.String("key", i.Self.key()), zap.Error(err))
+	err := r.revoke(ctx, lease)
+	r.Log.Info("deregistration from the store finished", zap.String("key", r.Self.key()), zap.Error(err))
 }
 
 // revoke revokes the lease of the process's own key. A lease ID of an earlier store era may
 // belong to another process by now, so the current one is read from the key.
-func (i *Registrar) revoke(ctx context.Context, lease store.LeaseID) error {
-	if i.fromEarlierEra(lease) {
-		own, err := i.ownKey(ctx, false)
+func (r *Registrar) revoke(ctx context.Context, lease store.LeaseID) error {
+	if r.fromEarlierEra(lease) {
+		own, err := r.ownKey(ctx, false)
 		if err != nil || own == nil {
 			return err
 		}
 		lease = own.Lease
 	}
-	return i.Store.Revoke(ctx, lease)
+	return r.Store.Revoke(ctx, lease)
 }
 
-func (i *Registrar) leaseID() store.LeaseID {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	return i.lease
+func (r *Registrar) leaseID() store.LeaseID {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lease
 }
 
-func (i *Registrar) setLease(lease store.LeaseID) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.lease = lease
+func (r *Registrar) setLease(lease store.LeaseID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lease = lease
 }
 
 // logStoreState logs when calls to the store begin to fail and when they succeed again.
-func (i *Registrar) logStoreState(err error) {
-	if failed := err != nil; failed != i.storeFailing {
-		i.storeFailing = failed
+func (r *Registrar) logStoreState(err error) {
+	if failed := err != nil; failed != r.storeFailing {
+		r.storeFailing = failed
 		if failed {
-			i.Log.Warn("store not available, retrying", zap.String("task", "registration"), zap.Error(err))
+			r.Log.Warn("store not available, retrying", zap.String("task", "registration"), zap.Error(err))
 		} else {
-			i.Log.Info("store available again", zap.String("task", "registration"))
+			r.Log.Info("store available again", zap.String("task", "registration"))
 		}
 	}
 }
@@ -296,75 +296,75 @@
 // step makes the calls that are due. The process writes its own key before it lists the
 // others. Of two processes that start at the same time, at least the later one then finds
 // the other.
-func (i *Registrar) step(ctx context.Context) error {
-	if i.deregistered.Load() {
-		i.renewAt, i.listAt = time.Now().Add(listInterval), time.Now().Add(listInterval)
+func (r *Registrar) step(ctx context.Context) error {
+	if r.deregistered.Load() {
+		r.renewAt, r.listAt = time.Now().Add(listInterval), time.Now().Add(listInterval)
 		return nil
 	}
-	if err := i.ensureLease(ctx); err != nil {
+	if err := r.ensureLease(ctx); err != nil {
 		return err
 	}
-	if time.Now().Before(i.listAt) {
+	if time.Now().Before(r.listAt) {
 		return nil
 	}
-	return i.list(ctx)
+	return r.list(ctx)
 }
 
 // ensureLease renews the lease of the process's own key, or registers the process if it has
 // no lease.
-func (i *Registrar) ensureLease(ctx context.Context) error {
-	if i.leaseID() != "" {
-		return i.renew(ctx)
+func (r *Registrar) ensureLease(ctx context.Context) error {
+	if r.leaseID() != "" {
+		return r.renew(ctx)
 	}
-	own, err := i.ownKey(ctx, true)
+	own, err := r.ownKey(ctx, true)
 	if err != nil {
 		return err
 	}
-	return i.takeOverOrRegister(ctx, own)
+	return r.takeOverOrRegister(ctx, own)
 }
 
 // register writes the process's own key under a new lease.
-func (i *Registrar) register(ctx context.Context) error {
-	lease, err := i.Store.Grant(ctx, leaseTTL)
+func (r *Registrar) register(ctx context.Context) error {
+	lease, err := r.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
-	data, err := json.Marshal(i.Self)
+	data, err := json.Marshal(r.Self)
 	if err != nil {
 		return err
 	}
-	if err := i.Store.Put(ctx, i.Self.key(), data, lease); err != nil {
+	if err := r.Store.Put(ctx, r.Self.key(), data, lease); err != nil {
 		return err
 	}
-	i.setLease(lease)
+	r.setLease(lease)
 	if era, _, ok := lease.Split(); ok {
-		i.observeOwnEra(era)
+		r.observeOwnEra(era)
 	}
-	i.registeredAt = time.Now()
-	i.renewAt = i.registeredAt.Add(renewInterval)
-	i.Log.Info("introduced", zap.String("key", i.Self.key()), zap.String("lease", string(lease)))
+	r.registeredAt = time.Now()
+	r.renewAt = r.registeredAt.Add(renewInterval)
+	r.Log.Info("introduced", zap.String("key", r.Self.key()), zap.String("lease", string(lease)))
 	return nil
 }
 
-func (i *Registrar) renew(ctx context.Context) error {
-	if time.Now().Before(i.renewAt) {
+func (r *Registrar) renew(ctx context.Context) error {
+	if time.Now().Before(r.renewAt) {
 		return nil
 	}
-	lease := i.leaseID()
-	err := i.Store.Renew(ctx, lease)
+	lease := r.leaseID()
+	err := r.Store.Renew(ctx, lease)
 	var expired *store.LeaseExpiredError
 	var restored *store.RestoredError
 	switch {
 	case errors.As(err, &expired):
-		i.Log.Warn("lease of own key expired, registering again", zap.String("lease", string(lease)))
-		i.setLease("")
-		return i.register(ctx)
+		r.Log.Warn("lease of own key expired, registering again", zap.String("lease", string(lease)))
+		r.setLease("")
+		return r.register(ctx)
 	case errors.As(err, &restored):
-		return i.reclaim(ctx, lease)
+		return r.reclaim(ctx, lease)
 	case err != nil:
 		return err
 	}
-	i.renewAt = time.Now().Add(renewInterval)
+	r.renewAt = time.Now().Add(renewInterval)
 	return nil
 }
 
@@ -372,47 +372,47 @@
 // may lack the key. If the key is there, its lease is taken over: one read and one renewal
 // instead of two writes, for every process of the fleet at once. A stale read might show the
 // key as it was before the restore, so the read is not stale.
-func (i *Registrar) reclaim(ctx context.Context, lease store.LeaseID) error {
-	own, err := i.ownKey(ctx, false)
+func (r *Registrar) reclaim(ctx context.Context, lease store.LeaseID) error {
+	own, err := r.ownKey(ctx, false)
 	if err != nil {
 		return err
 	}
-	i.Log.Warn("store was restored from an older copy", zap.String("key", i.Self.key()), zap.String("lease", string(lease)), zap.Bool("key_kept", own != nil))
-	i.setLease("")
-	return i.takeOverOrRegister(ctx, own)
+	r.Log.Warn("store was restored from an older copy", zap.String("key", r.Self.key()), zap.String("lease", string(lease)), zap.Bool("key_kept", own != nil))
+	r.setLease("")
+	return r.takeOverOrRegister(ctx, own)
 }
 
 // list reads the keys of other processes and checks that the own key is in the store.
-func (i *Registrar) list(ctx context.Context) error {
+func (r *Registrar) list(ctx context.Context) error {
 	// A balancer's first list is not stale, because after a start of the whole fleet the
 	// balancer assumes that its agents are all agents that exist.
-	stale := i.listCount > 0 || i.Self.Role == RoleAgent
-	items, err := i.Store.List(ctx, i.listPrefix(), stale)
+	stale := r.listCount > 0 || r.Self.Role == RoleAgent
+	items, err := r.Store.List(ctx, r.listPrefix(), stale)
 	if err != nil {
 		return err
 	}
-	i.observeItems(items)
-	i.PeersListed(i.parsePeers(items))
-	if err := i.checkOwnKey(ctx); err != nil {
+	r.observeItems(items)
+	r.PeersListed(r.parsePeers(items))
+	if err := r.checkOwnKey(ctx); err != nil {
 		return err
 	}
-	i.listCount++
-	i.listAt = time.Now().Add(i.untilNextList())
+	r.listCount++
+	r.listAt = time.Now().Add(r.untilNextList())
 	return nil
 }
 
 // listPrefix returns the prefix of the keys that this process lists: balancers list all
 // processes, agents only balancers.
-func (i *Registrar) listPrefix() string {
-	if i.Self.Role == RoleAgent {
+func (r *Registrar) listPrefix() string {
+	if r.Self.Role == RoleAgent {
 		return rolePrefix(RoleBalancer)
 	}
 	return PeersPrefix
 }
 
 // untilNextList returns the delay until the next list.
-func (i *Registrar) untilNextList() time.Duration {
-	switch i.listCount {
+func (r *Registrar) untilNextList() time.Duration {
+	switch r.listCount {
 	case 1:
 		return secondListDelay
 	case 2:
@@ -423,36 +423,36 @@
 
 // parsePeers returns the other processes that are registered in items. It counts and logs
 // invalid keys.
-func (i *Registrar) parsePeers(items []store.Item) []Peer {
+func (r *Registrar) parsePeers(items []store.Item) []Peer {
 	peers := make([]Peer, 0, len(items))
-	var wrong error
+	var lastInvalid error
 	for _, item := range items {
 		p, err := parsePeer(item.Key, item.Data)
 		if err != nil {
-			i.InvalidKeys.Inc()
-			wrong = err
+			r.InvalidKeys.Inc()
+			lastInvalid = err
 			continue
 		}
-		if p.Addr != i.Self.Addr {
+		if p.Addr != r.Self.Addr {
 			peers = append(peers, p)
 		}
 	}
-	if wrong != nil {
-		i.Log.Warn("ignored invalid keys among the registered processes", zap.Error(wrong), zap.Int("processes", len(peers)))
+	if lastInvalid != nil {
+		r.Log.Warn("ignored invalid keys among the registered processes", zap.Error(lastInvalid), zap.Int("processes", len(peers)))
 	}
 	return peers
 }
 
 // ownKey returns the process's own key, nil if it is not in the store. A stale read costs a
 // tenth of a call and may return the key as it was seconds ago.
-func (i *Registrar) ownKey(ctx context.Context, stale bool) (*store.Item, error) {
-	items, err := i.Store.List(ctx, i.Self.key(), stale)
+func (r *Registrar) ownKey(ctx context.Context, stale bool) (*store.Item, error) {
+	items, err := r.Store.List(ctx, r.Self.key(), stale)
 	if err != nil {
 		return nil, err
 	}
-	i.observeItems(items)
+	r.observeItems(items)
 	for n := range items {
-		if p, err := parsePeer(items[n].Key, items[n].Data); err == nil && p == i.Self {
+		if p, err := parsePeer(items[n].Key, items[n].Data); err == nil && p == r.Self {
 			return &items[n], nil
 		}
 	}
@@ -463,37 +463,37 @@
 // this address has left it in the store, and otherwise writes the key under a new lease. A
 // renewal costs a twentieth of the two calls for a new lease and key, which every process of
 // the fleet would make after a power failure of all VMs.
-func (i *Registrar) takeOverOrRegister(ctx context.Context, own *store.Item) error {
+func (r *Registrar) takeOverOrRegister(ctx context.Context, own *store.Item) error {
 	if own == nil || own.Lease == "" {
-		return i.register(ctx)
+		return r.register(ctx)
 	}
-	i.setLease(own.Lease)
-	i.renewAt = time.Time{}
-	return i.renew(ctx)
+	r.setLease(own.Lease)
+	r.renewAt = time.Time{}
+	return r.renew(ctx)
 }
 
 // checkOwnKey registers the process again if its key is missing: the store may remove keys
 // without ending their leases. It skips the check for ownKeyGrace after the key was written,
 // since a stale read may lack the key.
-func (i *Registrar) checkOwnKey(ctx context.Context) error {
-	if time.Since(i.registeredAt) < ownKeyGrace {
+func (r *Registrar) checkOwnKey(ctx context.Context) error {
+	if time.Since(r.registeredAt) < ownKeyGrace {
 		return nil
 	}
-	own, err := i.ownKey(ctx, true)
+	own, err := r.ownKey(ctx, true)
 	if err != nil || own != nil {
 		return err
 	}
-	return i.registerIfMissing(ctx)
+	return r.registerIfMissing(ctx)
 }
 
 // registerIfMissing registers the process again if a read that is not stale shows that its
 // key is missing. The stale read before it may predate the key.
-func (i *Registrar) registerIfMissing(ctx context.Context) error {
-	_, err := i.Store.Get(ctx, i.Self.key())
+func (r *Registrar) registerIfMissing(ctx context.Context) error {
+	_, err := r.Store.Get(ctx, r.Self.key())
 	var missing *store.NotFoundError
 	if !errors.As(err, &missing) {
 		return err
 	}
-	i.Log.Warn("own key is missing from the store, registering again", zap.String("key", i.Self.key()))
-	return i.register(ctx)
+	r.Log.Warn("own key is missing from the store, registering again", zap.String("key", r.Self.key()))
+	return r.register(ctx)
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -189,8 +189,8 @@
 func TestEraOfOwnAnswerIsActedOn(t *testing.T) {
 	s := newKeyStore()
 	i, _ := newRegistrar(s, agentPeer)
-	var told []uint64
-	i.StoreRestored = func(version uint64) { told = append(told, version) }
+	var notified []uint64
+	i.StoreRestored = func(version uint64) { notified = append(notified, version) }
 	if err := i.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -203,8 +203,8 @@
 			t.Fatal(err)
 		}
 	}
-	if len(told) != 1 || told[0] != store.VersionAt(1, 0) {
-		t.Errorf("StoreRestored called with %v, want the era's first version once", told)
+	if len(notified) != 1 || notified[0] != store.VersionAt(1, 0) {
+		t.Errorf("StoreRestored called with %v, want the era's first version once", notified)
 	}
 	select {
 	case <-i.leaseCheckDue():
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -21,9 +21,9 @@
 }
 
 // ServeSnapshot returns a handler that serves the result of snapshot as JSON.
-func ServeSnapshot(tell func() Snapshot) http.HandlerFunc {
+func ServeSnapshot(snapshot func() Snapshot) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		data, err := json.Marshal(tell())
+		data, err := json.Marshal(snapshot())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -217,15 +217,15 @@
 
 // Checks that a process that does not respond does not delay the others' responses.
 func TestUnresponsiveProcessDoesNotDelayOthers(t *testing.T) {
-	dead, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never responds
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dead.Close()
+	defer unresponsive.Close()
 	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("x"), Version: 1})
 	begun := time.Now()
-	fetch(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(dead.Addr().String()), addr)
+	fetch(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(unresponsive.Addr().String()), addr)
 	if took := time.Since(begun); took > responseTimeout {
 		t.Errorf("took %v", took)
 	}
