--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -143,11 +143,11 @@
 		return err
 	}
 	a.conn.paths.stalls.log = logStall(a.log)
-	marks, err := newTracedFlows(a.cfg.Traces, a.cfg.Keys, a.claims.link)
+	traced, err := newTracedFlows(a.cfg.Traces, a.cfg.Keys, a.claims.link)
 	if err != nil {
 		return err
 	}
-	a.conn.traced = marks
+	a.conn.traced = traced
 	reset := quic.StatelessResetKey(a.cfg.Keys[0].Derive("stateless reset", 32))
 	token := quic.TokenGeneratorKey(a.cfg.Keys[0].Derive("address token", 32))
 	a.quic = &quic.Transport{
@@ -165,7 +165,7 @@
 		return err
 	}
 	a.http = &http3.Server{
-		Handler:     marks.wrap(&handler{entry: &a.entry, gate: a.gate, backend: a.backend, claims: a.claims, metrics: a.metrics}),
+		Handler:     traced.wrap(&handler{entry: &a.entry, gate: a.gate, backend: a.backend, claims: a.claims, metrics: a.metrics}),
 		ConnContext: a.connContext,
 	}
 	return nil
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -54,14 +54,14 @@
 	if freshness == 0 {
 		freshness = idempotency.DefaultFreshness
 	}
-	elect := idempotency.NewElectorate(now, cfg)
+	electorate := idempotency.NewElectorate(now, cfg)
 	return &claims{
 		link:       link,
 		self:       self,
 		cfg:        cfg,
 		freshness:  freshness,
-		electorate: elect,
-		req:        idempotency.NewRequester(self, uint64(now.UnixNano()), elect, cfg, newRand()),
+		electorate: electorate,
+		req:        idempotency.NewRequester(self, uint64(now.UnixNano()), electorate, cfg, newRand()),
 		voter:      idempotency.NewVoter(self, cfg),
 		waiting:    make(map[uint64]chan idempotency.Effect),
 	}
--- a/internal/agent/flows_test.go
+++ b/internal/agent/flows_test.go
@@ -39,18 +39,18 @@
 	}
 }
 
-// TestFreshFlowsAreForgotten checks that a kept flow counts for two periods at most.
-func TestFreshFlowsAreForgotten(t *testing.T) {
+// TestRecentFlowsCountForTwoPeriods checks that a kept flow counts for two periods at most.
+func TestRecentFlowsCountForTwoPeriods(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var f recentFlows
 	f.rotate(now)
 	f.current.Add(3)
 	f.rotate(now.Add(recentPeriod))
 	if f.count() != 3 {
-		t.Errorf("count %d after one period", f.count())
+		t.Errorf("count %d after one period, want 3", f.count())
 	}
 	f.rotate(now.Add(2 * recentPeriod))
 	if f.count() != 0 {
-		t.Errorf("count %d after two periods", f.count())
+		t.Errorf("count %d after two periods, want 0", f.count())
 	}
 }
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -82,7 +82,7 @@
 	const offered = 200
 	for range offered {
 		if w := serve(h, http.MethodGet, "/card/1", nil); w.Code != http.StatusBadGateway {
-			t.Fatalf("status %d", w.Code)
+			t.Fatalf("status %d, want 502", w.Code)
 		}
 	}
 	if got := requests.Load(); got > offered*11/10 {
@@ -113,10 +113,10 @@
 	r.ContentLength = 0
 	_, err := h.backend.do(t.Context(), r, r.Header)
 	if e := asCallError(err); err == nil || !e.Sent {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a CallError with Sent", err)
 	}
 	if n := runs.Load(); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("request ran %d times, want once", n)
 	}
 }
 
@@ -131,7 +131,7 @@
 	h := newTestHandler(t, "http://"+ln.Addr().String())
 	w := serve(h, http.MethodPost, "/reserve", strings.NewReader("part"))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderOutcome) != OutcomeNotRun || w.Header().Get("Retry-After") == "" {
-		t.Errorf("status %d header %v", w.Code, w.Header())
+		t.Errorf("status %d header %v, want 503, not-run and a Retry-After", w.Code, w.Header())
 	}
 }
 
@@ -151,10 +151,10 @@
 	r.Header.Set(HeaderTimeout, "200")
 	h.ServeHTTP(w, r)
 	if w.Code != http.StatusGatewayTimeout || w.Header().Get(HeaderOutcome) != OutcomeUnknown {
-		t.Errorf("status %d outcome %q", w.Code, w.Header().Get(HeaderOutcome))
+		t.Errorf("status %d outcome %q, want 504 and unknown", w.Code, w.Header().Get(HeaderOutcome))
 	}
 	left, err := time.ParseDuration(<-received + "ms")
 	if err != nil || left <= 0 || left > 200*time.Millisecond {
-		t.Errorf("left %v: %v", left, err)
+		t.Errorf("backend server received a timeout of %v (%v), want at most 200ms", left, err)
 	}
 }
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestCloseEndsEverything checks that a closed agent leaves no goroutine behind, whether Run
+// TestCloseStopsAllGoroutines checks that a closed agent leaves no goroutine behind, whether Run
 // was called or not. TestMain detects goroutines that are left.
-func TestCloseEndsEverything(t *testing.T) {
+func TestCloseStopsAllGoroutines(t *testing.T) {
 	ring, err := fleetkey.Parse("1:000102030405060708090a0b0c0d0e0f")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -71,7 +71,7 @@
 }
 
 func newPacketConn(ring fleetkey.Ring, socket *udp.Conn, policy firstPacketPolicy, m *metrics) (*packetConn, error) {
-	in, err := frame.NewCodec(ring)
+	decoder, err := frame.NewCodec(ring)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 		paths:   newPaths(),
 		policy:  policy,
 		metrics: m,
-		decoder: in,
+		decoder: decoder,
 		data:    make(chan callerPacket, dataQueueSize),
 		control: make(chan control.Datagram, controlQueueSize),
 		closed:  make(chan struct{}),
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -92,7 +92,7 @@
 
 // recordReceived records that a packet of the path was received through w.
 func (p *path) recordReceived(w *returnPath, now time.Time) {
-	p.recordAnswer(now)
+	p.recordResponse(now)
 	p.receivedAt = now
 	p.sentAt = time.Time{}
 	p.stallReported = false
@@ -110,9 +110,9 @@
 	p.candidates[oldest] = candidate{returnPath: w, receivedAt: now}
 }
 
-// recordAnswer updates the path's response time when a packet is received after a send. At
+// recordResponse updates the path's response time when a packet is received after a send. At
 // most once per minResponseTimeout it also records a delivery for the current return path.
-func (p *path) recordAnswer(now time.Time) {
+func (p *path) recordResponse(now time.Time) {
 	if p.sentAt.IsZero() {
 		return
 	}
@@ -140,11 +140,11 @@
 
 // mostRecent returns the return path through which the path's last packet was received, among
 // those with at least the grade least; nil if there is none.
-func (p *path) mostRecent(least grade, now, lastReceivedAt time.Time) *returnPath {
+func (p *path) mostRecent(least grade, now, newest time.Time) *returnPath {
 	var best *candidate
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if c.returnPath == nil || c.returnPath.grade(now, lastReceivedAt) < least {
+		if c.returnPath == nil || c.returnPath.grade(now, newest) < least {
 			continue
 		}
 		if best == nil || c.receivedAt.After(best.receivedAt) {
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestSilentPathTriesOtherWays checks that a path without responses is tried through return
+// TestUnresponsivePathTriesOtherReturnPaths checks that a path without responses is tried through return
 // paths other than the one in use.
-func TestSilentPathTriesOtherWays(t *testing.T) {
+func TestUnresponsivePathTriesOtherReturnPaths(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
@@ -107,11 +107,11 @@
 	}
 }
 
-// TestDeadBalancerIsLeftOut guards against flows that are slow for half a minute after an
+// TestFailedBalancerIsNotUsed guards against flows that are slow for half a minute after an
 // availability zone's balancers have failed. Acknowledgements are lost, copies are sent
 // through failed balancers from which no path receives packets, QUIC shrinks its window, and
 // each further lost acknowledgement doubles the pause.
-func TestDeadBalancerIsLeftOut(t *testing.T) {
+func TestFailedBalancerIsNotUsed(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
@@ -129,11 +129,11 @@
 	}
 }
 
-// TestWayThatLosesEverythingIsLeftOut guards against losing a third of the agents' packets for
+// TestReturnPathWithoutDeliveryIsExcluded guards against losing a third of the agents' packets for
 // as long as a balancer forwards and echoes but reaches no caller, as B does here. If each
 // path sends through the balancer of its last packet, every path loses a part and no return
 // path stands out.
-func TestWayThatLosesEverythingIsLeftOut(t *testing.T) {
+func TestReturnPathWithoutDeliveryIsExcluded(t *testing.T) {
 	const paths, rounds = 12, 200
 	c := newPathTest()
 	lost, sent := 0, 0
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestNewFlowsAvoidWayThatLoses guards against new flows that stall on a return path which
+// TestNewFlowsAvoidReturnPathWithoutDelivery guards against new flows that stall on a return path which
 // loses all packets to callers, although other flows have already shown that it does.
-func TestNewFlowsAvoidWayThatLoses(t *testing.T) {
+func TestNewFlowsAvoidReturnPathWithoutDelivery(t *testing.T) {
 	const flows = 200
 	c := newPathTest()
 	lost := 0
@@ -184,13 +184,13 @@
 		c.send(k)
 	}
 	if lost*10 > flows {
-		t.Fatalf("%d of %d new flows stalled", lost, flows)
+		t.Fatalf("%d of %d new flows sent through the balancer that loses their packets", lost, flows)
 	}
 }
 
-// TestVanishedCallersExcludeNoWay checks that callers that crash, and so stop responding on
+// TestCrashedCallersExcludeNoReturnPath checks that callers that crash, and so stop responding on
 // working return paths, do not exclude a return path on which other callers respond.
-func TestVanishedCallersExcludeNoWay(t *testing.T) {
+func TestCrashedCallersExcludeNoReturnPath(t *testing.T) {
 	c := newPathTest()
 	for round := range 300 {
 		c.now = c.now.Add(70 * time.Millisecond)
@@ -209,16 +209,16 @@
 	}
 	for _, b := range allBalancers {
 		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("%v is left out: %+v", b, *w)
+			t.Errorf("return path through %v is not usable: %+v", b, *w)
 		}
 	}
 }
 
-// TestLivingWaysOutlastDeadOnes guards against a flow that stalls for half a minute after half
+// TestReturnPathsAreNotComparedWithFailedOnes guards against a flow that stalls for half a minute after half
 // of the balancers have failed. Acknowledgements to failed balancers are lost, so paths become
 // unresponsive on working return paths. Compared with the failed ones' last delivery rate, the
 // working ones would be excluded and only failed ones tried.
-func TestLivingWaysOutlastDeadOnes(t *testing.T) {
+func TestReturnPathsAreNotComparedWithFailedOnes(t *testing.T) {
 	c := newPathTest()
 	dead := allBalancers[0]
 	for _, b := range allBalancers {
@@ -245,15 +245,15 @@
 	}
 	for _, b := range allBalancers[1:] {
 		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("%v is left out: %+v", b, *w)
+			t.Errorf("return path through %v is not usable: %+v", b, *w)
 		}
 	}
 }
 
-// TestUnechoedWayIsCut guards against long flows that stall because the agent sends through the
+// TestReturnPathWithoutEchoIsBroken guards against long flows that stall because the agent sends through the
 // balancer of their last packet, which forwards callers' packets but receives nothing from
 // this agent.
-func TestUnechoedWayIsCut(t *testing.T) {
+func TestReturnPathWithoutEchoIsBroken(t *testing.T) {
 	c := newPathTest()
 	c.receive(testKey, balancerA)
 	c.now = c.now.Add(time.Millisecond)
@@ -278,10 +278,10 @@
 	}
 }
 
-// TestSilentPathIsToldOf guards against a stalled download without a line in its agent's log,
+// TestStalledPathIsReported guards against a stalled download without a line in its agent's log,
 // which one of eight downloads had for 88 s. A path that does not respond is reported once per
 // stall, and many stalled paths in one report per second.
-func TestSilentPathIsToldOf(t *testing.T) {
+func TestStalledPathIsReported(t *testing.T) {
 	c := newPathTest()
 	var reported []stall
 	c.t.stalls.log = func(s stall) { reported = append(reported, s) }
--- a/internal/agent/returnpath.go
+++ b/internal/agent/returnpath.go
@@ -115,8 +115,8 @@
 
 // The grades, the worst first.
 const (
-	gradeFailed   grade = iota // no packets received while others deliver some, or broken
-	gradeExcluded              // packets received, but excluded for its delivery rate
+	gradeFailed   grade = iota // no packets from the balancer while others send some, or broken
+	gradeExcluded              // packets arrive, but excluded because of its delivery rate
 	gradeUsable                // no fault detected
 )
 
--- a/internal/agent/spacing_test.go
+++ b/internal/agent/spacing_test.go
@@ -7,7 +7,7 @@
 
 // Guards against two packets that arrive together on a path that was unresponsive, and are
 // acknowledged by a single packet, which may be lost.
-func TestPacketsOfASilentPathAreSpaced(t *testing.T) {
+func TestPacketsOfUnresponsivePathAreSpaced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s spacing
 	if _, kept := s.hold([]byte{1}, now); kept != nil {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -39,7 +39,7 @@
 }
 
 func (e *NoNewerValueError) Error() string {
-	return fmt.Sprintf("none of %d other processes returned a newer value, other processes or the store are tried next; last error: %v", e.Requested, e.Last)
+	return fmt.Sprintf("none of %d other processes returned a newer value, other processes or the store are tried next; last result: %v", e.Requested, e.Last)
 }
 
 func (e *NoNewerValueError) Unwrap() error { return e.Last }
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -150,13 +150,13 @@
 		newer  bool
 	}{
 		{"evacuated", func(k *orderStore) { k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
-		{"given back", func(k *orderStore) { k.remove("orders/zone/a") }, nil, true},
-		{"given back, history lost", func(k *orderStore) { k.remove("orders/zone/a"); k.compact() }, nil, true},
-		{"given back and taken again", func(k *orderStore) { k.remove("orders/zone/a"); k.put("orders/zone/a", "") }, []string{"a"}, false},
+		{"evacuation ended", func(k *orderStore) { k.remove("orders/zone/a") }, nil, true},
+		{"evacuation ended, history lost", func(k *orderStore) { k.remove("orders/zone/a"); k.compact() }, nil, true},
+		{"evacuation ended and ordered again", func(k *orderStore) { k.remove("orders/zone/a"); k.put("orders/zone/a", "") }, []string{"a"}, false},
 		{"ordered twice", func(k *orderStore) { k.put("orders/zone/a", "again") }, []string{"a"}, false},
 		{"two zones at once", func(k *orderStore) { k.put("orders/zone/c", ""); k.put("orders/zone/b", "") }, []string{"a", "b", "c"}, true},
 		{"configuration at the same time", func(k *orderStore) { k.put("orders/configuration", "2"); k.put("orders/zone/b", "") }, []string{"a", "b"}, true},
-		{"a key of somebody else", func(k *orderStore) { k.put("orders/other", "") }, []string{"a"}, false},
+		{"key of another program", func(k *orderStore) { k.put("orders/other", "") }, []string{"a"}, false},
 		{"other changes, history lost", func(k *orderStore) { k.put("elsewhere", ""); k.compact() }, []string{"a"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 			c.change(k)
 			after := follow(t, s, before)
 			if got := zonesOf(t, after); !slices.Equal(got, c.zones) || after.Version > before.Version != c.newer {
-				t.Errorf("zones %v, versions %d and %d", got, before.Version, after.Version)
+				t.Errorf("evacuated zones %v, version %d before the change and %d after it", got, before.Version, after.Version)
 			}
 		})
 	}
@@ -194,7 +194,7 @@
 		}
 		o, err := DecodeOrders(follow(t, s, v).Data)
 		if err != nil || string(o.Configuration) != "1" || len(o.Evacuated) > 0 {
-			t.Errorf("history dropped: %v; configuration %q, zones %v, %v", drop, o.Configuration, o.Evacuated, err)
+			t.Errorf("history dropped: %v; configuration %q, evacuated zones %v, %v", drop, o.Configuration, o.Evacuated, err)
 		}
 	}
 }
@@ -215,12 +215,12 @@
 		do   func()
 		want string
 	}{
-		{"nothing written again", func() {}, "3"},
+		{"nothing written", func() {}, "3"},
 		{"another key is written", func() { k.put("orders/zone/a", "") }, "3"},
-		{"an older one is written again", func() { k.put("orders/configuration", "2") }, "3"},
+		{"an older configuration is written", func() { k.put("orders/configuration", "2") }, "3"},
 		{"history dropped", func() { k.compact() }, "3"},
-		{"the same is written again", func() { k.put("orders/configuration", "3") }, "3"},
-		{"a newer one", func() { k.put("orders/configuration", "4") }, "4"},
+		{"the same configuration is written", func() { k.put("orders/configuration", "3") }, "3"},
+		{"a newer configuration is written", func() { k.put("orders/configuration", "4") }, "4"},
 	} {
 		step.do()
 		v = follow(t, s, v)
@@ -235,14 +235,14 @@
 // each other, never have different orders under one version, never return to an older version,
 // and finally agree with the store.
 func TestOrdersAgree(t *testing.T) {
-	checkOrdersAgree(t, []string{"evacuate", "give back", "configure", "compact", "follow", "follow", "take"})
+	checkOrdersAgree(t, []string{"evacuate", "end evacuation", "configure", "compact", "follow", "follow", "take"})
 }
 
 // Checks the same while the store is restored from older copies and assigns revisions again.
 // Compared by revision alone, one version would stand for two sets of orders, and no process
 // would apply the orders that were given after the restore.
 func TestOrdersAgreeAfterRestores(t *testing.T) {
-	checkOrdersAgree(t, []string{"evacuate", "give back", "copy", "restore", "follow", "follow", "take"})
+	checkOrdersAgree(t, []string{"evacuate", "end evacuation", "copy", "restore", "follow", "follow", "take"})
 }
 
 // checkOrdersAgree makes random steps of those named, by two processes and the operator.
@@ -272,7 +272,7 @@
 			switch rapid.SampledFrom(steps).Draw(t, "step") {
 			case "evacuate":
 				k.put("orders/zone/"+zone.Draw(t, "zone"), "")
-			case "give back":
+			case "end evacuation":
 				k.remove("orders/zone/" + zone.Draw(t, "zone"))
 			case "configure":
 				k.put("orders/configuration", rapid.StringN(1, 3, -1).Draw(t, "configuration"))
@@ -312,7 +312,7 @@
 		}
 		again, err := DecodeOrders(o.Encode())
 		if err != nil || !slices.Equal(again.Evacuated, o.Evacuated) || !bytes.Equal(again.Configuration, o.Configuration) {
-			t.Errorf("read %+v, then %+v, %v", o, again, err)
+			t.Errorf("decoded %+v, after encoding again %+v, %v", o, again, err)
 		}
 	})
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -19,7 +19,7 @@
 func TestPeerIsRead(t *testing.T) {
 	p, err := parsePeer(PeersPrefix+"agent/10.1.0.22:8492", []byte(soundPeer))
 	if err != nil || p.Role != RoleAgent || p.Service != "huvo11a" {
-		t.Errorf("read %+v, %v", p, err)
+		t.Errorf("registration decoded as %+v, %v", p, err)
 	}
 }
 
@@ -43,7 +43,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if p, err := parsePeer(PeersPrefix+c.key, []byte(c.data)); err == nil {
-				t.Errorf("read %+v", p)
+				t.Errorf("invalid registration accepted as %+v", p)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 			return
 		}
 		if !p.Addr.Addr().Is4() || p.Addr.Port() == 0 || p.key() != PeersPrefix+key {
-			t.Errorf("read %+v", p)
+			t.Errorf("key accepted as %+v, which is not reachable or of another key", p)
 		}
 	})
 }
@@ -161,7 +161,7 @@
 // begins a second after they have started. A balancer and an agent start at the same moment
 // and the store answers only their first calls, in any order. Both used to list the other
 // keys before they wrote their own.
-func TestOneOfTwoThatStartTogetherSeesTheOther(t *testing.T) {
+func TestOneOfTwoProcessesThatStartTogetherFindsTheOther(t *testing.T) {
 	for _, order := range [][]Peer{{agentPeer, balancerPeer}, {balancerPeer, agentPeer}} {
 		for at := range 3 {
 			s := newKeyStore()
@@ -186,7 +186,7 @@
 // Guards against a response whose store era is ignored. As soon as any response shows that the
 // store was restored from an older copy, the process checks its own key and notifies the
 // other processes.
-func TestEraOfOwnAnswerIsActedOn(t *testing.T) {
+func TestNewStoreEraInResponseIsReported(t *testing.T) {
 	s := newKeyStore()
 	i, _ := newRegistrar(s, agentPeer)
 	var notified []uint64
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -70,14 +70,14 @@
 		t.Errorf("span lasts %v, want 20ms", took)
 	}
 	if offers[1].SpanContext().TraceID() == root.TraceID() || offers[1].Status().Description != "busy" {
-		t.Errorf("the next flow from the port: trace %v, status %v", offers[1].SpanContext().TraceID(), offers[1].Status())
+		t.Errorf("second flow from the same port has trace %v and status %v, want another trace and status busy", offers[1].SpanContext().TraceID(), offers[1].Status())
 	}
 }
 
 func TestSpansAreOffByDefault(t *testing.T) {
 	s, err := NewSpans(nil)
 	if s != nil || err != nil {
-		t.Fatalf("spans of no provider: %v, %v", s, err)
+		t.Fatalf("spans without a provider: %v, %v", s, err)
 	}
 	s.Balancer(flow.ID{}, netip.AddrPort{}, 0, "")
 	s.Agent(flow.ID{}, netip.AddrPort{}, 0)
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a large value that is requested again and again because a slow link can't
 // transfer it within a fixed time.
-func TestLargeValueArrivesOverThinLink(t *testing.T) {
+func TestLargeValueArrivesOverSlowLink(t *testing.T) {
 	f, addr := startServer(t, platform.NewLink(800_000))
 	f.take(store.Value{Data: incompressible(store.MaxValue), Version: 7})
 	begun := time.Now()
@@ -92,7 +92,7 @@
 	known := store.Value{Data: data, Version: 61}
 	v := fetch(t, NewValueClient(), known, addr)
 	if v.Version != 65 || v.Bytes != 0 || string(v.Data) != string(data) {
-		t.Fatalf("version %d, %d bytes sent", v.Version, v.Bytes)
+		t.Fatalf("received version %d with %d bytes sent, want version 65 without any", v.Version, v.Bytes)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get("Content-Encoding") != "" || resp.ContentLength != 5 {
-		t.Errorf("encoding %q, %d bytes", resp.Header.Get("Content-Encoding"), resp.ContentLength)
+		t.Errorf("response has encoding %q and %d bytes, want the plain value of 5 bytes", resp.Header.Get("Content-Encoding"), resp.ContentLength)
 	}
 }
 
@@ -227,7 +227,7 @@
 	begun := time.Now()
 	fetch(t, NewValueClient(), store.Value{}, netip.MustParseAddrPort(unresponsive.Addr().String()), addr)
 	if took := time.Since(begun); took > responseTimeout {
-		t.Errorf("took %v", took)
+		t.Errorf("fetch took %v, want less than the response timeout", took)
 	}
 }
 
