--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	homeTick = time.Second
-	// rosterShare is which part of the freshness that a vote needs may pass
-	// between two requests for the roster, so that a lost answer does no harm.
-	rosterShare = 3
+	voterTickInterval = time.Second
+	// memberListRequestsPerFreshness is how many requests for the member list are sent within
+	// the time for which a vote counts it as fresh, so that a lost response does no harm.
+	memberListRequestsPerFreshness = 3
 )
 
 // claims runs the two state machines of package idempotency: the requester for
-// this agent's own requests and the home that votes on others'.
+// this agent's own requests and the voter for the requests of all agents.
 type claims struct {
 	link *control.Link
 	self netip.AddrPort
 
-	mu  sync.Mutex // guards all below
+	mu  sync.Mutex // guards the fields below
 	cfg idempotency.Config
-	// freshness is cfg.Freshness with its default filled in.
-	freshness time.Duration
-	elect     *idempotency.Electorate
-	req       *idempotency.Requester
-	home      *idempotency.Voter // nil once the agent leaves: it votes no more
-	nextID    uint64
-	waiting   map[uint64]chan idempotency.Effect
-	effects   []idempotency.Effect
+	// freshness is cfg.Freshness, or its default if that is 0.
+	freshness  time.Duration
+	electorate *idempotency.Electorate
+	req        *idempotency.Requester
+	voter      *idempotency.Voter // nil after stopVoting
+	nextID     uint64
+	waiting    map[uint64]chan idempotency.Effect
+	effects    []idempotency.Effect
 
-	rosterSeq  uint64
-	rosterSent time.Time // when the roster request with rosterSeq went out
-	ticked     time.Time
-	named      time.Time // when the roster first named this agent
-	complete   bool
-	serving    int // other agents of the service that take new flows
-	live       int // other agents of the service
+	memberListSeq         uint64
+	memberListRequestedAt time.Time // when the request with memberListSeq was sent
+	tickedAt              time.Time
+	listedAt              time.Time // when the member list first contained this agent
+	complete              bool
+	otherServing          int // number of other agents of the service that accept new flows
+	otherAgents           int // number of other agents of the service
 }
 
 func newClaims(link *control.Link, self netip.AddrPort, cfg idempotency.Config) *claims {
@@ -54,26 +54,27 @@
 	if freshness == 0 {
 		freshness = idempotency.DefaultFreshness
 	}
-	elect := idempotency.NewElectorate(now, cfg)
+	electorate := idempotency.NewElectorate(now, cfg)
 	return &claims{
-		link:      link,
-		self:      self,
-		cfg:       cfg,
-		freshness: freshness,
-		elect:     elect,
-		req:       idempotency.NewRequester(self, uint64(now.UnixNano()), elect, cfg, newRand()),
-		home:      idempotency.NewVoter(self, cfg),
-		waiting:   make(map[uint64]chan idempotency.Effect),
+		link:       link,
+		self:       self,
+		cfg:        cfg,
+		freshness:  freshness,
+		electorate: electorate,
+		req:        idempotency.NewRequester(self, uint64(now.UnixNano()), electorate, cfg, newRand()),
+		voter:      idempotency.NewVoter(self, cfg),
+		waiting:    make(map[uint64]chan idempotency.Effect),
 	}
 }
 
-// claim is the right to run one request with a key, once.
+// claim is the right to run a request with an idempotency key once.
 type claim struct {
 	claims *claims
 	id     uint64
 }
 
-// finish tells what became of the request.
+// finish records the outcome of the request and the response's status. It does nothing
+// on a nil claim.
 func (c *claim) finish(s idempotency.State, status int) {
 	if c == nil {
 		return
@@ -81,21 +82,21 @@
 	c.claims.do(func(now time.Time) { c.claims.req.Finish(now, c.id, s, status) })
 }
 
-// begin waits for the right to run a request with the key. Its answer holds
-// until the first byte only if that follows at once.
+// begin waits for the right to run a request with the key, or returns the fault to answer
+// with. The caller has to send the request at once, since the claim may expire otherwise.
 func (c *claims) begin(ctx context.Context, key idempotency.Key) (*claim, *Fault) {
-	wait := make(chan idempotency.Effect, 2)
+	effects := make(chan idempotency.Effect, 2)
 	var id uint64
 	c.do(func(now time.Time) {
 		c.nextID++
 		id = c.nextID
-		c.waiting[id] = wait
+		c.waiting[id] = effects
 		c.req.Begin(now, id, key)
 	})
 	defer c.do(func(time.Time) { delete(c.waiting, id) })
 	for {
 		select {
-		case e := <-wait:
+		case e := <-effects:
 			if e.Kind != idempotency.Run {
 				return nil, claimFault(e)
 			}
@@ -115,41 +116,41 @@
 	return ok
 }
 
-// do runs f and carries out the effects that follow.
+// do runs f with the lock held and executes the effects that result.
 func (c *claims) do(f func(now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(time.Now())
-	c.settle()
+	c.runEffects()
 }
 
-// settle carries out effects until there are none. c.mu is held.
-func (c *claims) settle() {
+// runEffects executes the requester's effects until there are none. c.mu is held.
+func (c *claims) runEffects() {
 	for {
 		c.effects = c.req.Effects(c.effects[:0])
 		if len(c.effects) == 0 {
 			return
 		}
 		for _, e := range c.effects {
-			c.carryOut(e)
+			c.runEffect(e)
 		}
 	}
 }
 
-func (c *claims) carryOut(e idempotency.Effect) {
+func (c *claims) runEffect(e idempotency.Effect) {
 	now := time.Now()
 	switch e.Kind {
 	case idempotency.SendClaim:
 		if e.To != c.self {
 			c.link.Send(seal.TopicClaim, e.To, e.Claim)
-		} else if c.home != nil {
-			c.req.Receive(now, c.self, c.home.Claim(now, e.Claim))
+		} else if c.voter != nil {
+			c.req.Receive(now, c.self, c.voter.Claim(now, e.Claim))
 		}
 	case idempotency.SendReport:
 		if e.To != c.self {
 			c.link.Send(seal.TopicReport, e.To, e.Report)
-		} else if c.home != nil {
-			c.home.Report(now, e.Report)
+		} else if c.voter != nil {
+			c.voter.Report(now, e.Report)
 		}
 	default:
 		if wait := c.waiting[e.ID]; wait != nil {
@@ -158,16 +159,16 @@
 	}
 }
 
-// receive takes in a message of the topics claim, vote, report and roster. ok
-// is false for a message that can't be read.
+// receive handles a message of the topics claim, vote, report and member list. ok
+// is false if the message can't be decoded.
 func (c *claims) receive(topic seal.Topic, from netip.AddrPort, b []byte) (ok bool) {
 	var err error
 	c.do(func(now time.Time) {
 		switch topic {
 		case seal.TopicClaim:
 			var m idempotency.Claim
-			if err = cbor.Unmarshal(b, &m); err == nil && c.home != nil {
-				c.link.Send(seal.TopicVote, from, c.home.Claim(now, m))
+			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
+				c.link.Send(seal.TopicVote, from, c.voter.Claim(now, m))
 			}
 		case seal.TopicVote:
 			var m idempotency.Vote
@@ -176,112 +177,113 @@
 			}
 		case seal.TopicReport:
 			var m idempotency.Report
-			if err = cbor.Unmarshal(b, &m); err == nil && c.home != nil {
-				c.home.Report(now, m)
+			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
+				c.voter.Report(now, m)
 			}
 		case seal.TopicRosterIs:
 			var m control.RosterAnswer
 			if err = cbor.Unmarshal(b, &m); err == nil {
-				c.takeRoster(now, m)
+				c.receiveMemberList(now, m)
 			}
 		}
 	})
 	return err == nil
 }
 
-// takeRoster takes in the answer to the newest request. The time that counts
-// is the one at which the request went out: an answer may have lain in the
-// socket while this process was frozen.
-func (c *claims) takeRoster(now time.Time, m control.RosterAnswer) {
-	if m.Seq != c.rosterSeq {
+// receiveMemberList handles the response to the latest request and ignores any other. The
+// member list is as old as the request: the response may have waited in the socket buffer
+// while this process was suspended.
+func (c *claims) receiveMemberList(now time.Time, m control.RosterAnswer) {
+	if m.Seq != c.memberListSeq {
 		return
 	}
 	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
 	for _, g := range m.Gone {
 		r.Departed = append(r.Departed, idempotency.DepartedMember{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
 	}
-	c.noteService(now, m)
-	c.elect.Update(now, r)
-	c.elect.Confirm(c.rosterSent)
-	if c.home != nil {
-		c.home.Update(now, r)
-		c.home.Confirm(c.rosterSent)
+	c.recordService(now, m)
+	c.electorate.Update(now, r)
+	c.electorate.Confirm(c.memberListRequestedAt)
+	if c.voter != nil {
+		c.voter.Update(now, r)
+		c.voter.Confirm(c.memberListRequestedAt)
 	}
 }
 
-func (c *claims) noteService(now time.Time, m control.RosterAnswer) {
+func (c *claims) recordService(now time.Time, m control.RosterAnswer) {
 	if !slices.Contains(m.Live, c.self) {
 		return
 	}
-	if c.named.IsZero() {
-		c.named = now
+	if c.listedAt.IsZero() {
+		c.listedAt = now
 	}
 	c.complete = m.Complete
-	c.live = len(m.Live) - 1
-	c.serving = int(m.Serving)
+	c.otherAgents = len(m.Live) - 1
+	c.otherServing = int(m.Serving)
 }
 
-// tick asks for the roster when that is due and drives the machines.
+// tick requests the member list from a balancer when that is due, and advances the state
+// machines.
 func (c *claims) tick(balancer netip.AddrPort, service uint32) {
 	c.do(func(now time.Time) {
-		if now.Sub(c.rosterSent) >= c.freshness/rosterShare && balancer.IsValid() {
-			c.rosterSeq++
-			c.rosterSent = now
-			c.link.Send(seal.TopicRoster, balancer, control.RosterRequest{Service: service, Seq: c.rosterSeq})
+		if now.Sub(c.memberListRequestedAt) >= c.freshness/memberListRequestsPerFreshness && balancer.IsValid() {
+			c.memberListSeq++
+			c.memberListRequestedAt = now
+			c.link.Send(seal.TopicRoster, balancer, control.RosterRequest{Service: service, Seq: c.memberListSeq})
 		}
-		if c.home != nil && now.Sub(c.ticked) >= homeTick {
-			c.ticked = now
-			c.home.Tick(now)
+		if c.voter != nil && now.Sub(c.tickedAt) >= voterTickInterval {
+			c.tickedAt = now
+			c.voter.Tick(now)
 		}
 		c.req.Tick(now)
 	})
 }
 
-// fenced reports whether this agent's start fence is still up: others count on
-// no vote of it yet. c.mu is held.
+// fenced reports whether this agent's start fence is still in force, during which other
+// agents do not rely on its votes. c.mu is held.
 func (c *claims) fenced(now time.Time) bool {
-	return c.named.IsZero() || now.Sub(c.named) <= c.cfg.Fence()
+	return c.listedAt.IsZero() || now.Sub(c.listedAt) <= c.cfg.Fence()
 }
 
-// settled reports whether the agent may take new flows: requests with keys can
-// run here, or the service has just begun and has no agent that serves them
-// better. An agent added to a service at work must not draw flows whose
-// requests it has to refuse.
-func (c *claims) settled() bool {
+// acceptsFlows reports whether the agent may accept new flows: either requests with keys can
+// run here, or the service has recently started and no other agent can serve them better. An
+// agent that is added to a running service must not attract flows whose requests it would
+// have to refuse.
+func (c *claims) acceptsFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.named.IsZero() {
+	if c.listedAt.IsZero() {
 		return false
 	}
-	atWork := c.live > 0 && 2*c.serving >= c.live
-	return c.complete || !atWork || !c.fenced(time.Now())
+	serviceRunning := c.otherAgents > 0 && 2*c.otherServing >= c.otherAgents
+	return c.complete || !serviceRunning || !c.fenced(time.Now())
 }
 
 // ready reports whether requests with keys can run at this agent.
 func (c *claims) ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.home != nil && !c.fenced(time.Now())
+	return c.voter != nil && !c.fenced(time.Now())
 }
 
-// leave ends this agent's votes. It comes before the agent announces that it
-// leaves, so that whoever hears of that may stop counting it.
-func (c *claims) leave() {
+// stopVoting ends this agent's votes. It has to be called before the agent announces that it
+// leaves, since other agents stop counting the agent as soon as they are notified.
+func (c *claims) stopVoting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.home = nil
+	c.voter = nil
 }
 
-// Values of HeaderOutcome for requests with a key.
+// Further values of HeaderOutcome for requests with an idempotency key.
 const (
-	OutcomeRan     = "ran"     // an earlier attempt with the key ran and was answered
+	OutcomeRan     = "ran"     // an earlier attempt with the key ran and got a response
 	OutcomeRunning = "running" // an earlier attempt with the key is running
 )
 
-// HeaderFirstStatus is the status that the earlier attempt was answered with.
+// HeaderFirstStatus is the status of the response to the earlier attempt.
 const HeaderFirstStatus = "Hemlock-First-Status"
 
-// claimFault is the final answer to a request that may not run.
+// claimFault returns the response to a request that is not allowed to run.
 func claimFault(e idempotency.Effect) *Fault {
 	f := &Fault{Status: http.StatusConflict, RetryAfter: e.RetryAfter}
 	switch {
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -8,22 +8,22 @@
 	"github.com/hemlockscale/hemlockscale/admission"
 )
 
-// gateTick is how often waiting requests are looked at again.
-const gateTick = 20 * time.Millisecond
+// gateTickInterval is the time between two checks of the waiting requests.
+const gateTickInterval = 20 * time.Millisecond
 
 // gate lets goroutines wait for the decisions of an admission.Controller.
 type gate struct {
-	mu      sync.Mutex
-	ctrl    *admission.Controller
-	nextID  uint64
-	budget  admission.Budget
-	waiting map[uint64]chan admission.Effect
-	effects []admission.Effect
-	changed func(time.Time, admission.Load)    // told the counts after each change of them
-	ended   func(time.Time, admission.Outcome) // told how each request ended
-	open    int                                // requests between enter and the end of their permit
-	idle    chan struct{}                      // closed once draining and open is 0
-	drains  bool
+	mu        sync.Mutex
+	ctrl      *admission.Controller
+	nextID    uint64
+	budget    admission.Budget
+	waiting   map[uint64]chan admission.Effect
+	effects   []admission.Effect
+	onLoad    func(time.Time, admission.Load)    // called with the counts after each change of them
+	onOutcome func(time.Time, admission.Outcome) // called with the outcome of each request
+	open      int                                // number of requests between enter and the end of their permit
+	idle      chan struct{}                      // closed when draining and open is 0
+	draining  bool
 }
 
 func newGate(cfg admission.Config) *gate {
@@ -41,26 +41,26 @@
 	once sync.Once
 }
 
-// opened tells that the answer's header came.
-func (p *permit) opened() {
+// headerReceived records that the response header has arrived.
+func (p *permit) headerReceived() {
 	p.gate.do(func(c *admission.Controller, now time.Time) { c.Opened(now, p.id) })
 }
 
-// done gives the permit back. Only the first call counts.
+// done returns the permit with the request's result. Only the first call has an effect.
 func (p *permit) done(r admission.Result) {
 	p.once.Do(func() {
 		p.gate.do(func(c *admission.Controller, now time.Time) {
 			c.Done(now, p.id, r)
-			if p.gate.ended != nil {
-				p.gate.ended(now, r.Outcome)
+			if p.gate.onOutcome != nil {
+				p.gate.onOutcome(now, r.Outcome)
 			}
 		})
-		p.gate.leave()
+		p.gate.requestEnded()
 	})
 }
 
-// enter waits until r may start. A *admission.Refusal means that it was not
-// and will not be run; so does an error of ctx.
+// enter waits until r may start. After an error, which is an admission.Refusal or the
+// error of ctx, the request has not run and will not run.
 func (g *gate) enter(ctx context.Context, r admission.Request) (*permit, error) {
 	g.mu.Lock()
 	g.nextID++
@@ -79,7 +79,7 @@
 	case admission.Admitted:
 		return &permit{gate: g, id: r.ID}, nil
 	case admission.Refused:
-		g.leave()
+		g.requestEnded()
 		return nil, d.Refusal
 	}
 	return g.await(ctx, r.ID, wait)
@@ -89,7 +89,7 @@
 	select {
 	case e := <-wait:
 		if e.Kind == admission.Refuse {
-			g.leave()
+			g.requestEnded()
 			return nil, e.Refusal
 		}
 		return &permit{gate: g, id: id}, nil
@@ -99,8 +99,8 @@
 	return nil, ctx.Err()
 }
 
-// cancel takes back a waiting request. It may have been started in the
-// meantime: then its slot is given back, and nothing was sent.
+// cancel withdraws a waiting request. If it has been admitted in the meantime, its slot
+// is released; nothing was sent to the backend server.
 func (g *gate) cancel(id uint64) {
 	g.do(func(c *admission.Controller, now time.Time) {
 		delete(g.waiting, id)
@@ -108,20 +108,20 @@
 			c.Done(now, id, admission.Result{Outcome: admission.Canceled})
 		}
 	})
-	g.leave()
+	g.requestEnded()
 }
 
-// leave counts the end of an open request.
-func (g *gate) leave() {
+// requestEnded records the end of an open request.
+func (g *gate) requestEnded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open--
-	g.noteIdle()
+	g.signalIdle()
 }
 
-// noteIdle tells the drain when the last open request has ended. g.mu is held.
-func (g *gate) noteIdle() {
-	if !g.drains || g.open > 0 {
+// signalIdle closes idle when the gate is draining and no request is open. g.mu is held.
+func (g *gate) signalIdle() {
+	if !g.draining || g.open > 0 {
 		return
 	}
 	select {
@@ -131,7 +131,7 @@
 	}
 }
 
-// do runs f on the controller and delivers the decisions that follow.
+// do runs f on the controller and delivers the resulting decisions to waiting requests.
 func (g *gate) do(f func(*admission.Controller, time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,15 +147,15 @@
 			wait <- e
 		}
 	}
-	if g.changed != nil {
+	if g.onLoad != nil {
 		now := time.Now()
-		g.changed(now, g.ctrl.Load(now))
+		g.onLoad(now, g.ctrl.Load(now))
 	}
 }
 
-// tick is the duty that lets waiting requests meet their deadlines.
+// tick makes the controller check the deadlines of waiting requests until ctx is done.
 func (g *gate) tick(ctx context.Context) {
-	t := time.NewTicker(gateTick)
+	t := time.NewTicker(gateTickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -167,27 +167,27 @@
 	}
 }
 
-// offered counts a request's first attempt.
-func (g *gate) offered() {
+// countAttempt counts the first attempt of a request in the retry budget.
+func (g *gate) countAttempt() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget.Offered()
 }
 
-// retry reports whether a request may be attempted once more.
-func (g *gate) retry(r admission.Request) bool {
+// allowRetry reports whether the retry budget allows another attempt of a request.
+func (g *gate) allowRetry(r admission.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	return g.budget.Retry(now, r, g.ctrl.Load(now).ServiceTime)
 }
 
-// drain refuses new requests and waits until the open ones have ended.
+// drain refuses new requests and waits until the open ones have ended or ctx is done.
 func (g *gate) drain(ctx context.Context) {
 	g.do(func(c *admission.Controller, _ time.Time) {
 		c.Drain()
-		g.drains = true
-		g.noteIdle()
+		g.draining = true
+		g.signalIdle()
 	})
 	select {
 	case <-g.idle:
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -17,8 +17,8 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// served is a handler before a backend server.
-func served(t *testing.T, backendURL string) *handler {
+// newTestHandler returns a handler for a backend server.
+func newTestHandler(t *testing.T, backendURL string) *handler {
 	t.Helper()
 	u, err := url.Parse(backendURL)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return h
 }
 
-func ask(h *handler, method, path string, body io.Reader) *httptest.ResponseRecorder {
+func serve(h *handler, method, path string, body io.Reader) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, "https://listing"+path, body)
 	r.Header.Set("Accept", "*/*")
@@ -43,7 +43,8 @@
 	return w
 }
 
-// closingServer accepts connections, reads a request's first bytes and closes.
+// closingServer returns a server that accepts connections, reads the first bytes of a request
+// and closes the connection, and the number of requests read.
 func closingServer(t *testing.T) (url string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -72,16 +73,16 @@
 	return "http://" + ln.Addr().String(), requests
 }
 
-// TestRetriesStayWithinBudget: symptom: a backend server that fails gets twice
-// its load. Sequence: it closes every connection after reading the request;
-// each request is sent again. Cause: retries without a budget.
+// TestRetriesStayWithinBudget guards against a failing backend server that receives twice its
+// load. The server closes every connection after reading the request, and without a retry
+// budget each request is sent again.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	url, requests := closingServer(t)
-	h := served(t, url)
+	h := newTestHandler(t, url)
 	const offered = 200
 	for range offered {
-		if w := ask(h, http.MethodGet, "/card/1", nil); w.Code != http.StatusBadGateway {
-			t.Fatalf("status %d", w.Code)
+		if w := serve(h, http.MethodGet, "/card/1", nil); w.Code != http.StatusBadGateway {
+			t.Fatalf("status %d, want 502", w.Code)
 		}
 	}
 	if got := requests.Load(); got > offered*11/10 {
@@ -89,10 +90,9 @@
 	}
 }
 
-// TestPostIsSentOnce: symptom: a reservation runs twice. Sequence: a request
-// with an idempotency key and no body goes out on a connection that was kept
-// open; the backend server has closed it after running the request.
-// Cause: http.Transport repeats such a request by itself.
+// TestPostIsSentOnce guards against a reservation that runs twice. A request with an idempotency
+// key and no body is sent on a reused connection, which the backend server closes after it has
+// run the request. http.Transport would repeat such a request by itself.
 func TestPostIsSentOnce(t *testing.T) {
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,55 +106,55 @@
 		}
 	}))
 	t.Cleanup(server.Close)
-	h := served(t, server.URL)
-	ask(h, http.MethodGet, "/warm", nil) // leaves a connection to be used again
+	h := newTestHandler(t, server.URL)
+	serve(h, http.MethodGet, "/warm", nil) // leaves an idle connection that the next request reuses
 	r := httptest.NewRequest(http.MethodPost, "https://listing/reserve", http.NoBody)
 	r.Header.Set(HeaderKey, "key-1")
 	r.ContentLength = 0
 	_, err := h.backend.do(t.Context(), r, r.Header)
-	if e := callFailed(err); err == nil || !e.Sent {
-		t.Errorf("error %v", err)
+	if e := asCallError(err); err == nil || !e.Sent {
+		t.Errorf("error %v, want a CallError with Sent", err)
 	}
 	if n := runs.Load(); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("request ran %d times, want once", n)
 	}
 }
 
-// TestNotRunWithoutBackend: a request that no byte of reached the backend
-// server is refused as not run, with a time to come back.
+// TestNotRunWithoutBackend checks that a request of which no byte has reached the backend
+// server is refused as not run, with a Retry-After.
 func TestNotRunWithoutBackend(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
-	h := served(t, "http://"+ln.Addr().String())
-	w := ask(h, http.MethodPost, "/reserve", strings.NewReader("part"))
+	h := newTestHandler(t, "http://"+ln.Addr().String())
+	w := serve(h, http.MethodPost, "/reserve", strings.NewReader("part"))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderOutcome) != OutcomeNotRun || w.Header().Get("Retry-After") == "" {
-		t.Errorf("status %d header %v", w.Code, w.Header())
+		t.Errorf("status %d header %v, want 503, not-run and a Retry-After", w.Code, w.Header())
 	}
 }
 
-// TestDeadlineIsPassedOn checks that the backend server is told what is left of
-// the caller's time, and that the caller is answered when it is over.
+// TestDeadlineIsPassedOn checks that the backend server receives the remaining time of the
+// caller, and that the caller gets a response when that is over.
 func TestDeadlineIsPassedOn(t *testing.T) {
-	told := make(chan string, 1)
+	received := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // the server watches the connection after that
-		told <- r.Header.Get(HeaderTimeout)
+		io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body is read
+		received <- r.Header.Get(HeaderTimeout)
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.Close)
-	h := served(t, server.URL)
+	h := newTestHandler(t, server.URL)
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "https://listing/reserve", strings.NewReader("part"))
 	r.Header.Set(HeaderTimeout, "200")
 	h.ServeHTTP(w, r)
 	if w.Code != http.StatusGatewayTimeout || w.Header().Get(HeaderOutcome) != OutcomeUnknown {
-		t.Errorf("status %d outcome %q", w.Code, w.Header().Get(HeaderOutcome))
+		t.Errorf("status %d outcome %q, want 504 and unknown", w.Code, w.Header().Get(HeaderOutcome))
 	}
-	left, err := time.ParseDuration(<-told + "ms")
+	left, err := time.ParseDuration(<-received + "ms")
 	if err != nil || left <= 0 || left > 200*time.Millisecond {
-		t.Errorf("left %v: %v", left, err)
+		t.Errorf("backend server received a timeout of %v (%v), want at most 200ms", left, err)
 	}
 }
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// dataRing is how many caller packets may wait for QUIC. When it is full
-	// the newest is dropped and counted: QUIC recovers from loss and slows
-	// its sender down, while blocking would hold up control datagrams.
-	dataRing = 4096
-	// controlRing is the same for control datagrams; their protocols repeat.
-	controlRing = 256
+	// dataQueueSize is how many caller packets may wait for QUIC. When the queue
+	// is full, the newest packet is dropped and counted. QUIC recovers from the loss
+	// and slows its sender down, while blocking would delay control datagrams.
+	dataQueueSize = 4096
+	// controlQueueSize is how many control datagrams may wait. Further ones are
+	// dropped, since their protocols retransmit.
+	controlQueueSize = 256
 )
 
-// arrival is a caller packet for QUIC.
-type arrival struct {
+// callerPacket is a caller's packet that waits for QUIC.
+type callerPacket struct {
 	data *[udp.MaxDatagram]byte
 	n    int
 	from *net.UDPAddr
 }
 
-// firstPacketPolicy decides where a flow's first packet goes.
+// firstPacketPolicy decides which agent receives a flow's first packet.
 type firstPacketPolicy interface {
-	// place returns the agent that the packet goes on to and marks it in the
-	// header, or reports that the flow stays here.
-	place(h *frame.Header, packet []byte) (to netip.AddrPort, elsewhere bool)
-	// load returns the occupancy that goes with return datagrams.
+	// place returns the agent to forward the packet to, with elsewhere true and the
+	// header's flags set, or elsewhere false if the flow stays at this agent.
+	place(h *frame.Header, packet []byte) (to netip.AddrPort, forward bool)
+	// load returns the occupancy that return datagrams report.
 	load() byte
 }
 
-// packetConn carries QUIC's packets inside frames over the internal socket.
-// To QUIC it is a net.PacketConn whose addresses are virtual, see pathKey.
+// packetConn carries QUIC packets inside frames over the internal socket. It implements
+// net.PacketConn with virtual addresses, see pathKey.
 type packetConn struct {
 	socket  *udp.Conn
 	paths   *paths
 	policy  firstPacketPolicy
 	service atomic.Uint32 // 0 until the catalogue entry is known
 	metrics *metrics
-	marks   *flowMarks // nil when tracing is off
+	traced  *tracedFlows // nil when tracing is off
 
-	in      *frame.Codec // of the receive duty
-	data    chan arrival
+	decoder *frame.Codec // used by receive only
+	data    chan callerPacket
 	control chan control.Datagram
 	buffers sync.Pool
 	writers sync.Pool
@@ -62,7 +63,7 @@
 	expireOnce sync.Once
 }
 
-// outBuffer is the memory that one return datagram is built in.
+// outBuffer is the buffer in which a return datagram is built.
 type outBuffer struct {
 	codec  *frame.Codec
 	header frame.Header
@@ -70,7 +71,7 @@
 }
 
 func newPacketConn(ring fleetkey.Ring, socket *udp.Conn, policy firstPacketPolicy, m *metrics) (*packetConn, error) {
-	in, err := frame.NewCodec(ring)
+	decoder, err := frame.NewCodec(ring)
 	if err != nil {
 		return nil, err
 	}
@@ -79,9 +80,9 @@
 		paths:   newPaths(),
 		policy:  policy,
 		metrics: m,
-		in:      in,
-		data:    make(chan arrival, dataRing),
-		control: make(chan control.Datagram, controlRing),
+		decoder: decoder,
+		data:    make(chan callerPacket, dataQueueSize),
+		control: make(chan control.Datagram, controlQueueSize),
 		closed:  make(chan struct{}),
 		expired: make(chan struct{}),
 	}
@@ -93,8 +94,7 @@
 	return c, nil
 }
 
-// receive is the duty that reads the internal socket. It returns when the
-// socket is closed.
+// receive reads the internal socket until it is closed.
 func (c *packetConn) receive() error {
 	r := udp.NewReader(c.socket)
 	w := udp.NewWriter(c.socket)
@@ -106,44 +106,44 @@
 		}
 		now := time.Now()
 		for i := range n {
-			c.take(r, w, i, &h, now)
+			c.receiveDatagram(r, w, i, &h, now)
 		}
 		w.Flush()
 	}
 }
 
-func (c *packetConn) take(r *udp.Reader, w *udp.Writer, i int, h *frame.Header, now time.Time) {
+func (c *packetConn) receiveDatagram(r *udp.Reader, w *udp.Writer, i int, h *frame.Header, now time.Time) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
-		c.passControl(r.Source(i), b)
+		c.queueControl(r.Source(i), b)
 		return
 	}
-	if r.Truncated(i) || !c.in.Get(b, h) || h.Kind != frame.KindForward {
-		c.metrics.strangers.Inc()
+	if r.Truncated(i) || !c.decoder.Get(b, h) || h.Kind != frame.KindForward {
+		c.metrics.unknownDatagrams.Inc()
 		return
 	}
-	// After a restart another service's agent may hold this address, and a
-	// balancer with an old roster still sends here what was meant for it.
+	// After a restart an agent of another service may have this address. A balancer with an
+	// outdated member list may then send packets here that are for the previous service.
 	if h.Service != c.service.Load() {
-		c.metrics.foreign.Inc()
+		c.metrics.foreignPackets.Inc()
 		return
 	}
 	packet := b[frame.Len:]
 	if h.Flags&frame.FlagFirst != 0 {
-		if to, elsewhere := c.policy.place(h, packet); elsewhere {
-			c.in.Put(b, h)
+		if to, forward := c.policy.place(h, packet); forward {
+			c.decoder.Put(b, h)
 			w.Add(b, to, netip.Addr{})
-			c.metrics.handedOn.Inc()
+			c.metrics.forwarded.Inc()
 			return
 		}
 	}
-	c.marks.note(h, packet, now)
-	c.deliver(packet, c.paths.heard(h, now))
+	c.traced.recordFirstPacket(h, packet, now)
+	c.queuePacket(packet, c.paths.received(h, now))
 }
 
-func (c *packetConn) deliver(packet []byte, from *net.UDPAddr) {
+func (c *packetConn) queuePacket(packet []byte, from *net.UDPAddr) {
 	buf := c.buffers.Get().(*[udp.MaxDatagram]byte)
-	a := arrival{data: buf, n: copy(buf[:], packet), from: from}
+	a := callerPacket{data: buf, n: copy(buf[:], packet), from: from}
 	select {
 	case c.data <- a:
 	default:
@@ -152,7 +152,7 @@
 	}
 }
 
-func (c *packetConn) passControl(from netip.AddrPort, b []byte) {
+func (c *packetConn) queueControl(from netip.AddrPort, b []byte) {
 	data := append([]byte(nil), b...)
 	select {
 	case c.control <- control.Datagram{From: from, Data: data}:
@@ -175,7 +175,7 @@
 	}
 }
 
-// WriteTo sends a packet to the caller behind the virtual address.
+// WriteTo sends a packet to the caller that the virtual address identifies.
 func (c *packetConn) WriteTo(p []byte, to net.Addr) (int, error) {
 	u, ok := to.(*net.UDPAddr)
 	if !ok {
@@ -186,31 +186,32 @@
 		return len(p), nil
 	}
 	now := time.Now()
-	before, kept := c.paths.space(key, p, now)
+	before, held := c.paths.holdPacket(key, p, now)
 	if before != nil {
 		c.send(key, before.packet(), now)
 	}
-	if kept != nil {
-		time.AfterFunc(ackSpacing, func() { c.sendKept(key, kept) })
+	if held != nil {
+		time.AfterFunc(ackSpacing, func() { c.sendHeld(key, held) })
 		return len(p), nil
 	}
 	c.send(key, p, now)
 	return len(p), nil
 }
 
-// sendKept sends a packet that was kept back, if no later one has had it sent.
-func (c *packetConn) sendKept(key pathKey, h *heldPacket) {
+// sendHeld sends a held packet unless a later packet has already caused it to be sent.
+func (c *packetConn) sendHeld(key pathKey, h *heldPacket) {
 	if now := time.Now(); c.paths.release(key, h, now) {
 		c.send(key, h.packet(), now)
 	}
 }
 
-// send sends a packet on the ways of a path. Without any it is lost, as any datagram may be.
+// send sends a packet through the return paths selected for the caller. It drops the packet
+// if there is none, since any datagram may be lost.
 func (c *packetConn) send(key pathKey, p []byte, now time.Time) {
-	var routes [waysPerPath]route
-	n := c.paths.back(key, now, &routes)
+	var routes [maxReturnPaths]route
+	n := c.paths.routes(key, now, &routes)
 	if n == 0 {
-		c.metrics.noWay.Inc()
+		c.metrics.noReturnPath.Inc()
 		return
 	}
 	o := c.writers.Get().(*outBuffer)
@@ -233,7 +234,7 @@
 	}
 }
 
-// Close ends ReadFrom. The socket is closed by the agent.
+// Close makes ReadFrom return net.ErrClosed. The agent closes the socket.
 func (c *packetConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return nil
@@ -244,14 +245,14 @@
 	return net.UDPAddrFromAddrPort(c.socket.LocalAddr())
 }
 
-// SetDeadline is SetReadDeadline: writes never wait.
+// SetDeadline calls SetReadDeadline, since writes never block.
 func (c *packetConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// SetWriteDeadline does nothing: writes never wait.
+// SetWriteDeadline does nothing, since writes never block.
 func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetReadDeadline ends ReadFrom for good when t is set. QUIC sets a deadline
-// only when it closes, to wake its reader.
+// SetReadDeadline makes ReadFrom fail permanently if t is not zero. QUIC sets a deadline
+// only to unblock its reader when it closes.
 func (c *packetConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() {
 		c.expireOnce.Do(func() { close(c.expired) })
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// pathIdle is after how much silence a path is forgotten. It is above
-	// the idle timeout of connections, so no open connection loses its path.
-	pathIdle = 2 * idleTimeout
-	// silenceLeast and silenceMost bound how long a path may be silent after
-	// something was sent on it before other ways back are tried. The least is
-	// above the 25 ms by which QUIC delays acknowledgements; trying other ways
-	// too early costs copies only.
-	silenceLeast = 60 * time.Millisecond
-	silenceMost  = 600 * time.Millisecond
-	// answerGain is the weight of one observation in a path's answer time.
-	answerGain = 1.0 / 8
-	// settleTime is for how long after a path has changed its way answers may
-	// still be to what it sent by the way before.
-	settleTime = 30 * time.Millisecond
-	// waysPerPath bounds the balancers remembered for one path.
-	waysPerPath = 4
+	// pathIdleTimeout is how long after its last packet a path is removed. It is longer
+	// than the idle timeout of connections, so no open connection loses its path.
+	pathIdleTimeout = 2 * idleTimeout
+	// minResponseTimeout and maxResponseTimeout bound how long after a packet was sent a
+	// caller may send nothing before other return paths are tried. The minimum is
+	// above the 25 ms by which QUIC delays acknowledgements; trying other return paths
+	// too early costs only copies.
+	minResponseTimeout = 60 * time.Millisecond
+	maxResponseTimeout = 600 * time.Millisecond
+	// responseTimeGain is the weight of one observation in a path's response time.
+	responseTimeGain = 1.0 / 8
+	// switchGrace is how long after a path has switched to another return path responses may
+	// still be to packets sent through the previous one.
+	switchGrace = 30 * time.Millisecond
+	// maxReturnPaths bounds the return paths that are kept for one path.
+	maxReturnPaths = 4
 )
 
-// pathKey is a caller and the service address that it uses.
+// pathKey identifies a path by a caller and the service address that it uses.
 //
-// The balancer is no part of it. Were it one, each balancer that a packet comes
-// through would be another path: QUIC would take every packet for a migration
-// of its caller, and no path would know more than one way back.
+// The balancer is not part of the key. Otherwise each balancer that forwards a packet
+// would create another path: QUIC would handle every packet as a migration of its caller,
+// and no path would have more than one return path.
 type pathKey struct {
 	caller  netip.AddrPort
 	address netip.Addr
 }
 
-// virtualAddr encodes a path key as one address for QUIC, so that two
-// addresses of a service used from one caller socket stay two paths. The
-// address is never sent to.
+// virtualAddr encodes a path key as one address for QUIC, so that two addresses of
+// a service that are used from one caller socket are two paths. No datagram is sent
+// to the virtual address.
 func (k pathKey) virtualAddr() *net.UDPAddr {
 	var ip [16]byte
 	ip[0] = 0xfd
@@ -50,7 +50,7 @@
 	return &net.UDPAddr{IP: ip[:], Port: int(k.caller.Port())}
 }
 
-// keyOf reads a path key back from its virtual address.
+// keyOf decodes the path key from its virtual address. ok is false for other addresses.
 func keyOf(a *net.UDPAddr) (k pathKey, ok bool) {
 	if len(a.IP) != net.IPv6len {
 		return k, false
@@ -61,117 +61,117 @@
 	return k, true
 }
 
-// candidate is a way that a path was heard through.
+// candidate is a return path through a balancer that has forwarded a path's packets.
 type candidate struct {
-	way   *way
-	heard time.Time
+	returnPath *returnPath
+	receivedAt time.Time
 }
 
-// path is one caller at one service address.
+// path is the state of one caller at one service address.
 //
-// It sends by one way for as long as that delivers. Were each packet sent by
-// another way, a way that loses everything would cost every path its share of
-// packets for as long as it lasts, and no one could tell which way it was.
+// It uses one return path for as long as that delivers. If each packet used another
+// one, a return path that loses everything would cost every path a share of its packets
+// for as long as the fault lasts, and it would not show which return path has the fault.
 type path struct {
-	virtual *net.UDPAddr
-	heard   time.Time
-	sent    time.Time     // first send since the path was heard; zero if none
-	answer  time.Duration // usual time from a first send until the path is heard
-	ways    [waysPerPath]candidate
-	// validated is set once the caller has used a connection ID that this
-	// agent gave it. Until then its address may be forged, and copies would
-	// have the fleet amplify a stranger's traffic towards it.
-	validated bool
-	stalled   bool // it was told of that the path stands still
-	spacing   spacing
+	virtual      *net.UDPAddr
+	receivedAt   time.Time
+	sentAt       time.Time     // first send since the last packet was received; zero if none
+	responseTime time.Duration // average time from a first send until a packet is received
+	candidates   [maxReturnPaths]candidate
+	// validated is set when the caller has used a connection ID that this agent
+	// has assigned. Until then its address may be forged, and copies would amplify
+	// an attacker's traffic towards that address.
+	validated     bool
+	stallReported bool // reportStall has reported or counted this stall
+	spacing       spacing
 
-	on        *way // nil while the path looks for one
-	onSince   time.Time
-	countedAt time.Time // when on was last credited with a delivery
+	current      *returnPath // return path in use; nil while the path searches for one
+	currentSince time.Time
+	creditedAt   time.Time // when a delivery was last recorded for current
 }
 
-// note records that the path was heard through w.
-func (p *path) note(w *way, now time.Time) {
-	p.credit(now)
-	p.heard = now
-	p.sent = time.Time{}
-	p.stalled = false
+// recordReceived records that a packet of the path was received through w.
+func (p *path) recordReceived(w *returnPath, now time.Time) {
+	p.recordResponse(now)
+	p.receivedAt = now
+	p.sentAt = time.Time{}
+	p.stallReported = false
 	oldest := 0
-	for i := range p.ways {
-		c := &p.ways[i]
-		if c.way == w {
-			c.heard = now
+	for i := range p.candidates {
+		c := &p.candidates[i]
+		if c.returnPath == w {
+			c.receivedAt = now
 			return
 		}
-		if c.heard.Before(p.ways[oldest].heard) {
+		if c.receivedAt.Before(p.candidates[oldest].receivedAt) {
 			oldest = i
 		}
 	}
-	p.ways[oldest] = candidate{way: w, heard: now}
+	p.candidates[oldest] = candidate{returnPath: w, receivedAt: now}
 }
 
-// credit learns from an answer how long answers take, and at most once in a
-// silence limit that the path's way delivers.
-func (p *path) credit(now time.Time) {
-	if p.sent.IsZero() {
+// recordResponse updates the path's response time when a packet is received after a send. At
+// most once per minResponseTimeout it also records a delivery for the current return path.
+func (p *path) recordResponse(now time.Time) {
+	if p.sentAt.IsZero() {
 		return
 	}
-	if took := now.Sub(p.sent); took < silenceMost/2 {
-		p.answer += time.Duration(float64(took-p.answer) * answerGain)
+	if responseTime := now.Sub(p.sentAt); responseTime < maxResponseTimeout/2 {
+		p.responseTime += time.Duration(float64(responseTime-p.responseTime) * responseTimeGain)
 	}
-	if p.on == nil || now.Sub(p.onSince) < settleTime || now.Sub(p.countedAt) < silenceLeast {
+	if p.current == nil || now.Sub(p.currentSince) < switchGrace || now.Sub(p.creditedAt) < minResponseTimeout {
 		return
 	}
-	p.countedAt = now
-	p.on.delivered()
+	p.creditedAt = now
+	p.current.recordDelivery()
 }
 
-// silent reports whether nothing was heard since something was sent a while
-// ago. Packets sent by the path's way may all be lost then: a caller that
-// receives nothing has nothing to acknowledge, and so is never heard.
-func (p *path) silent(now time.Time) bool {
-	if p.sent.IsZero() {
-		p.sent = now
+// unresponsive reports whether nothing was received for longer than the response timeout
+// after a send. The current return path may then lose all packets: a caller that receives
+// nothing has nothing to acknowledge and sends nothing.
+func (p *path) unresponsive(now time.Time) bool {
+	if p.sentAt.IsZero() {
+		p.sentAt = now
 		return false
 	}
-	limit := min(max(2*p.answer+silenceLeast/2, silenceLeast), silenceMost)
-	return now.Sub(p.sent) > limit
+	timeout := min(max(2*p.responseTime+minResponseTimeout/2, minResponseTimeout), maxResponseTimeout)
+	return now.Sub(p.sentAt) > timeout
 }
 
-// last returns the way that the path was heard through last, of those that are
-// at least as good as least; nil if there is none.
-func (p *path) last(least grade, now, newest time.Time) *way {
+// mostRecent returns the return path through which the path's last packet was received, among
+// those with at least the grade least; nil if there is none.
+func (p *path) mostRecent(least grade, now, newest time.Time) *returnPath {
 	var best *candidate
-	for i := range p.ways {
-		c := &p.ways[i]
-		if c.way == nil || c.way.grade(now, newest) < least {
+	for i := range p.candidates {
+		c := &p.candidates[i]
+		if c.returnPath == nil || c.returnPath.grade(now, newest) < least {
 			continue
 		}
-		if best == nil || c.heard.After(best.heard) {
+		if best == nil || c.receivedAt.After(best.receivedAt) {
 			best = c
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	return best.way
+	return best.returnPath
 }
 
-// probe returns a cut way that is due to be tried again, nil if there is none.
-func (p *path) probe(now time.Time) *way {
-	for i := range p.ways {
-		if w := p.ways[i].way; w != nil && w != p.on && w.probeDue(now) {
+// dueProbe returns a broken return path that is due to be probed, nil if there is none.
+func (p *path) dueProbe(now time.Time) *returnPath {
+	for i := range p.candidates {
+		if w := p.candidates[i].returnPath; w != nil && w != p.current && w.probeDue(now) {
 			return w
 		}
 	}
 	return nil
 }
 
-// known fills out with the path's ways that are at least as good as least.
-func (p *path) known(out *[waysPerPath]*way, least grade, now, newest time.Time) (n int) {
+// listReturnPaths fills out with the path's return paths that have at least the grade least.
+func (p *path) listReturnPaths(out *[maxReturnPaths]*returnPath, least grade, now, newest time.Time) (n int) {
 	clear(out[:])
-	for i := range p.ways {
-		w := p.ways[i].way
+	for i := range p.candidates {
+		w := p.candidates[i].returnPath
 		if w != nil && w.grade(now, newest) >= least {
 			out[n] = w
 			n++
@@ -180,37 +180,36 @@
 	return n
 }
 
-// paths is the table of all paths and ways of an agent. Paths are bounded by
-// the idle sweep; ways by the number of balancers.
+// paths is the table of all paths and return paths of an agent. Idle paths are removed;
+// return paths are bounded by the number of balancers.
 type paths struct {
-	mu     sync.Mutex
-	byKey  map[pathKey]*path
-	ways   map[netip.AddrPort]*way
-	newest time.Time // when any way was heard last
-	swept  time.Time
-	turn   int // of unvalidated paths among their ways
-	stalls stalls
+	mu              sync.Mutex
+	byKey           map[pathKey]*path
+	returnPaths     map[netip.AddrPort]*returnPath
+	newest          time.Time // when a packet was last received through any return path
+	sweptAt         time.Time
+	unvalidatedTurn int // counter that rotates unvalidated paths among their return paths
+	stalls          stalls
 }
 
 func newPaths() *paths {
-	return &paths{byKey: make(map[pathKey]*path), ways: make(map[netip.AddrPort]*way)}
+	return &paths{byKey: make(map[pathKey]*path), returnPaths: make(map[netip.AddrPort]*returnPath)}
 }
 
-// heard records a forwarded packet and returns the address that QUIC knows
-// its path by.
-func (t *paths) heard(h *frame.Header, now time.Time) *net.UDPAddr {
+// received records a forwarded packet and returns the virtual address of its path.
+func (t *paths) received(h *frame.Header, now time.Time) *net.UDPAddr {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	w := t.ways[h.Via]
+	w := t.returnPaths[h.Via]
 	if w == nil {
-		w = newWay(h.Via)
-		t.ways[h.Via] = w
+		w = newReturnPath(h.Via)
+		t.returnPaths[h.Via] = w
 	}
-	w.heardAt, t.newest = now, now
-	// The echo on a handed-on packet is the one of the agent that handed it on.
+	w.receivedAt, t.newest = now, now
+	// The echo in a packet forwarded by another agent belongs to that agent.
 	if h.Flags&frame.FlagHandedOn == 0 {
-		w.heard(now, h.Echo)
+		w.receiveEcho(now, h.Echo)
 	}
 	key := pathKey{caller: h.Caller, address: h.Address}
 	p := t.byKey[key]
@@ -218,132 +217,133 @@
 		p = &path{virtual: key.virtualAddr()}
 		t.byKey[key] = p
 	}
-	p.note(w, now)
+	p.recordReceived(w, now)
 	p.validated = p.validated || h.Flags&frame.FlagFirst == 0
 	return p.virtual
 }
 
-// sweep forgets idle paths and balancers, once in a pathIdle.
+// sweep removes idle paths and return paths, at most once per pathIdleTimeout.
 func (t *paths) sweep(now time.Time) {
-	if now.Sub(t.swept) < pathIdle {
+	if now.Sub(t.sweptAt) < pathIdleTimeout {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	for k, p := range t.byKey {
-		if now.Sub(p.heard) > pathIdle {
+		if now.Sub(p.receivedAt) > pathIdleTimeout {
 			delete(t.byKey, k)
 		}
 	}
-	for a, w := range t.ways {
-		if now.Sub(w.heardAt) > pathIdle {
-			delete(t.ways, a)
+	for a, w := range t.returnPaths {
+		if now.Sub(w.receivedAt) > pathIdleTimeout {
+			delete(t.returnPaths, a)
 		}
 	}
 }
 
-// route is one way for a return datagram.
+// route is the balancer and the sequence number of one return datagram.
 type route struct {
 	balancer netip.AddrPort
 	seq      uint32
 }
 
-// back fills out with where a packet for a path goes: one way, and more for
-// copies when the path is silent or a cut way is to be probed. QUIC discards
-// the copies that arrive.
-func (t *paths) back(key pathKey, now time.Time, out *[waysPerPath]route) (n int) {
+// routes fills out with the routes of a packet for a path: one return path, and more for
+// copies when the path is unresponsive or a broken return path is to be probed. QUIC
+// discards duplicates.
+func (t *paths) routes(key pathKey, now time.Time, out *[maxReturnPaths]route) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.byKey[key]
 	if p == nil {
 		return 0
 	}
-	var ways [waysPerPath]*way
-	n = t.pick(p, now, &ways)
-	if !p.sent.IsZero() {
-		t.noteStall(key, p, now)
+	var selected [maxReturnPaths]*returnPath
+	n = t.selectReturnPaths(p, now, &selected)
+	if !p.sentAt.IsZero() {
+		t.reportStall(key, p, now)
 	}
-	for i, w := range ways[:n] {
-		out[i] = route{balancer: w.balancer, seq: w.next(now)}
+	for i, w := range selected[:n] {
+		out[i] = route{balancer: w.balancer, seq: w.nextSeq(now)}
 	}
 	return n
 }
 
-func (t *paths) pick(p *path, now time.Time, out *[waysPerPath]*way) (n int) {
-	if p.silent(now) {
+func (t *paths) selectReturnPaths(p *path, now time.Time, out *[maxReturnPaths]*returnPath) (n int) {
+	if p.unresponsive(now) {
 		p.spacing.start(now)
-		if p.on != nil {
-			p.on.failed(now, t.bestDelivery(now))
-			p.on = nil // a path counts against its way once, however long it stays silent
+		if p.current != nil {
+			p.current.recordFailure(now, t.bestDelivery(now))
+			p.current = nil // a path records one failure, however long it stays unresponsive
 		}
-		return t.search(p, now, out)
+		return t.searchReturnPaths(p, now, out)
 	}
-	if p.on == nil || p.on.grade(now, t.newest) < usable {
-		t.choose(p, now)
+	if p.current == nil || p.current.grade(now, t.newest) < gradeUsable {
+		t.switchReturnPath(p, now)
 	}
-	out[0] = p.on
-	if out[1] = p.probe(now); out[1] != nil {
+	out[0] = p.current
+	if out[1] = p.dueProbe(now); out[1] != nil {
 		return 2
 	}
 	return 1
 }
 
-// choose puts a path on the usable way that it was heard through last, or on
-// any usable one: the fabric hands a caller's packets to any balancer, so any
-// balancer reaches the caller. If none is usable it is the one heard last.
-func (t *paths) choose(p *path, now time.Time) {
-	w := p.last(usable, now, t.newest)
+// switchReturnPath switches a path to the usable return path through which it received its
+// last packet, or to any usable one: the network may route a caller's packets to any balancer,
+// so any balancer can reach the caller. If none is usable it selects the most recent one of
+// the best grade.
+func (t *paths) switchReturnPath(p *path, now time.Time) {
+	w := p.mostRecent(gradeUsable, now, t.newest)
 	if w == nil {
-		w = t.other(now, nil)
+		w = t.otherUsable(now, nil)
 	}
-	for least := alive; w == nil; least-- {
-		w = p.last(least, now, t.newest)
+	for least := gradeExcluded; w == nil; least-- {
+		w = p.mostRecent(least, now, t.newest)
 	}
-	if p.on != w {
-		p.on, p.onSince = w, now
+	if p.current != w {
+		p.current, p.currentSince = w, now
 	}
 }
 
-// search fills out with ways for a path that is silent: all those that may
-// deliver. Dead ways are left out while there are others. Were a packet lost
-// once more, QUIC would take it for congestion, shrink its window to two
-// packets, and then each lost acknowledgement would double the pause.
-func (t *paths) search(p *path, now time.Time, out *[waysPerPath]*way) (n int) {
-	n = p.known(out, usable, now, t.newest)
+// searchReturnPaths fills out with all return paths that may deliver, for a path that is
+// unresponsive. It omits failed ones while there are others. If a packet were lost again,
+// QUIC would assume congestion and shrink its window to two packets, and then each lost
+// acknowledgement would double the pause.
+func (t *paths) searchReturnPaths(p *path, now time.Time, out *[maxReturnPaths]*returnPath) (n int) {
+	n = p.listReturnPaths(out, gradeUsable, now, t.newest)
 	if n < 2 {
-		// A caller that never got an answer was heard by few balancers.
-		if w := t.other(now, out[0]); w != nil {
+		// A caller that never got a response has sent few packets, through few balancers.
+		if w := t.otherUsable(now, out[0]); w != nil {
 			out[n] = w
 			n++
 		}
 	}
-	for least := alive; n == 0; least-- {
-		n = p.known(out, least, now, t.newest)
+	for least := gradeExcluded; n == 0; least-- {
+		n = p.listReturnPaths(out, least, now, t.newest)
 	}
 	if !p.validated && n > 1 {
-		out[0] = out[t.turn%n]
-		t.turn++
+		out[0] = out[t.unvalidatedTurn%n]
+		t.unvalidatedTurn++
 		return 1
 	}
 	return n
 }
 
-// other returns some usable way besides w, nil if there is none.
-func (t *paths) other(now time.Time, w *way) *way {
-	for _, o := range t.ways {
-		if o != w && o.grade(now, t.newest) == usable {
+// otherUsable returns any usable return path except w, nil if there is none.
+func (t *paths) otherUsable(now time.Time, w *returnPath) *returnPath {
+	for _, o := range t.returnPaths {
+		if o != w && o.grade(now, t.newest) == gradeUsable {
 			return o
 		}
 	}
 	return nil
 }
 
-// bestDelivery returns the delivery of the best way that is alive. That of a
-// dead one stays what it was, and no living way should be measured by it.
+// bestDelivery returns the highest delivery rate of the return paths that have not failed.
+// That of a failed one no longer changes, so others must not be compared with it.
 func (t *paths) bestDelivery(now time.Time) float64 {
 	best := 0.0
-	for _, w := range t.ways {
-		if w.grade(now, t.newest) >= alive {
-			best = max(best, w.delivery)
+	for _, w := range t.returnPaths {
+		if w.grade(now, t.newest) >= gradeExcluded {
+			best = max(best, w.deliveryRate)
 		}
 	}
 	return best
--- a/internal/agent/returnpath.go
+++ b/internal/agent/returnpath.go
@@ -6,128 +6,128 @@
 )
 
 const (
-	// echoTimeout is how long a return datagram may stay unechoed by a
-	// balancer that goes on sending before its way back counts as cut.
+	// echoTimeout is how long the echo of a return datagram may be missing from the packets
+	// of a balancer before the return path through it counts as broken.
 	echoTimeout = 400 * time.Millisecond
-	// probeInterval is how often a cut way is tried again.
+	// probeInterval is the time between two probes of a broken return path.
 	probeInterval = 500 * time.Millisecond
-	// staleAfter is how much longer than the others a balancer may be unheard
-	// by all paths before it counts as dead.
-	staleAfter = 300 * time.Millisecond
-	// excludeFirst is for how long a way that does not deliver is left out at
-	// first. Each time that it fails again the time doubles, to excludeMost:
-	// a trial of a way that still fails stalls one flow.
-	excludeFirst = time.Second
-	excludeMost  = 32 * time.Second
-	// deliveryGain is the weight of one observation in a way's delivery.
+	// failedAfter is how much older a balancer's last packet may be than the last packet
+	// from any balancer before the balancer counts as failed.
+	failedAfter = 300 * time.Millisecond
+	// minExclusion is how long a return path that does not deliver is excluded the first
+	// time. The time doubles with each further failure, up to maxExclusion, because every
+	// trial of a return path that still fails stalls a flow.
+	minExclusion = time.Second
+	maxExclusion = 32 * time.Second
+	// deliveryGain is the weight of one observation in a return path's delivery rate.
 	deliveryGain = 1.0 / 8
-	// deliveryGap is how far a way's delivery may lie below the best one's.
-	// Callers that vanish count against the ways of their paths too, but
-	// against all ways alike.
-	deliveryGap = 0.4
+	// maxDeliveryGap is how far a return path's delivery rate may be below the best one.
+	// Callers that disappear also lower the rates, but those of all return paths alike.
+	maxDeliveryGap = 0.4
 )
 
-// way is the way back through one balancer, shared by all paths.
+// returnPath is the path back to callers through one balancer, shared by all paths.
 //
-// Three things go wrong with it, none of which shows at the caller side of
-// this agent's socket.
+// It detects three faults, none of which causes an error on this agent's socket:
 //
-// The balancer dies: it is no longer heard, by any path, while others are.
+// The balancer fails: no path receives packets from it any more, while packets from other
+// balancers arrive.
 //
-// The agent's datagrams no longer reach it, while its own still arrive: the
-// sequence number of a return datagram never comes back as an echo.
+// The agent's datagrams no longer reach the balancer, while the balancer's still arrive: the
+// sequence number of a return datagram is never echoed.
 //
-// What it sends to callers is lost, while it still hears, echoes and is heard:
-// paths that use it fall silent, one after the other, and paths that use other
-// ways do not. That is told by delivery.
-type way struct {
-	balancer netip.AddrPort
-	heardAt  time.Time
+// The balancer's packets to callers are lost, while it still receives, echoes and forwards:
+// paths that use it become unresponsive one after another, and paths that use other balancers
+// do not. deliveryRate shows this.
+type returnPath struct {
+	balancer   netip.AddrPort
+	receivedAt time.Time
 
-	seq      uint32
-	sample   uint32    // sequence number whose echo is awaited
-	sampleAt time.Time // when it was sent; zero if none is awaited
-	cut      bool
-	probedAt time.Time
+	seq          uint32
+	sampleSeq    uint32    // sequence number whose echo is awaited
+	sampleSentAt time.Time // when sampleSeq was sent; zero if no echo is awaited
+	broken       bool
+	probedAt     time.Time
 
-	delivery float64 // share of the paths' epochs on this way in which callers answered
-	excluded time.Time
-	backoff  time.Duration
+	deliveryRate  float64 // moving average of the share of observations in which callers responded
+	excludedUntil time.Time
+	backoff       time.Duration
 }
 
-func newWay(balancer netip.AddrPort) *way {
-	return &way{balancer: balancer, delivery: 1}
+func newReturnPath(balancer netip.AddrPort) *returnPath {
+	return &returnPath{balancer: balancer, deliveryRate: 1}
 }
 
-// heard takes in a datagram from the balancer at now with its echo.
-func (w *way) heard(now time.Time, echo uint32) {
-	if w.sampleAt.IsZero() {
+// receiveEcho handles the echo in a datagram from the balancer.
+func (w *returnPath) receiveEcho(now time.Time, echo uint32) {
+	if w.sampleSentAt.IsZero() {
 		return
 	}
-	if int32(echo-w.sample) >= 0 {
-		w.sampleAt = time.Time{}
-		w.cut = false
+	if int32(echo-w.sampleSeq) >= 0 {
+		w.sampleSentAt = time.Time{}
+		w.broken = false
 		return
 	}
-	if now.Sub(w.sampleAt) > echoTimeout {
-		w.cut = true
+	if now.Sub(w.sampleSentAt) > echoTimeout {
+		w.broken = true
 	}
 }
 
-// next numbers a return datagram sent through w at now.
-func (w *way) next(now time.Time) uint32 {
+// nextSeq returns the sequence number of a return datagram that is sent through w at now.
+func (w *returnPath) nextSeq(now time.Time) uint32 {
 	w.seq++
-	if w.sampleAt.IsZero() || w.cut {
-		w.sample, w.sampleAt = w.seq, now
+	if w.sampleSentAt.IsZero() || w.broken {
+		w.sampleSeq, w.sampleSentAt = w.seq, now
 	}
 	return w.seq
 }
 
-// probeDue reports whether a cut way is to be tried again.
-func (w *way) probeDue(now time.Time) bool {
-	if !w.cut || now.Sub(w.probedAt) < probeInterval {
+// probeDue reports whether a broken return path is to be probed now.
+func (w *returnPath) probeDue(now time.Time) bool {
+	if !w.broken || now.Sub(w.probedAt) < probeInterval {
 		return false
 	}
 	w.probedAt = now
 	return true
 }
 
-// delivered records that a path on this way was answered.
-func (w *way) delivered() {
-	w.delivery += (1 - w.delivery) * deliveryGain
-	if w.delivery > 1-deliveryGap {
+// recordDelivery records that a caller has responded to a packet sent through w.
+func (w *returnPath) recordDelivery() {
+	w.deliveryRate += (1 - w.deliveryRate) * deliveryGain
+	if w.deliveryRate > 1-maxDeliveryGap {
 		w.backoff = 0
 	}
 }
 
-// failed records that a path on this way fell silent. best is the delivery of
-// the best way.
-func (w *way) failed(now time.Time, best float64) {
-	w.delivery -= w.delivery * deliveryGain
-	if w.delivery > best-deliveryGap || now.Before(w.excluded) {
+// recordFailure records that a path that uses w has become unresponsive. best is the highest
+// delivery rate of all return paths.
+func (w *returnPath) recordFailure(now time.Time, best float64) {
+	w.deliveryRate -= w.deliveryRate * deliveryGain
+	if w.deliveryRate > best-maxDeliveryGap || now.Before(w.excludedUntil) {
 		return
 	}
-	w.backoff = min(max(2*w.backoff, excludeFirst), excludeMost)
-	w.excluded = now.Add(w.backoff)
+	w.backoff = min(max(2*w.backoff, minExclusion), maxExclusion)
+	w.excludedUntil = now.Add(w.backoff)
 }
 
-// grade tells how much is to be expected of a way.
+// grade rates whether a return path is expected to deliver.
 type grade int
 
-// The grades, from the worst.
+// The grades, the worst first.
 const (
-	dead   grade = iota // not heard while others are, or cut
-	alive               // heard, but left out for what it lost
-	usable              // nothing speaks against it
+	gradeFailed   grade = iota // no packets from the balancer while others send some, or broken
+	gradeExcluded              // packets arrive, but excluded because of its delivery rate
+	gradeUsable                // no fault detected
 )
 
-// grade returns the grade of w. newest is when any way was heard last.
-func (w *way) grade(now, newest time.Time) grade {
+// grade returns the grade of w. newest is when a packet was last received through any
+// return path.
+func (w *returnPath) grade(now, newest time.Time) grade {
 	switch {
-	case w.cut || newest.Sub(w.heardAt) > staleAfter:
-		return dead
-	case now.Before(w.excluded):
-		return alive
+	case w.broken || newest.Sub(w.receivedAt) > failedAfter:
+		return gradeFailed
+	case now.Before(w.excludedUntil):
+		return gradeExcluded
 	}
-	return usable
+	return gradeUsable
 }
