--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -149,9 +149,9 @@
 	r := &j.result
 	return []string{
 		j.c.Name, r.Policy, strconv.FormatUint(r.Flows, 10),
-		ratio(r.Whole), ratio(r.Window), ratio(r.Instant),
+		ratio(r.OutstandingMaxToMean), ratio(r.WindowMaxToMean), ratio(r.BusyMaxToMean),
 		millis(r.WaitP50), millis(r.WaitP99),
-		ratio(r.Slowed), percent(r.Refused), percent(r.Failed), percent(r.CrossZone), percent(r.HandedOn), percent(r.Split), percent(r.Lost),
+		ratio(r.Slowdown), percent(r.Refused), percent(r.Failed), percent(r.CrossZone), percent(r.Forwarded), percent(r.Split), percent(r.Lost),
 		strconv.FormatUint(r.Broken, 10),
 	}
 }
--- a/placement/lab/case.go
+++ b/placement/lab/case.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Case is one experiment: a service, its work and what goes wrong.
+// Case is one experiment: a service, its load and the faults that occur. Zero
+// fields of some settings mean a default, see withDefaults.
 type Case struct {
 	Name      string
-	Agents    int           // backend servers, one agent each
-	Slots     int           // requests at work at once per backend server
-	Queue     int           // requests that may wait; more are refused
+	Agents    int           // number of backend servers, with one agent each
+	Slots     int           // concurrent requests per backend server
+	Queue     int           // requests that may wait per backend server; more are refused
 	MaxConns  int           // connections per backend server
-	Zones     int           // backend servers and balancers take turns over them
+	Zones     int           // backend servers and balancers are distributed over them in turn
 	Balancers int           //
 	Load      float64       // offered work / capacity of all healthy slots
-	Duration  time.Duration // modelled time
-	Warmup    time.Duration // left out of all figures
+	Duration  time.Duration // simulated time
+	Warmup    time.Duration // excluded from all figures
 	Seed      uint64
 
-	Tail        Tail          // lengths of requests and flows
-	ReportEvery time.Duration // mean time between reports of one agent to one balancer
-	Lag         time.Duration // age of what load endpoints answer
-	Lying       int           // load endpoints that always answer 0
-	Slow        int           // backend servers that take SlowFactor as long
-	SlowFactor  float64
-	Failing     int           // backend servers whose requests fail at once
-	Cold        int           // backend servers that start cold at ColdAt
-	ColdAt      time.Duration //
-	ColdFor     time.Duration // until they run at full speed
-	ColdFactor  float64       // how much longer a request takes at first
-	LostZone    bool          // the last zone's backend servers die at LostAt
-	LostAt      time.Duration
-	NoticeAfter time.Duration // until rosters leave out the dead
-	Differing   int           // backend servers that each balancer's roster lacks
-	ZoneFabric  float64       // share of packets that reach a balancer of the caller's zone
+	Tail          Tail          // distribution of the lengths of requests and flows
+	ReportEvery   time.Duration // mean time between reports of one agent to one balancer
+	Lag           time.Duration // age of the answers of load endpoints
+	ZeroEndpoints int           // number of load endpoints that always answer 0
+	Slow          int           // number of backend servers whose requests take SlowFactor as long
+	SlowFactor    float64
+	Failing       int           // number of backend servers whose requests fail immediately
+	Cold          int           // number of backend servers that cold-start at ColdAt
+	ColdAt        time.Duration //
+	ColdFor       time.Duration // time until they run at full speed
+	ColdFactor    float64       // factor of the service time at the beginning of the cold start
+	ZoneFails     bool          // the backend servers of the last zone fail at ZoneFailsAt
+	ZoneFailsAt   time.Duration
+	DetectionTime time.Duration // time from a failure until the member lists omit the failed agents
+	Omitted       int           // number of agents missing from each balancer's member list, different ones per balancer
+	ZoneAffinity  float64       // share of packets that reach a balancer of the caller's zone
 }
 
-// Tail names the distributions of lengths.
+// Tail is a distribution of lengths.
 type Tail int
 
-// Short has exponential lengths, Heavy bounded Pareto lengths.
+// Heavy is a bounded Pareto distribution, Short an exponential one.
 const (
 	Heavy Tail = iota
 	Short
 )
 
-// withDefaults fills in what a case leaves out.
+// withDefaults returns c with some of its zero fields replaced by defaults.
 func (c Case) withDefaults() Case {
 	if c.Slots == 0 {
 		c.Slots = 5
@@ -75,8 +76,8 @@
 	if c.ColdFactor == 0 {
 		c.ColdFactor = 5
 	}
-	if c.NoticeAfter == 0 {
-		c.NoticeAfter = 2 * time.Second
+	if c.DetectionTime == 0 {
+		c.DetectionTime = 2 * time.Second
 	}
 	return c
 }
--- a/placement/lab/faults.go
+++ b/placement/lab/faults.go
@@ -1,38 +1,41 @@
 package lab
 
-func (m *model) loseZone() {
+// failZone ends the backend servers of the last zone.
+func (m *model) failZone() {
 	for i := range m.servers {
 		s := &m.servers[i]
 		if s.zone != m.c.Zones-1 {
 			continue
 		}
-		s.settle(m.now)
+		s.accumulate(m.now)
 		m.stats.broken += uint64(len(s.queue))
 		s.alive, s.busy, s.conns, s.queue = false, 0, 0, nil
 	}
 }
 
+// startCold starts the cold backend servers and adds them to the member lists.
 func (m *model) startCold() {
 	for i := range m.servers {
 		if s := &m.servers[i]; s.cold {
-			s.settle(m.now)
+			s.accumulate(m.now)
 			s.alive = true
 		}
 	}
-	m.tell()
+	m.updateMembers()
 }
 
-// tell brings all rosters up to date.
-func (m *model) tell() {
+// updateMembers updates the member lists to the running backend servers.
+func (m *model) updateMembers() {
 	for i := range m.servers {
 		m.members[i] = m.servers[i].alive
 	}
-	m.policy.roster(m)
+	m.policy.membersChanged(m)
 }
 
-// endpoint is what the load endpoint of agent i answers.
-func (m *model) endpoint(i int) int {
-	if i < m.c.Lying {
+// reportedLoad returns the number of outstanding requests that the load endpoint
+// of agent i answers, which is Case.Lag old.
+func (m *model) reportedLoad(i int) int {
+	if i < m.c.ZeroEndpoints {
 		return 0
 	}
 	if len(m.history) == 0 {
@@ -41,11 +44,11 @@
 	return int(m.history[0][i])
 }
 
-// lacks tells whether balancer b's roster lacks agent i.
-func (m *model) lacks(b, i int) bool {
-	d := (i - b*m.c.Differing) % m.c.Agents
+// omits reports whether balancer b's member list omits agent i.
+func (m *model) omits(b, i int) bool {
+	d := (i - b*m.c.Omitted) % m.c.Agents
 	if d < 0 {
 		d += m.c.Agents
 	}
-	return d < m.c.Differing
+	return d < m.c.Omitted
 }
--- a/placement/lab/flow.go
+++ b/placement/lab/flow.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// kind is a kind of flow.
+// kind is the kind of a flow.
 type kind uint8
 
 const (
 	call     kind = iota // one to four short requests
-	feed                 // a long connection with a short request now and then
+	feed                 // a long connection with occasional short requests
 	download             // one long request
 )
 
-// Shares of the offered work and shapes of the flows.
+// Shares of the kinds in the offered work, and parameters of the flows.
 const (
 	callWork, feedWork, downloadWork = 0.35, 0.3, 0.35
 
@@ -29,7 +29,7 @@
 	downloadService = 2 * time.Second
 
 	paretoShape = 1.4
-	paretoRange = 300 // longest / shortest
+	paretoRange = 300 // ratio of the longest to the shortest length
 )
 
 // flow is one caller's connection.
@@ -38,11 +38,12 @@
 	id       uint64 // first connection ID
 	kind     kind
 	zone     int32
-	requests int32 // still to come
-	server   int32
+	requests int32 // remaining requests
+	server   int32 // index of the backend server, unplaced or retransmitted
 	arrived  time.Duration
 }
 
+// next returns the next number of the flow's SplitMix64 generator.
 func (f *flow) next() uint64 {
 	f.rng += 0x9e3779b97f4a7c15
 	x := f.rng
@@ -51,6 +52,7 @@
 	return x ^ x>>31
 }
 
+// unit draws uniformly from (0, 1).
 func (f *flow) unit() float64 {
 	return (float64(f.next()>>11) + 0.5) / (1 << 53)
 }
@@ -59,7 +61,7 @@
 	return -mean * math.Log(f.unit())
 }
 
-// paretoMean is the mean of the bounded Pareto distribution from 1 on.
+// paretoMean is the mean of the bounded Pareto distribution with minimum 1.
 var paretoMean = boundedParetoMean()
 
 func boundedParetoMean() float64 {
@@ -67,7 +69,7 @@
 	return a / (a - 1) * (1 - math.Pow(h, 1-a)) / (1 - math.Pow(h, -a))
 }
 
-// pareto draws from a bounded Pareto distribution of the given mean.
+// pareto draws from a bounded Pareto distribution with the given mean.
 func (f *flow) pareto(mean float64) float64 {
 	u := f.unit()
 	x := math.Pow(1-u*(1-math.Pow(paretoRange, -paretoShape)), -1/paretoShape)
@@ -81,7 +83,7 @@
 	return f.pareto(mean)
 }
 
-// newFlow draws a flow; the same seed and number give the same flow.
+// newFlow draws a flow. The same seed and number yield the same flow.
 func newFlow(c *Case, number uint64, rates flowRates) flow {
 	f := flow{rng: c.Seed*0x2545f4914f6cdd1d + number*0xd1342543de82ef95}
 	f.next()
@@ -101,7 +103,7 @@
 	return f
 }
 
-// service draws how long the next request occupies a slot.
+// service draws the service time of the next request.
 func (f *flow) service(t Tail) time.Duration {
 	switch f.kind {
 	case call:
@@ -120,12 +122,12 @@
 	return time.Duration(f.exponential(float64(callThink)))
 }
 
-// flowRates are new flows a second by kind.
+// flowRates holds the number of new flows per second by kind.
 type flowRates struct{ call, feed, download float64 }
 
 func (r flowRates) total() float64 { return r.call + r.feed + r.download }
 
-// ratesFor returns the rates that offer the case's load.
+// ratesFor returns the rates of new flows that result in the case's load.
 func ratesFor(c *Case) flowRates {
 	work := c.Load * float64(c.Agents*c.Slots)
 	return flowRates{
--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -37,23 +37,23 @@
 
 func TestUnknownPolicy(t *testing.T) {
 	if _, err := Run(testCase(), "best", Options{}); err == nil {
-		t.Error("an unknown policy ran")
+		t.Error("Run accepted an unknown policy")
 	}
 }
 
-// Symptom: handshakes fail although every agent is well. Sequence: the two
-// Initial packets of a flow reach two balancers that believe different loads.
-// Cause: a first choice that depends on belief.
+// Guards against a first choice that depends on the balancer's load reports: the
+// handshake fails if the two Initial packets of a flow reach balancers with
+// different reports and are sent to different agents.
 func TestEqualRostersSplitNoHandshake(t *testing.T) {
 	if r := mustRun(t, testCase(), "placement"); r.Split != 0 {
-		t.Errorf("%.4f of the handshakes met two agents", r.Split)
+		t.Errorf("a share of %.4f of the handshakes reached two agents", r.Split)
 	}
 }
 
-// The margins here are wide: the measured figures are in docs/measure.
+// The margins are wide; the measured figures are in docs/measure.
 func TestPlacementBeatsPlainHashing(t *testing.T) {
 	ours, hashed := mustRun(t, testCase(), "placement"), mustRun(t, testCase(), "rendezvous")
-	if ours.WaitP99 > hashed.WaitP99/2 || ours.Window > 1.4 {
-		t.Errorf("p99 wait %v against %v, window %.3f", ours.WaitP99, hashed.WaitP99, ours.Window)
+	if ours.WaitP99 > hashed.WaitP99/2 || ours.WindowMaxToMean > 1.4 {
+		t.Errorf("p99 wait %v against %v, window %.3f", ours.WaitP99, hashed.WaitP99, ours.WindowMaxToMean)
 	}
 }
--- a/placement/lab/model.go
+++ b/placement/lab/model.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	sampleEvery = 100 * time.Millisecond
-	windowTicks = 100 // samples per window
-	repeatAfter = time.Second
-	twoPackets  = 0.5 // share of handshakes with a second Initial
-	rampSteps   = 4
-	failFactor  = 0.02 // of the service time, until a failing server answers
+	sampleEvery          = 100 * time.Millisecond
+	windowTicks          = 100 // samples per window
+	retransmitAfter      = time.Second
+	twoInitialsShare     = 0.5 // share of handshakes with a second Initial
+	rampSteps            = 4
+	failureServiceFactor = 0.02 // time until a failing server answers / service time
 )
 
 // model is one run of a case under one policy.
@@ -22,18 +22,19 @@
 	events  eventQueue
 	flows   []flow
 	free    []int32
-	drawn   uint64 // flows so far
+	drawn   uint64 // number of flows drawn
 	rates   flowRates
-	rng     *rand.Rand // for what is not drawn by a flow
-	arrival *rand.Rand // for the times between flows: the same for all policies
+	rng     *rand.Rand // for draws that are not made by a flow
+	arrival *rand.Rand // for the times between flows, which are the same for all policies
 	servers []server
-	members []bool // what rosters say
-	history [][]uint16
+	members []bool     // agents in the member lists, by index
+	history [][]uint16 // outstanding requests by sample and agent, for the load endpoints
 	stats   stats
-	ticks   int
+	ticks   int // samples taken
 }
 
-// Run runs c under the named policy.
+// Run runs c under the named policy. It returns a *PolicyError if the policy is
+// unknown.
 func Run(c Case, name string, o Options) (Result, error) {
 	c = c.withDefaults()
 	p, err := newPolicy(name, o)
@@ -62,12 +63,12 @@
 	}
 	for i := range m.servers {
 		s := &m.servers[i]
-		s.zone, s.alive, s.slow = i%c.Zones, true, 1
+		s.zone, s.alive, s.serviceFactor = i%c.Zones, true, 1
 		if i < c.Slow {
-			s.slow = c.SlowFactor
+			s.serviceFactor = c.SlowFactor
 		}
 		if i < c.Failing {
-			s.slow, s.fails = failFactor, true
+			s.serviceFactor, s.fails = failureServiceFactor, true
 		}
 		if i >= c.Agents-c.Cold {
 			s.alive, s.cold, s.joined = false, true, c.ColdAt
@@ -86,12 +87,12 @@
 			m.scheduleReport(i)
 		}
 	}
-	if c.LostZone {
-		m.events.push(event{at: c.LostAt, kind: lose})
-		m.events.push(event{at: c.LostAt + c.NoticeAfter, kind: notice})
+	if c.ZoneFails {
+		m.events.push(event{at: c.ZoneFailsAt, kind: zoneFailure})
+		m.events.push(event{at: c.ZoneFailsAt + c.DetectionTime, kind: membersUpdate})
 	}
 	if c.Cold > 0 {
-		m.events.push(event{at: c.ColdAt, kind: start})
+		m.events.push(event{at: c.ColdAt, kind: coldStart})
 		for i := range rampSteps {
 			at := c.ColdAt + c.ColdFor*time.Duration(i+1)/rampSteps
 			m.events.push(event{at: at, kind: ramp})
@@ -104,7 +105,7 @@
 	case arrive:
 		f := &m.flows[e.id]
 		if f.server == unplaced {
-			f.server = repeated
+			f.server = retransmitted
 			m.drawFlow()
 		}
 		m.place(e.id)
@@ -120,18 +121,18 @@
 	case sample:
 		m.sample()
 		m.events.push(event{at: m.now + sampleEvery, kind: sample})
-	case lose:
-		m.loseZone()
-	case notice, ramp:
-		m.tell()
-	case start:
+	case zoneFailure:
+		m.failZone()
+	case membersUpdate, ramp:
+		m.updateMembers()
+	case coldStart:
 		m.startCold()
 	}
 }
 
 const (
-	unplaced = -1 // first Initial
-	repeated = -2 // Initial after a lost one
+	unplaced      = -1 // flow whose first Initial has not arrived
+	retransmitted = -2 // flow whose first Initial has arrived and may have been lost
 )
 
 // drawFlow draws the next flow and schedules its arrival.
@@ -159,10 +160,10 @@
 	m.events.push(event{at: at, kind: report, id: int32(agent)})
 }
 
-// balancer draws the balancer that a packet of f reaches.
+// balancer draws the balancer that receives a packet of f.
 func (m *model) balancer(f *flow) int {
 	n := m.c.Balancers
-	if f.unit() >= m.c.ZoneFabric || n < m.c.Zones {
+	if f.unit() >= m.c.ZoneAffinity || n < m.c.Zones {
 		return int(f.next() % uint64(n))
 	}
 	inZone := (n - int(f.zone) + m.c.Zones - 1) / m.c.Zones
@@ -172,17 +173,17 @@
 func (m *model) place(id int32) {
 	f := &m.flows[id]
 	b, second := m.balancer(f), m.balancer(f)
-	two := f.unit() < twoPackets
+	two := f.unit() < twoInitialsShare
 	first, chosen := m.policy.place(m, b, f.id)
-	m.stats.place(m, f, b, first, chosen, two && m.policy.first(m, second, f.id) != first)
+	m.stats.recordPlacement(m, f, b, first, chosen, two && m.policy.first(m, second, f.id) != first)
 	if chosen < 0 || !m.servers[chosen].alive {
-		m.events.push(event{at: m.now + repeatAfter, kind: arrive, id: id})
+		m.events.push(event{at: m.now + retransmitAfter, kind: arrive, id: id})
 		return
 	}
 	f.server = int32(chosen)
 	m.servers[chosen].conns++
 	m.request(id)
-	m.policy.report(m, b, chosen) // the first answer goes back by the same balancer
+	m.policy.report(m, b, chosen) // the first answer returns through the same balancer
 }
 
 func (m *model) request(id int32) {
@@ -193,7 +194,7 @@
 		return
 	}
 	f.requests--
-	s.settle(m.now)
+	s.accumulate(m.now)
 	switch {
 	case s.busy < m.c.Slots:
 		s.busy++
@@ -201,16 +202,16 @@
 	case len(s.queue) < m.c.Queue:
 		s.queue = append(s.queue, waiting{flow: id, since: m.now})
 	default:
-		m.stats.refuse(m)
+		m.stats.recordRefusal(m)
 		m.proceed(id)
 	}
 }
 
-// work puts the flow's request on a slot that it holds already.
+// work starts the flow's request on a slot that is already reserved for it.
 func (m *model) work(id int32, wait time.Duration) {
 	f := &m.flows[id]
 	factor := m.servers[f.server].factor(&m.c, m.now)
-	m.stats.wait(m, wait, factor, m.servers[f.server].fails)
+	m.stats.recordStart(m, wait, factor, m.servers[f.server].fails)
 	length := time.Duration(float64(f.service(m.c.Tail)) * factor)
 	m.events.push(event{at: m.now + length, kind: finish, id: id})
 }
@@ -221,9 +222,9 @@
 		m.breakFlow(id)
 		return
 	}
-	s.settle(m.now)
+	s.accumulate(m.now)
 	s.busy--
-	m.policy.done(m, int(m.flows[id].server))
+	m.policy.requestDone(m, int(m.flows[id].server))
 	if len(s.queue) > 0 {
 		w := s.queue[0]
 		s.queue = s.queue[1:]
@@ -233,7 +234,7 @@
 	m.proceed(id)
 }
 
-// proceed schedules the flow's next request or closes it.
+// proceed schedules the flow's next request or ends the flow.
 func (m *model) proceed(id int32) {
 	f := &m.flows[id]
 	if f.requests <= 0 {
@@ -244,6 +245,7 @@
 	m.events.push(event{at: m.now + f.think(), kind: request, id: id})
 }
 
+// breakFlow ends a flow whose backend server has failed.
 func (m *model) breakFlow(id int32) {
 	m.stats.broken++
 	m.free = append(m.free, id)
--- a/placement/lab/placement.go
+++ b/placement/lab/placement.go
@@ -9,26 +9,26 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// Options tunes the policy under test.
+// Options configures the policy under test.
 type Options struct {
 	Table   placement.Config
 	Load    placement.LoadOptions
 	Decider placement.DeciderOptions
 }
 
-// placed is the package placement as the daemons use it.
-type placed struct {
+// placementPolicy uses the package placement in the same way as the daemons.
+type placementPolicy struct {
 	options     Options
-	primaryOnly bool
+	primaryOnly bool // without alternates and cold-start weights
 
-	tables   []*placement.Table // per balancer
-	loads    []*placement.Load  // per balancer
-	deciders []*placement.Decider
-	meters   []placement.Meter
-	start    time.Time
+	tables   []*placement.Table   // per balancer
+	loads    []*placement.Load    // per balancer
+	deciders []*placement.Decider // per agent
+	meters   []placement.Meter    // per agent
+	start    time.Time            // time of the beginning of the run
 }
 
-// agentNet is the first address of the modelled agents: 10.0.0.0.
+// agentNet is the first address of the simulated agents, 10.0.0.0.
 const agentNet = 10 << 24
 
 func agentAddr(i int) netip.AddrPort {
@@ -44,7 +44,7 @@
 
 func zoneName(z int) string { return fmt.Sprintf("zone-%d", z) }
 
-func (p *placed) begin(m *model) {
+func (p *placementPolicy) begin(m *model) {
 	p.start = time.Unix(1_700_000_000, 0)
 	p.tables = make([]*placement.Table, m.c.Balancers)
 	p.loads = make([]*placement.Load, m.c.Balancers)
@@ -58,14 +58,14 @@
 	for i := range p.deciders {
 		p.deciders[i] = placement.NewDecider(uint64(i), o)
 	}
-	p.roster(m)
+	p.membersChanged(m)
 }
 
-func (p *placed) roster(m *model) {
+func (p *placementPolicy) membersChanged(m *model) {
 	for b := range p.tables {
 		var agents []placement.Agent
 		for i := range m.servers {
-			if known(m, b, i) {
+			if listed(m, b, i) {
 				agents = append(agents, p.agent(m, i))
 			}
 		}
@@ -73,13 +73,13 @@
 		cfg.Zone = zoneName(b % m.c.Zones)
 		t, err := placement.NewTable(cfg, agents)
 		if err != nil {
-			panic(err) // the model's own addresses are IPv4
+			panic(err) // can't happen, as the addresses of the model are IPv4
 		}
 		p.tables[b] = t
 	}
 }
 
-func (p *placed) agent(m *model, i int) placement.Agent {
+func (p *placementPolicy) agent(m *model, i int) placement.Agent {
 	s := &m.servers[i]
 	a := placement.Agent{Addr: agentAddr(i), Zone: zoneName(s.zone), Weight: placement.FullWeight}
 	if s.cold && !p.primaryOnly {
@@ -88,17 +88,17 @@
 	return a
 }
 
-func (p *placed) wantsReports() bool { return !p.primaryOnly }
+func (p *placementPolicy) wantsReports() bool { return !p.primaryOnly }
 
-func (p *placed) report(m *model, b, agent int) {
+func (p *placementPolicy) report(m *model, b, agent int) {
 	p.loads[b].Report(agentAddr(agent), p.occupancy(m, agent), p.start.Add(m.now))
 }
 
-func (p *placed) done(m *model, agent int) {
+func (p *placementPolicy) requestDone(m *model, agent int) {
 	p.meters[agent].Done(p.start.Add(m.now), m.servers[agent].fails)
 }
 
-func (p *placed) occupancy(m *model, i int) placement.Occupancy {
+func (p *placementPolicy) occupancy(m *model, i int) placement.Occupancy {
 	s := &m.servers[i]
 	return p.meters[i].Occupancy(p.start.Add(m.now), placement.Usage{
 		SlotsBusy: s.busy, Slots: m.c.Slots, Queue: len(s.queue),
@@ -106,7 +106,7 @@
 	})
 }
 
-func (p *placed) first(m *model, b int, id uint64) int {
+func (p *placementPolicy) first(m *model, b int, id uint64) int {
 	t := p.tables[b]
 	i := t.Primary(binary.BigEndian.AppendUint64(nil, id))
 	if i == placement.None {
@@ -115,7 +115,7 @@
 	return agentIndex(t.Addr(i))
 }
 
-func (p *placed) place(m *model, b int, id uint64) (first, chosen int) {
+func (p *placementPolicy) place(m *model, b int, id uint64) (first, chosen int) {
 	t, cid, now := p.tables[b], binary.BigEndian.AppendUint64(nil, id), p.start.Add(m.now)
 	primary := t.Primary(cid)
 	if primary == placement.None {
--- a/placement/lab/policy.go
+++ b/placement/lab/policy.go
@@ -8,18 +8,18 @@
 // policy places flows in a model.
 type policy interface {
 	begin(m *model)
-	// first returns the agent that balancer b sends an Initial with id to.
+	// first returns the agent to which balancer b sends an Initial with id, or -1.
 	first(m *model, b int, id uint64) int
-	// place returns that agent and the one that the flow ends up at.
+	// place returns the first agent and the agent that finally gets the flow.
 	place(m *model, b int, id uint64) (first, chosen int)
-	// wantsReports tells whether report is to be called.
+	// wantsReports reports whether the policy uses reports.
 	wantsReports() bool
-	// report tells balancer b the occupancy of an agent.
+	// report delivers the current occupancy of an agent to balancer b.
 	report(m *model, b, agent int)
-	// done tells that an agent's backend server has ended a request.
-	done(m *model, agent int)
-	// roster is called when the members have changed.
-	roster(m *model)
+	// requestDone is called when an agent's backend server has ended a request.
+	requestDone(m *model, agent int)
+	// membersChanged is called when the member lists have changed.
+	membersChanged(m *model)
 }
 
 // PolicyError reports an unknown policy.
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("unknown policy %q; use one of %v", e.Name, Policies)
 }
 
-// Policies are the names that Run takes.
+// Policies are the names of the policies that Run accepts.
 var Policies = []string{"random", "rendezvous", "least-lagging", "two-choices", "placement", "ideal"}
 
 func newPolicy(name string, o Options) (policy, error) {
@@ -43,14 +43,14 @@
 	case "ideal":
 		return &baseline{choose: chooseIdeal}, nil
 	case "rendezvous":
-		return &placed{options: o, primaryOnly: true}, nil
+		return &placementPolicy{options: o, primaryOnly: true}, nil
 	case "placement":
-		return &placed{options: o}, nil
+		return &placementPolicy{options: o}, nil
 	}
 	return nil, &PolicyError{Name: name}
 }
 
-// baseline is a policy without an agent's decision.
+// baseline is a policy in which the balancer alone chooses the agent.
 type baseline struct {
 	choose func(m *model, r *rand.Rand, b int) int
 	rng    *rand.Rand
@@ -67,15 +67,15 @@
 
 func (p *baseline) wantsReports() bool      { return false }
 func (p *baseline) report(*model, int, int) {}
-func (p *baseline) done(*model, int)        {}
-func (p *baseline) roster(*model)           {}
+func (p *baseline) requestDone(*model, int) {}
+func (p *baseline) membersChanged(*model)   {}
 
-// known tells whether balancer b's roster names agent i.
-func known(m *model, b, i int) bool { return m.members[i] && !m.lacks(b, i) }
+// listed reports whether balancer b's member list contains agent i.
+func listed(m *model, b, i int) bool { return m.members[i] && !m.omits(b, i) }
 
 func chooseRandom(m *model, r *rand.Rand, b int) int {
 	for {
-		if i := r.IntN(len(m.servers)); known(m, b, i) {
+		if i := r.IntN(len(m.servers)); listed(m, b, i) {
 			return i
 		}
 	}
@@ -83,14 +83,14 @@
 
 func chooseTwo(m *model, r *rand.Rand, b int) int {
 	i, j := chooseRandom(m, r, b), chooseRandom(m, r, b)
-	if m.endpoint(j) < m.endpoint(i) {
+	if m.reportedLoad(j) < m.reportedLoad(i) {
 		return j
 	}
 	return i
 }
 
 func chooseLeastLagging(m *model, r *rand.Rand, b int) int {
-	return least(m, r, b, func(i int) int { return m.endpoint(i) })
+	return least(m, r, b, func(i int) int { return m.reportedLoad(i) })
 }
 
 func chooseIdeal(m *model, r *rand.Rand, b int) int {
@@ -103,11 +103,12 @@
 	})
 }
 
-// least returns the agent of the lowest value, ties at random.
+// least returns the agent with the lowest value in balancer b's member list, at
+// random among equal ones.
 func least(m *model, r *rand.Rand, b int, value func(int) int) int {
 	best, bestValue, ties := -1, 0, 0
 	for i := range m.servers {
-		if !known(m, b, i) {
+		if !listed(m, b, i) {
 			continue
 		}
 		v := value(i)
--- a/placement/lab/queue.go
+++ b/placement/lab/queue.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// eventKind is what happens at an event.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	arrive  eventKind = iota // flow: a caller's first Initial, or its repeat
-	request                  // flow: its next request
-	finish                   // flow: its request leaves the slot
-	report                   // agent: an occupancy reaches a balancer
-	sample                   // figures are taken, load endpoints are read
-	lose                     // a zone dies
-	notice                   // rosters leave out the dead
-	start                    // cold backend servers join
-	ramp                     // the weight of cold agents rises
+	arrive        eventKind = iota // flow: a caller's first Initial or its retransmission
+	request                        // flow: its next request
+	finish                         // flow: its request frees the slot
+	report                         // agent: its occupancy reaches a balancer
+	sample                         // statistics and load endpoints are updated
+	zoneFailure                    // a zone fails
+	membersUpdate                  // member lists omit the failed agents
+	coldStart                      // cold backend servers start
+	ramp                           // the weight of cold agents rises
 )
 
 type event struct {
 	at   time.Duration
 	kind eventKind
-	id   int32 // flow or agent
+	id   int32 // index of the flow or agent
 }
 
-// eventQueue is a binary heap by time.
+// eventQueue is a binary heap ordered by time.
 type eventQueue []event
 
 func (q *eventQueue) push(e event) {
--- a/placement/lab/stats.go
+++ b/placement/lab/stats.go
@@ -6,18 +6,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stats adds up one run.
+// stats accumulates the figures of one run.
 type stats struct {
-	flows, crossZone, split, handedOn, lost uint64
-	requests, refused, failed, broken       uint64
-	waits                                   *hdrhistogram.Histogram
-	windows, instants, factors              mean
+	flows, crossZone, split, forwarded, lost uint64
+	requests, refused, failed, broken        uint64
+	waits                                    *hdrhistogram.Histogram
+	windows, instants, factors               mean
 }
 
 func newStats() stats {
 	return stats{waits: hdrhistogram.New(1, time.Hour.Microseconds(), 3)}
 }
 
+// mean computes a mean.
 type mean struct {
 	sum float64
 	n   int
@@ -32,7 +33,7 @@
 	return a.sum / float64(a.n)
 }
 
-func (s *stats) place(m *model, f *flow, b, first, chosen int, split bool) {
+func (s *stats) recordPlacement(m *model, f *flow, b, first, chosen int, split bool) {
 	if m.now < m.c.Warmup {
 		return
 	}
@@ -45,21 +46,21 @@
 		return
 	}
 	if first != chosen {
-		s.handedOn++
+		s.forwarded++
 	}
 	if m.servers[chosen].zone != b%m.c.Zones {
 		s.crossZone++
 	}
 }
 
-func (s *stats) refuse(m *model) {
+func (s *stats) recordRefusal(m *model) {
 	if m.now >= m.c.Warmup {
 		s.requests++
 		s.refused++
 	}
 }
 
-func (s *stats) wait(m *model, d time.Duration, factor float64, failed bool) {
+func (s *stats) recordStart(m *model, d time.Duration, factor float64, failed bool) {
 	if m.now >= m.c.Warmup {
 		if failed {
 			s.failed++
@@ -70,14 +71,15 @@
 	}
 }
 
-// sample takes the figures of one tick and moves the endpoints' history on.
+// sample records the figures of one tick and adds the outstanding requests to the
+// history of the load endpoints.
 func (m *model) sample() {
 	m.ticks++
 	row := m.historyRow()
 	busy, highest, alive := 0, 0, 0
 	for i := range m.servers {
 		s := &m.servers[i]
-		s.settle(m.now)
+		s.accumulate(m.now)
 		row[i] = uint16(s.outstanding())
 		if !s.alive {
 			continue
@@ -88,7 +90,7 @@
 	}
 	m.history = append(m.history, row)
 	if m.now < m.c.Warmup {
-		m.restart()
+		m.resetServers()
 		return
 	}
 	if busy > 0 {
@@ -99,7 +101,8 @@
 	}
 }
 
-// historyRow returns a row to fill; rows older than the lag are used again.
+// historyRow returns a row to fill. It reuses the oldest row if the history
+// exceeds the lag.
 func (m *model) historyRow() []uint16 {
 	if len(m.history) <= int(m.c.Lag/sampleEvery) {
 		return make([]uint16, len(m.servers))
@@ -109,23 +112,24 @@
 	return row
 }
 
-// restart forgets what the warm-up added up.
-func (m *model) restart() {
+// resetServers discards the figures of the warm-up.
+func (m *model) resetServers() {
 	for i := range m.servers {
-		m.servers[i].whole, m.servers[i].begun = 0, 0
+		m.servers[i].outstandingTime, m.servers[i].windowStart = 0, 0
 	}
 }
 
 func (m *model) closeWindow() {
-	if ratio := m.maxToMean(func(s *server) float64 { return float64(s.whole - s.begun) }); ratio > 0 {
+	if ratio := m.maxToMean(func(s *server) float64 { return float64(s.outstandingTime - s.windowStart) }); ratio > 0 {
 		m.stats.windows.add(ratio)
 	}
 	for i := range m.servers {
-		m.servers[i].begun = m.servers[i].whole
+		m.servers[i].windowStart = m.servers[i].outstandingTime
 	}
 }
 
-// maxToMean compares the living backend servers by value.
+// maxToMean returns the ratio of the maximum to the mean of value over the
+// running backend servers, or 0 if the sum is 0.
 func (m *model) maxToMean(value func(*server) float64) float64 {
 	sum, highest, alive := 0.0, 0.0, 0
 	for i := range m.servers {
