--- a/admission/lab/config.go
+++ b/admission/lab/config.go
@@ -10,19 +10,19 @@
 	"github.com/hemlockscale/hemlockscale/lab/simtime"
 )
 
-// Config is what all experiments share.
+// Config holds the settings shared by all experiments.
 type Config struct {
-	Slots    int           // requests that the backend server carries at full speed
-	Queue    int           // requests that may wait, of the controller and the bounded queue
-	Service  time.Duration // mean work of a request, exponential
-	Patience time.Duration // from a caller's attempt to its deadline
+	Slots    int           // concurrent requests that the backend server processes at full speed
+	Queue    int           // requests that may wait, for the controller and the bounded FIFO queue
+	Service  time.Duration // mean service time of a request, exponentially distributed
+	Patience time.Duration // time from a caller's attempt to its deadline
 	Duration time.Duration // simulated time of a run
-	Loads    []float64     // offered work / capacity, of the goodput experiment
-	Policies []Policy      // those compared; empty is all
+	Loads    []float64     // offered work / capacity, for the goodput experiment
+	Policies []Policy      // policies to compare; empty means all
 	Seed     uint64
 }
 
-// DefaultConfig is the backend server of docs/measure/admission.md.
+// DefaultConfig returns the settings used in docs/measure/admission.md.
 func DefaultConfig() Config {
 	return Config{
 		Slots: 5, Queue: 50, Service: 20 * time.Millisecond, Patience: 250 * time.Millisecond,
@@ -30,11 +30,11 @@
 	}
 }
 
-// Policy names a way to decide which requests start.
+// Policy is the name of a policy that decides which requests start.
 type Policy string
 
-// The policies: the controller, queues in order of arrival with and without a
-// bound, and no limit at all.
+// The policies: the admission controller, FIFO queues with and without a limit
+// of their length, and no limit of concurrent requests.
 const (
 	Controller  Policy = "admission"
 	BoundedFIFO Policy = "fifo-bounded"
@@ -45,12 +45,12 @@
 // Policies are all policies.
 var Policies = []Policy{Controller, BoundedFIFO, FIFO, NoLimit}
 
-// ConfigError names a field of Config that can't be used and its remedy.
+// ConfigError reports an invalid field of Config, with the remedy.
 type ConfigError struct{ Field, Remedy string }
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("admission/lab: %s: %s", e.Field, e.Remedy) }
 
-// check reports the first field that can't be used.
+// check returns a *ConfigError for the first invalid field.
 func (c Config) check() error {
 	switch {
 	case c.Slots < 1 || c.Queue < 1:
@@ -70,31 +70,31 @@
 	return nil
 }
 
-// full is the backend server's capacity in requests a second.
-func (c Config) full() float64 { return float64(c.Slots) / c.Service.Seconds() }
+// capacity returns the backend server's capacity in requests per second.
+func (c Config) capacity() float64 { return float64(c.Slots) / c.Service.Seconds() }
 
-// only returns those of list that the config wants.
-func (c Config) only(list ...Policy) []Policy {
+// selected returns the policies in list that the config selects.
+func (c Config) selected(list ...Policy) []Policy {
 	if len(c.Policies) == 0 {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(p Policy) bool { return !slices.Contains(c.Policies, p) })
 }
 
-// policy returns a new policy.
+// policy returns a new instance of the named policy.
 func (c Config) policy(name Policy) policy {
 	switch name {
 	case BoundedFIFO:
-		return &fifo{slots: c.Slots, bound: c.Queue, gone: map[uint64]bool{}}
+		return &fifo{slots: c.Slots, bound: c.Queue, cancelled: map[uint64]bool{}}
 	case FIFO:
-		return &fifo{slots: c.Slots, gone: map[uint64]bool{}}
+		return &fifo{slots: c.Slots, cancelled: map[uint64]bool{}}
 	case NoLimit:
-		return &fifo{slots: 1 << 30, gone: map[uint64]bool{}}
+		return &fifo{slots: 1 << 30, cancelled: map[uint64]bool{}}
 	}
-	return ours{admission.New(simtime.Epoch, admission.Config{Slots: c.Slots, Queue: c.Queue, Rand: rand.New(rand.NewPCG(c.Seed, 4))})}
+	return controllerPolicy{admission.New(simtime.Epoch, admission.Config{Slots: c.Slots, Queue: c.Queue, Rand: rand.New(rand.NewPCG(c.Seed, 4))})}
 }
 
-// model returns a new run of a policy.
+// model returns a new model with the named policy.
 func (c Config) model(name Policy) *model {
 	m := newModel(c.Seed, c.policy(name))
 	m.capacity, m.service, m.patience = float64(c.Slots), c.Service.Seconds(), c.Patience
--- a/admission/lab/lab_test.go
+++ b/admission/lab/lab_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Symptom: under overload less is answered in time than at the peak.
-// Sequence: callers offer two and ten times what the backend server carries.
-// Cause: work that nobody waits for any more goes before work that somebody does.
+// Guards against a collapse of goodput under overload: at two and ten times the
+// capacity, requests whose callers have stopped waiting must not be processed
+// before others.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	c := DefaultConfig()
 	c.Policies, c.Loads = []Policy{Controller}, []float64{2, 10}
@@ -42,9 +42,9 @@
 	}
 }
 
-// Symptom: a failing backend server gets several times the offered requests.
-// Sequence: every attempt fails and asks for three retries.
-// Cause: retries that no budget bounds.
+// Guards against retries without a budget: if every attempt fails and is retried
+// three times, the failing backend server receives several times the offered
+// requests.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	if f := run(t, "retries", DefaultConfig()); f[0].Value > 1.11 {
 		t.Errorf("%.3f attempts per offered request", f[0].Value)
--- a/admission/lab/model.go
+++ b/admission/lab/model.go
@@ -9,60 +9,60 @@
 	"github.com/hemlockscale/hemlockscale/lab/simtime"
 )
 
-// caller is one request from its first attempt to its answer.
+// caller is a caller with one request, from the first attempt to the answer.
 type caller struct {
-	owner    string
-	work     float64 // seconds of a slot
-	deadline time.Time
-	attempts int
-	running  bool
-	over     bool
-	left     float64       // work left
-	flow     time.Duration // a long flow: how long it goes on after its header
+	owner     string
+	work      float64 // service time in seconds
+	deadline  time.Time
+	attempts  int
+	running   bool
+	finished  bool
+	remaining float64       // remaining work in seconds
+	flowTime  time.Duration // duration of a long flow after its header; 0 for a short request
 }
 
 // model is one run.
 type model struct {
 	rng *rand.Rand
 	*simtime.Clock
-	p         policy
-	running   map[uint64]*caller
-	callers   []*caller
-	worked    time.Time // until then the running requests have been worked on
-	finishing int       // number of the finish event that is valid
-
-	capacity   float64                 // requests worked on at full speed
-	thrash     float64                 // loss of speed for each request above it
-	slow       func(time.Time) float64 // divides the speed
-	service    float64                 // mean work, seconds
-	patience   time.Duration           // from the first attempt to the deadline
-	impatient  bool                    // the caller goes away at its deadline
-	returns    bool                    // a refused caller comes back when it was told to
-	good       map[string]int          // answers in time, by owner
-	offered    map[string]int          // callers, by owner
-	goodAt     map[int]int             // answers in time, by second
-	refusals   int                     // all refusals
-	returnedAt map[int]int             // returning callers, by 100 ms
-	late       int                     // answers that came too late
-	holdSlots  bool                    // long flows hold their slot to their end
-	shed       func(running int) bool  // whether the backend server answers 503
+	p           policy
+	running     map[uint64]*caller
+	callers     []*caller
+	workedUntil time.Time // time up to which caller.remaining is updated
+	finishEvent int       // number of the valid finish event; earlier ones are ignored
+
+	capacity  float64                 // concurrent requests processed at full speed
+	speedLoss float64                 // loss of speed per request above capacity
+	slowdown  func(time.Time) float64 // divisor of the speed
+	service   float64                 // mean service time in seconds
+	patience  time.Duration           // time from an attempt to its deadline
+	impatient bool                    // callers leave the queue at their deadline
+	retries   bool                    // refused callers retry at the given time
+	inTime    map[string]int          // answers in time, by owner
+	offered   map[string]int          // callers, by owner
+	inTimeAt  map[int]int             // answers in time, by second
+	refusals  int                     // number of refusals
+	retriedAt map[int]int             // retries, by 100 ms
+	late      int                     // requests that ended without an answer in time
+	holdSlots bool                    // long flows hold their slot to their end
+	shed      func(running int) bool  // reports whether the backend server answers 503
 }
 
 func newModel(seed uint64, p policy) *model {
 	return &model{
-		rng: rand.New(rand.NewPCG(seed, 3)), Clock: simtime.New(), worked: simtime.Epoch, p: p,
+		rng: rand.New(rand.NewPCG(seed, 3)), Clock: simtime.New(), workedUntil: simtime.Epoch, p: p,
 		running: map[uint64]*caller{}, capacity: 5, service: 0.02,
-		patience: 250 * time.Millisecond, slow: func(time.Time) float64 { return 1 },
-		good: map[string]int{}, offered: map[string]int{}, goodAt: map[int]int{}, returnedAt: map[int]int{},
+		patience: 250 * time.Millisecond, slowdown: func(time.Time) float64 { return 1 },
+		inTime: map[string]int{}, offered: map[string]int{}, inTimeAt: map[int]int{}, retriedAt: map[int]int{},
 	}
 }
 
-// arrive lets an owner's callers come at rate a second for the time d.
+// arrive schedules callers of an owner, at rate per second, for the time d.
 func (m *model) arrive(owner string, rate float64, d time.Duration) {
 	m.arriveFlows(owner, rate, d, 0)
 }
 
-// arriveFlows is arrive for long flows that go on for the time flow.
+// arriveFlows is like arrive for long flows that last for the time flow.
 func (m *model) arriveFlows(owner string, rate float64, d, flow time.Duration) {
 	end := simtime.Epoch.Add(d)
 	var next func()
@@ -71,7 +71,7 @@
 			return
 		}
 		m.offered[owner]++
-		c := &caller{owner: owner, work: m.rng.ExpFloat64() * m.service, deadline: m.Now().Add(m.patience), flow: flow}
+		c := &caller{owner: owner, work: m.rng.ExpFloat64() * m.service, deadline: m.Now().Add(m.patience), flowTime: flow}
 		m.callers = append(m.callers, c)
 		m.attempt(uint64(len(m.callers)-1), c)
 		m.After(time.Duration(m.rng.ExpFloat64()/rate*1e9), next)
@@ -79,6 +79,7 @@
 	m.After(0, next)
 }
 
+// attempt offers the caller's request to the policy.
 func (m *model) attempt(id uint64, c *caller) {
 	c.attempts++
 	if c.attempts > 1 {
@@ -86,9 +87,9 @@
 	}
 	if n := c.attempts; m.impatient {
 		m.After(m.patience, func() {
-			if !c.over && !c.running && c.attempts == n {
+			if !c.finished && !c.running && c.attempts == n {
 				m.p.cancel(m.Now(), id)
-				c.over = true
+				c.finished = true
 			}
 		})
 	}
@@ -96,108 +97,110 @@
 }
 
 func (c *caller) class() catalogue.Class {
-	if c.flow > 0 {
+	if c.flowTime > 0 {
 		return catalogue.ClassStream
 	}
 	return catalogue.ClassInteractive
 }
 
-// apply starts and refuses.
+// apply applies the policy's decisions: it starts and refuses requests.
 func (m *model) apply(start []uint64, refuse []refusal) {
 	for _, id := range start {
-		m.work()
+		m.advanceWork()
 		c := m.callers[id]
-		c.running, c.left = true, c.work
+		c.running, c.remaining = true, c.work
 		m.running[id] = c
 		if m.shed != nil && m.shed(len(m.running)) {
-			m.end(id, admission.Result{Outcome: admission.Shed, RetryAfter: 200 * time.Millisecond})
+			m.finish(id, admission.Result{Outcome: admission.Shed, RetryAfter: 200 * time.Millisecond})
 		}
 	}
 	for _, r := range refuse {
 		m.refusals++
 		c := m.callers[r.id]
-		if !m.returns || c.attempts >= 4 {
-			c.over = true
+		if !m.retries || c.attempts >= 4 {
+			c.finished = true
 			continue
 		}
 		m.After(r.after, func() {
-			m.returnedAt[int(m.Elapsed()/(100*time.Millisecond))]++
+			m.retriedAt[int(m.Elapsed()/(100*time.Millisecond))]++
 			m.attempt(r.id, c)
 		})
 	}
 	if len(start) > 0 {
-		m.plan()
+		m.scheduleFinish()
 	}
 }
 
-// speed is how fast each running request is worked on.
+// speed returns the speed at which each running request is processed, 1 at most.
 func (m *model) speed() float64 {
 	n := float64(len(m.running))
 	v := 1.0
 	if n > m.capacity {
-		v = m.capacity / n / (1 + m.thrash*(n-m.capacity))
+		v = m.capacity / n / (1 + m.speedLoss*(n-m.capacity))
 	}
-	return v / m.slow(m.Now())
+	return v / m.slowdown(m.Now())
 }
 
-// work works on the running requests up to now.
-func (m *model) work() {
-	d := m.Now().Sub(m.worked).Seconds() * m.speed()
-	m.worked = m.Now()
+// advanceWork updates the remaining work of the running requests to now.
+func (m *model) advanceWork() {
+	d := m.Now().Sub(m.workedUntil).Seconds() * m.speed()
+	m.workedUntil = m.Now()
 	for _, c := range m.running {
-		c.left -= d
+		c.remaining -= d
 	}
 }
 
-// plan sets the event at which the next running request ends.
-func (m *model) plan() {
-	m.finishing++
-	number := m.finishing
+// scheduleFinish schedules the end of the running request that finishes next.
+func (m *model) scheduleFinish() {
+	m.finishEvent++
+	number := m.finishEvent
 	var first uint64
 	least := -1.0
 	for id, c := range m.running {
-		if least < 0 || c.left < least || c.left == least && id < first {
-			first, least = id, max(c.left, 0)
+		if least < 0 || c.remaining < least || c.remaining == least && id < first {
+			first, least = id, max(c.remaining, 0)
 		}
 	}
 	if least < 0 {
 		return
 	}
 	m.After(time.Duration(least/m.speed()*1e9)+1, func() {
-		if number == m.finishing {
-			m.work()
-			m.end(first, admission.Result{Outcome: admission.OK})
+		if number == m.finishEvent {
+			m.advanceWork()
+			m.finish(first, admission.Result{Outcome: admission.OK})
 		}
 	})
 }
 
-func (m *model) end(id uint64, r admission.Result) {
+// finish ends a running request with a result.
+func (m *model) finish(id uint64, r admission.Result) {
 	c := m.callers[id]
 	delete(m.running, id)
-	c.running, c.over = false, true
+	c.running, c.finished = false, true
 	if r.Outcome == admission.OK && !m.Now().After(c.deadline) {
-		m.good[c.owner]++
-		m.goodAt[int(m.Elapsed()/time.Second)]++
+		m.inTime[c.owner]++
+		m.inTimeAt[int(m.Elapsed()/time.Second)]++
 	} else {
 		m.late++
 	}
-	if c.flow > 0 && r.Outcome == admission.OK {
-		m.opened(id, c, r)
+	if c.flowTime > 0 && r.Outcome == admission.OK {
+		m.headerArrived(id, c, r)
 	} else {
 		m.apply(m.p.done(m.Now(), id, r))
 	}
-	m.plan()
+	m.scheduleFinish()
 }
 
-// opened lets a long flow go on after its header.
-func (m *model) opened(id uint64, c *caller, r admission.Result) {
-	m.After(c.flow, func() { m.apply(m.p.done(m.Now(), id, r)) })
-	if o, ok := m.p.(ours); ok && !m.holdSlots {
+// headerArrived continues a long flow after its header.
+func (m *model) headerArrived(id uint64, c *caller, r admission.Result) {
+	m.After(c.flowTime, func() { m.apply(m.p.done(m.Now(), id, r)) })
+	if o, ok := m.p.(controllerPolicy); ok && !m.holdSlots {
 		o.c.Opened(m.Now(), id)
-		m.apply(o.drain())
+		m.apply(o.effects())
 	}
 }
 
+// run runs the model for the simulated time d.
 func (m *model) run(d time.Duration) {
 	var tick func()
 	tick = func() {
@@ -208,24 +211,25 @@
 	m.Clock.Run(d, nil)
 }
 
-func (m *model) total() int {
+// totalInTime returns the number of answers in time.
+func (m *model) totalInTime() int {
 	n := 0
-	for _, g := range m.good {
+	for _, g := range m.inTime {
 		n += g
 	}
 	return n
 }
 
-// served is the share of an owner's callers that were answered in time.
-func (m *model) served(owner string) float64 {
-	return float64(m.good[owner]) / float64(m.offered[owner])
+// servedShare returns the share of an owner's callers that were answered in time.
+func (m *model) servedShare(owner string) float64 {
+	return float64(m.inTime[owner]) / float64(m.offered[owner])
 }
 
-// goodIn counts answers in time from second start up to end.
-func (m *model) goodIn(start, end int) int {
+// countInTime returns the number of answers in time in the seconds [start, end).
+func (m *model) countInTime(start, end int) int {
 	n := 0
 	for s := start; s < end; s++ {
-		n += m.goodAt[s]
+		n += m.inTimeAt[s]
 	}
 	return n
 }
--- a/admission/lab/policy.go
+++ b/admission/lab/policy.go
@@ -6,13 +6,14 @@
 	"github.com/hemlockscale/hemlockscale/admission"
 )
 
-// refusal tells the caller of a request when to come back.
+// refusal is the refusal of a request.
 type refusal struct {
 	id    uint64
-	after time.Duration
+	after time.Duration // retry time
 }
 
-// policy decides what starts. Each method returns what became of requests.
+// policy decides which requests start. Its methods return the requests to start
+// and to refuse.
 type policy interface {
 	offer(now time.Time, r admission.Request) (start []uint64, refuse []refusal)
 	done(now time.Time, id uint64, r admission.Result) (start []uint64, refuse []refusal)
@@ -20,10 +21,10 @@
 	tick(now time.Time) (start []uint64, refuse []refusal)
 }
 
-// ours is the Controller.
-type ours struct{ c *admission.Controller }
+// controllerPolicy is the policy of admission.Controller.
+type controllerPolicy struct{ c *admission.Controller }
 
-func (p ours) drain() (start []uint64, refuse []refusal) {
+func (p controllerPolicy) effects() (start []uint64, refuse []refusal) {
 	for _, e := range p.c.Effects(nil) {
 		if e.Kind == admission.Start {
 			start = append(start, e.ID)
@@ -34,9 +35,9 @@
 	return start, refuse
 }
 
-func (p ours) offer(now time.Time, r admission.Request) ([]uint64, []refusal) {
+func (p controllerPolicy) offer(now time.Time, r admission.Request) ([]uint64, []refusal) {
 	d := p.c.Offer(now, r)
-	start, refuse := p.drain()
+	start, refuse := p.effects()
 	switch d.Verdict {
 	case admission.Admitted:
 		start = append(start, r.ID)
@@ -46,32 +47,33 @@
 	return start, refuse
 }
 
-func (p ours) done(now time.Time, id uint64, r admission.Result) ([]uint64, []refusal) {
+func (p controllerPolicy) done(now time.Time, id uint64, r admission.Result) ([]uint64, []refusal) {
 	p.c.Done(now, id, r)
-	return p.drain()
+	return p.effects()
 }
 
-func (p ours) cancel(now time.Time, id uint64) { p.c.Cancel(now, id) }
+func (p controllerPolicy) cancel(now time.Time, id uint64) { p.c.Cancel(now, id) }
 
-func (p ours) tick(now time.Time) ([]uint64, []refusal) {
+func (p controllerPolicy) tick(now time.Time) ([]uint64, []refusal) {
 	p.c.Tick(now)
-	return p.drain()
+	return p.effects()
 }
 
-// fifo starts up to slots requests in order and lets up to bound wait; 0 is no
-// bound. A refused caller is told to come back in a second.
+// fifo starts up to slots requests in order of arrival and queues up to bound; a
+// bound of 0 is no limit. The retry time of a refusal is one second.
 type fifo struct {
 	slots, bound, running int
 	queue                 []uint64
-	gone                  map[uint64]bool
+	cancelled             map[uint64]bool
 }
 
+// fill starts queued requests while slots are free.
 func (p *fifo) fill() (start []uint64) {
 	for p.running < p.slots && len(p.queue) > 0 {
 		id := p.queue[0]
 		p.queue = p.queue[1:]
-		if p.gone[id] {
-			delete(p.gone, id)
+		if p.cancelled[id] {
+			delete(p.cancelled, id)
 			continue
 		}
 		p.running++
@@ -93,6 +95,6 @@
 	return p.fill(), nil
 }
 
-func (p *fifo) cancel(_ time.Time, id uint64) { p.gone[id] = true }
+func (p *fifo) cancel(_ time.Time, id uint64) { p.cancelled[id] = true }
 
 func (p *fifo) tick(time.Time) ([]uint64, []refusal) { return nil, nil }
--- a/catalogue/lab/doc.go
+++ b/catalogue/lab/doc.go
@@ -1,8 +1,8 @@
-// Package lab measures how catalogue changes spread: it drives many replicas
-// in one process through an in-memory exchange in simulated time, with loss,
-// duplication, random delay and cuts.
+// Package lab measures the propagation of catalogue changes. It runs many
+// replicas in one process, which exchange messages in memory and in simulated
+// time, with loss, duplication, random delay and partitions.
 //
-// The replicas are the real state machines; the exchange is a fake at their
-// interface, and bulk streams are modelled as a setup time and a rate.
-// Everything follows from the seed.
+// The replicas are those of package catalogue; only the network is simulated. A
+// bulk stream is modelled by a setup time and a rate. All results depend only on
+// the seed.
 package lab
--- a/catalogue/lab/exchange.go
+++ b/catalogue/lab/exchange.go
@@ -13,31 +13,32 @@
 	"github.com/hemlockscale/hemlockscale/lab/simtime"
 )
 
-// Exchange carries messages between replicas in memory, in simulated time.
-// Nodes are named by their index. It isn't safe for concurrent use.
+// Exchange is an in-memory network of replicas in simulated time. Nodes are
+// identified by their index. It is not safe for concurrent use.
 type Exchange struct {
 	*simtime.Clock
 	exchange.Network[int]
 	Nodes      []*catalogue.Replica
-	OnProgress func(node int) // is told when a node's revision has grown; may be nil
+	OnProgress func(node int) // called when the revision of a node has increased; may be nil
 
-	Messages, Bytes  int // sent by all; bytes with datagramFrame each
-	Bulks, BulkBytes int // bulk loads sent by all
+	Messages, Bytes  int // messages sent by all nodes, and their size with datagramOverhead
+	Bulks, BulkBytes int // bulk loads sent by all nodes, and their size
 
-	serving []int // bulk loads served by each node now
+	serving []int // number of bulk loads in progress at each serving node
 }
 
 const (
-	tickEvery     = 100 * time.Millisecond
-	minDelay      = 500 * time.Microsecond
-	delaySpread   = 1500 * time.Microsecond
-	bulkSetup     = 5 * time.Millisecond // handshake of the stream
-	bulkRate      = 10 << 20             // bytes a second of one stream
-	servedAtOnce  = 4
-	datagramFrame = 28 + 40 // IP, UDP, seal and envelope
+	tickEvery        = 100 * time.Millisecond
+	minDelay         = 500 * time.Microsecond
+	delaySpread      = 1500 * time.Microsecond
+	bulkSetup        = 5 * time.Millisecond // handshake of the stream
+	bulkRate         = 10 << 20             // bytes per second of one stream
+	maxServing       = 4                    // bulk loads that a node serves at the same time
+	datagramOverhead = 28 + 40              // bytes of the IP and UDP headers, seal and envelope
 )
 
-// FaultError is a fault of the catalogue that ends a run.
+// FaultError reports an unexpected error of the package catalogue, which ends a
+// run.
 type FaultError struct {
 	What string
 	Err  error
@@ -58,7 +59,8 @@
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// NewExchange returns an exchange of n empty replicas that know each other.
+// NewExchange returns an exchange of n empty replicas, each of which knows all
+// others. loss is the share of messages lost.
 func NewExchange(n int, loss float64, seed uint64, cfg catalogue.ReplicaConfig) *Exchange {
 	x := &Exchange{Clock: simtime.New(), serving: make([]int, n), Nodes: make([]*catalogue.Replica, n)}
 	x.Rand, x.Loss = rand.New(rand.NewPCG(seed, 3)), loss
@@ -70,13 +72,13 @@
 	return x
 }
 
-// Restart makes node i an empty replica.
+// Restart replaces node i by an empty replica.
 func (x *Exchange) Restart(i int, cfg catalogue.ReplicaConfig) {
 	cfg.Peers = func(k int) []netip.AddrPort { return x.peers(i, k) }
 	x.Nodes[i] = catalogue.NewReplica(cfg)
 }
 
-// peers picks up to k distinct nodes other than i.
+// peers returns up to k distinct random nodes other than i.
 func (x *Exchange) peers(i, k int) []netip.AddrPort {
 	k = min(k, len(x.Nodes)-1)
 	picked := make([]netip.AddrPort, 0, k)
@@ -89,7 +91,7 @@
 	return picked
 }
 
-// Converged returns a function that tells whether all nodes are at a digest.
+// Converged returns a function that reports whether all nodes are at digest d.
 func (x *Exchange) Converged(d catalogue.Digest) func() bool {
 	return func() bool {
 		for _, r := range x.Nodes {
@@ -107,15 +109,16 @@
 	x.After(tickEvery, func() { x.tick(i) })
 }
 
-// flush sends what a node has to send.
+// flush sends the outgoing messages of a node and starts the bulk load that it
+// needs, if any.
 func (x *Exchange) flush(i int) {
 	for _, p := range x.Nodes[i].Outgoing() {
 		x.Messages++
-		x.Bytes += len(p.Message.Encode()) + datagramFrame
+		x.Bytes += len(p.Message.Encode()) + datagramOverhead
 		to := NodeIndex(p.To)
 		x.Carry(i, to, func(delay time.Duration) {
 			x.After(delay, func() {
-				x.Change(to, func(r *catalogue.Replica) { r.Receive(x.Now(), NodeAddr(i), p.Message) })
+				x.Update(to, func(r *catalogue.Replica) { r.Receive(x.Now(), NodeAddr(i), p.Message) })
 			})
 		})
 	}
@@ -124,8 +127,9 @@
 	}
 }
 
-// Change runs f on a node, sends what it has to send and tells of progress.
-func (x *Exchange) Change(i int, f func(*catalogue.Replica)) {
+// Update calls f with the replica of node i, sends the messages that result, and
+// calls OnProgress if the revision has increased.
+func (x *Exchange) Update(i int, f func(*catalogue.Replica)) {
 	before := x.Nodes[i].Digest().Revision
 	f(x.Nodes[i])
 	x.flush(i)
@@ -134,9 +138,9 @@
 	}
 }
 
-// bulk carries a bulk load from one node to another over a stream.
+// bulk simulates a bulk load from one node to another over a stream.
 func (x *Exchange) bulk(from, to int) {
-	if x.serving[from] >= servedAtOnce {
+	if x.serving[from] >= maxServing {
 		x.After(bulkSetup, func() { x.Nodes[to].BulkFailed() })
 		return
 	}
@@ -154,6 +158,6 @@
 		if err != nil {
 			panic(&FaultError{"read of a bulk load", err})
 		}
-		x.Change(to, func(r *catalogue.Replica) { _ = r.ReceiveBulk(x.Now(), NodeAddr(from), got) })
+		x.Update(to, func(r *catalogue.Replica) { _ = r.ReceiveBulk(x.Now(), NodeAddr(from), got) })
 	})
 }
--- a/catalogue/lab/experiment.go
+++ b/catalogue/lab/experiment.go
@@ -9,19 +9,20 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// Config is what the experiments take; an empty or zero field means each
-// experiment's own, which is that of docs/measure/catalogue.md.
+// Config holds the settings of the experiments. An empty or zero field means the
+// default of each experiment, which is the one used in
+// docs/measure/catalogue.md.
 type Config struct {
 	Sizes   []float64 // numbers of nodes
-	Losses  []float64 // shares of messages lost, of spread, fanout and bulk-edit
-	Changes int       // of spread and fanout; edits of bulk-edit
-	Seed    uint64    // 1 is that of docs/measure/catalogue.md
+	Losses  []float64 // shares of messages lost, for spread, fanout and bulk-edit
+	Changes int       // number of changes for spread and fanout, of edits for bulk-edit
+	Seed    uint64    // 1 is the seed used in docs/measure/catalogue.md
 }
 
-// DefaultConfig leaves all but the seed to the experiments.
+// DefaultConfig returns the defaults of all experiments, with seed 1.
 func DefaultConfig() Config { return Config{Seed: 1} }
 
-// ConfigError names a field of Config that can't be used and its remedy.
+// ConfigError reports an invalid field of Config, with the remedy.
 type ConfigError struct{ Field, Remedy string }
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("catalogue/lab: %s: %s", e.Field, e.Remedy) }
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// changes is Config.Changes, or the number of docs/measure/catalogue.md.
+// changes returns Config.Changes, or the number used in
+// docs/measure/catalogue.md.
 func (c Config) changes() int {
 	if c.Changes == 0 {
 		return 10
@@ -49,7 +51,7 @@
 	return c.Changes
 }
 
-func or(list, own []float64) []float64 {
+func listOr(list, own []float64) []float64 {
 	if len(list) == 0 {
 		return own
 	}
@@ -57,21 +59,21 @@
 }
 
 // Experiments are all experiments, in the order of docs/measure/catalogue.md.
-// Their Run returns a ConfigError for a config that can't be used and a
-// FaultError for a fault of the catalogue.
+// Their Run returns a *ConfigError for an invalid config and a *FaultError for
+// an unexpected error of the package catalogue.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "spread", Run: checked(spread), Tell: "time to force of single changes, messages and bytes, by number of nodes and loss"},
-	{Name: "fanout", Run: checked(fanout), Tell: "the same by how many peers are told at once and how often digests go out"},
-	{Name: "bulk-edit", Run: checked(bulkEdit), Tell: "time to force of edits of 500 entries at once"},
-	{Name: "cold-start", Run: checked(coldStart), Tell: "until empty nodes have loaded a catalogue of the target's size"},
+	{Name: "spread", Run: checked(spread), Tell: "time until single changes are in force, messages and bytes, by number of nodes and loss"},
+	{Name: "fanout", Run: checked(fanout), Tell: "the same by the number of peers that a change is sent to at once and the interval of digests"},
+	{Name: "bulk-edit", Run: checked(bulkEdit), Tell: "time until edits of 500 entries are in force"},
+	{Name: "cold-start", Run: checked(coldStart), Tell: "time until empty nodes have loaded a catalogue of the target size"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
 	return figure.Guard[*FaultError](Config.check, run)
 }
 
-// row returns the figures of one case from pairs of quantity and unit.
-func row(where string, list ...figure.Figure) []figure.Figure {
+// withCase sets the case of the figures in list and returns list.
+func withCase(where string, list ...figure.Figure) []figure.Figure {
 	for i := range list {
 		list[i].Case = where
 	}
@@ -87,7 +89,7 @@
 }
 
 func (s SpreadResult) figures(where string) []figure.Figure {
-	return row(where,
+	return withCase(where,
 		quantile(s.Times, 0.5), quantile(s.Times, 0.999), quantile(s.Times, 1),
 		value("nodes and changes not in force", "", float64(s.Missing)),
 		value("a node for a change", "messages", s.Messages),
@@ -96,8 +98,8 @@
 }
 
 func spread(c Config) (list []figure.Figure) {
-	for _, n := range or(c.Sizes, []float64{8, 64, 512, 4096, 11_000}) {
-		for _, loss := range or(c.Losses, []float64{0, 0.05, 0.2}) {
+	for _, n := range listOr(c.Sizes, []float64{8, 64, 512, 4096, 11_000}) {
+		for _, loss := range listOr(c.Losses, []float64{0, 0.05, 0.2}) {
 			s := Spread(c.seed(), int(n), c.changes(), loss, catalogue.ReplicaConfig{})
 			list = append(list, s.figures(fmt.Sprintf("nodes=%g loss=%g", n, loss))...)
 		}
@@ -105,8 +107,8 @@
 	return list
 }
 
-// fanouts are the settings that the fanout experiment weighs. A fanout of 1
-// with 2 s is close to digests alone.
+// fanouts are the settings that the fanout experiment compares. A fanout of 1
+// with an interval of 2 s is close to sending digests alone.
 var fanouts = []catalogue.ReplicaConfig{
 	{Fanout: 1, Interval: 2 * time.Second},
 	{Fanout: 1}, {Fanout: 2}, {Fanout: 3}, {Fanout: 4}, {Fanout: 6},
@@ -118,8 +120,8 @@
 		if cfg.Interval == 0 {
 			cfg.Interval = catalogue.DefaultInterval
 		}
-		for _, n := range or(c.Sizes, []float64{4096}) {
-			for _, loss := range or(c.Losses, []float64{0.2}) {
+		for _, n := range listOr(c.Sizes, []float64{4096}) {
+			for _, loss := range listOr(c.Losses, []float64{0.2}) {
 				s := Spread(c.seed(), int(n), c.changes(), loss, cfg)
 				list = append(list, s.figures(fmt.Sprintf("fanout=%d interval=%v nodes=%g loss=%g", cfg.Fanout, cfg.Interval, n, loss))...)
 			}
@@ -143,22 +145,23 @@
 }
 
 func bulkEdit(c Config) (list []figure.Figure) {
-	for _, n := range or(c.Sizes, []float64{8, 64, 512}) {
-		for _, loss := range or(c.Losses, []float64{0, 0.05, 0.2}) {
+	for _, n := range listOr(c.Sizes, []float64{8, 64, 512}) {
+		for _, loss := range listOr(c.Losses, []float64{0, 0.05, 0.2}) {
 			b := BulkEdit(c.seed(), int(n), c.changes(), loss)
 			times := []figure.Figure{quantile(b.Times, 0.5), quantile(b.Times, 1)}
-			list = append(list, row(fmt.Sprintf("nodes=%g loss=%g", n, loss), append(times, b.figures()...)...)...)
+			list = append(list, withCase(fmt.Sprintf("nodes=%g loss=%g", n, loss), append(times, b.figures()...)...)...)
 		}
 	}
 	return list
 }
 
 func coldStart(c Config) (list []figure.Figure) {
-	for _, n := range or(c.Sizes, []float64{8, 16, 32, 64}) {
-		list = append(list, row(fmt.Sprintf("nodes=%g", n), ColdStart(c.seed(), int(n)).figures()...)...)
+	for _, n := range listOr(c.Sizes, []float64{8, 16, 32, 64}) {
+		list = append(list, withCase(fmt.Sprintf("nodes=%g", n), ColdStart(c.seed(), int(n)).figures()...)...)
 	}
 	return list
 }
 
-// seed is that of the exchanges; 7 is that of docs/measure/catalogue.md.
+// seed returns the seed of the exchanges; 7 is the one used in
+// docs/measure/catalogue.md.
 func (c Config) seed() uint64 { return c.Seed + 6 }
--- a/catalogue/lab/lab_test.go
+++ b/catalogue/lab/lab_test.go
@@ -12,7 +12,7 @@
 	c := Config{Sizes: []float64{6}, Losses: []float64{0.2}, Changes: 2, Seed: 1}
 	for _, e := range Experiments {
 		if e.Name == "cold-start" {
-			continue // TestColdStart covers it; it loads 33,000 entries a node
+			continue // covered by TestColdStart; it loads 33,000 entries per node
 		}
 		a, err := e.Run(c)
 		if err != nil || len(a) == 0 {
@@ -24,13 +24,13 @@
 	}
 }
 
-// Symptom: a change is missing at some nodes for ever. Sequence: single
-// changes, and edits too large for datagrams, under loss. Cause: a message that
-// is lost and neither digests nor bulk loads make good.
+// Guards against changes that remain missing at some nodes: single changes, and
+// edits too large for datagrams, are made while messages are lost, and digests
+// and bulk loads must compensate for the loss.
 func TestEveryChangeComesIntoForce(t *testing.T) {
 	for _, loss := range []float64{0, 0.05, 0.2} {
 		if s := Spread(7, 64, 3, loss, catalogue.ReplicaConfig{}); s.Missing != 0 {
-			t.Errorf("loss %v: %d nodes and changes not in force", loss, s.Missing)
+			t.Errorf("loss %v: %d pairs of node and change not in force", loss, s.Missing)
 		}
 		if b := BulkEdit(7, 8, 3, loss); !b.InForce {
 			t.Errorf("loss %v: not all edits in force", loss)
@@ -38,11 +38,12 @@
 	}
 }
 
-// Symptom: after a power cut nodes stay without a catalogue. Sequence: all
-// start empty but one. Cause: more nodes ask than one serves at once.
+// Guards against nodes that remain without a catalogue after a power failure: all
+// but one start empty, and more nodes request a bulk load than one node serves at
+// the same time.
 func TestColdStart(t *testing.T) {
 	if b := ColdStart(7, 8); !b.InForce {
-		t.Errorf("not all loaded: %+v", b)
+		t.Errorf("not all nodes have loaded the catalogue: %+v", b)
 	}
 }
 
--- a/catalogue/lab/spread.go
+++ b/catalogue/lab/spread.go
@@ -6,21 +6,21 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// holders is how many nodes of an exchange follow the store, as the contact
-// slots of one availability zone.
-const holders = 3
+// storeReaders is the number of nodes that read the store, like the holders of
+// the contact slots of one availability zone.
+const storeReaders = 3
 
-// spreadTimes gives the exchange changes of count entries, one each gap, and
-// returns the times from the store's change to force, of every node and
-// change.
-func spreadTimes(x *Exchange, w *Writer, changes, count int, gap time.Duration) []time.Duration {
+// propagationTimes makes edits of count entries, one per gap; changes is their
+// number. It returns the times from the edit in the store until the change is in
+// force, for every pair of node and change.
+func propagationTimes(x *Exchange, w *Writer, changes, count int, gap time.Duration) []time.Duration {
 	var times []time.Duration
-	begun := make(map[uint64]time.Time)
+	changedAt := make(map[uint64]time.Time)
 	reached := make([]uint64, len(x.Nodes))
 	x.OnProgress = func(i int) {
 		now := x.Nodes[i].Digest().Revision
 		for rev := reached[i] + 1; rev <= now; rev++ {
-			if at, ok := begun[rev]; ok {
+			if at, ok := changedAt[rev]; ok {
 				times = append(times, x.Now().Sub(at))
 			}
 		}
@@ -28,9 +28,9 @@
 	}
 	for range changes {
 		list := w.Edit(count, 1<<20)
-		begun[w.State.Revision()] = x.Now()
-		for i := range min(holders, len(x.Nodes)) {
-			x.Change(i, func(r *catalogue.Replica) { _ = r.ReceiveLoad(x.Now(), catalogue.Bulk{Changes: list}) })
+		changedAt[w.State.Revision()] = x.Now()
+		for i := range min(storeReaders, len(x.Nodes)) {
+			x.Update(i, func(r *catalogue.Replica) { _ = r.ReceiveLoad(x.Now(), catalogue.Bulk{Changes: list}) })
 		}
 		x.Run(gap, nil)
 	}
@@ -38,16 +38,16 @@
 	return times
 }
 
-// SpreadResult is how single changes came into force and what they cost.
+// SpreadResult holds the propagation times of single changes and their cost.
 type SpreadResult struct {
-	Times           []time.Duration // of every node and change
-	Missing         int             // nodes and changes not in force at the end
-	Messages, Bytes float64         // of a change, a node's share, beyond the idle digests
-	IdleBytes       float64         // B/s of a node
+	Times           []time.Duration // time until in force, for every pair of node and change
+	Missing         int             // pairs of node and change not in force at the end
+	Messages, Bytes float64         // per change and node, without the digests sent when idle
+	IdleBytes       float64         // bytes per second and node when idle
 }
 
-// Spread makes single changes in an exchange of n nodes, 3 s apart, known at
-// first to 3 nodes.
+// Spread makes single changes, 3 s apart, in an exchange of n nodes, of which 3
+// read the store.
 func Spread(seed uint64, n, changes int, loss float64, cfg catalogue.ReplicaConfig) SpreadResult {
 	const gap = 3 * time.Second
 	length := time.Duration(changes) * gap
@@ -55,26 +55,29 @@
 	idle.Run(length, nil)
 
 	x := NewExchange(n, loss, seed, cfg)
-	r := SpreadResult{Times: spreadTimes(x, NewWriter(), changes, 1, gap)}
+	r := SpreadResult{Times: propagationTimes(x, NewWriter(), changes, 1, gap)}
 	r.Missing = n*changes - len(r.Times)
 	share := x.Elapsed().Seconds() / length.Seconds()
-	per := float64(n * changes)
-	r.Messages = (float64(x.Messages) - float64(idle.Messages)*share) / per
-	r.Bytes = (float64(x.Bytes) - float64(idle.Bytes)*share) / per
+	nodeChanges := float64(n * changes)
+	r.Messages = (float64(x.Messages) - float64(idle.Messages)*share) / nodeChanges
+	r.Bytes = (float64(x.Bytes) - float64(idle.Bytes)*share) / nodeChanges
 	r.IdleBytes = float64(idle.Bytes) / length.Seconds() / float64(n)
 	return r
 }
 
-// BulkResult is how much a node loaded, and over how many streams.
+// BulkResult holds the result of an experiment with bulk loads.
 type BulkResult struct {
-	Times         []time.Duration // to force, of every node and edit
-	Took          time.Duration   // until all nodes held all
-	InForce       bool            // whether they did
-	DatagramBytes float64         // sent by a node
-	BulkBytes     float64         // loaded by a node
-	Bulks         float64         // streams a node
+	Times         []time.Duration // time until in force, for every pair of node and edit
+	Took          time.Duration   // time until all nodes had converged, or until the run ended
+	InForce       bool            // whether all nodes converged
+	DatagramBytes float64         // mean bytes sent in datagrams per node
+	BulkBytes     float64         // mean bytes of bulk loads per node
+	Bulks         float64         // mean number of bulk loads per node
 }
 
+// bulkResult returns the result of a run. in reports whether all nodes have
+// converged, and before is the value of x.Bytes at the beginning of the
+// experiment.
 func (x *Exchange) bulkResult(in func() bool, before int) BulkResult {
 	n := float64(len(x.Nodes))
 	return BulkResult{
@@ -83,25 +86,26 @@
 	}
 }
 
-// BulkEdit makes edits of catalogue.MaxEdit entries at once in an exchange of
-// n nodes.
+// BulkEdit makes edits of catalogue.MaxEdit entries each, without a pause between
+// them, in an exchange of n nodes.
 func BulkEdit(seed uint64, n, edits int, loss float64) BulkResult {
 	x := NewExchange(n, loss, seed, catalogue.ReplicaConfig{})
 	x.Run(time.Second, nil)
 	before, w := x.Bytes, NewWriter()
-	times := spreadTimes(x, w, edits, catalogue.MaxEdit, 0)
+	times := propagationTimes(x, w, edits, catalogue.MaxEdit, 0)
 	r := x.bulkResult(x.Converged(w.State.Digest()), before)
 	r.Times = times
 	return r
 }
 
-// ColdStart lets n nodes, all empty but one, load a catalogue of the target's
-// size from that one and from each other, as after a power cut, with 5 % loss.
+// ColdStart starts n nodes, as after a power failure. One of them has a catalogue
+// of the target size, and the others load it from that node and from each other,
+// with 5 % loss.
 func ColdStart(seed uint64, n int) BulkResult {
-	s := VariedSnapshot()
+	s := RandomSnapshot()
 	x := NewExchange(n, 0.05, seed, catalogue.ReplicaConfig{})
 	if err := x.Nodes[0].ReceiveLoad(x.Now(), catalogue.Bulk{Snapshot: &s}); err != nil {
-		panic(&FaultError{"load of the target's catalogue", err})
+		panic(&FaultError{"load of a catalogue of the target size", err})
 	}
 	in := x.Converged(s.Digest)
 	x.Run(5*time.Minute, in)
--- a/catalogue/lab/writer.go
+++ b/catalogue/lab/writer.go
@@ -11,26 +11,26 @@
 	"github.com/hemlockscale/hemlockscale/lab/simtime"
 )
 
-// TargetEntries is the target's catalogue: 33,000 addresses, one an entry,
-// which is the worst split for size.
+// TargetEntries is the target number of entries: 33,000 addresses with one per
+// entry, the division that gives the largest catalogue.
 const TargetEntries = 33_000
 
-// Writer makes valid changes without a store.
+// Writer generates valid changes without a store.
 type Writer struct {
-	State *catalogue.Catalogue // with all changes made so far
-	Next  int                  // number of the next entry
+	State     *catalogue.Catalogue // with all changes generated so far
+	NextEntry int                  // number of the next entry
 }
 
-// NewWriter returns a writer of an empty catalogue.
+// NewWriter returns a Writer with an empty catalogue.
 func NewWriter() *Writer { return &Writer{State: catalogue.New()} }
 
-// Edit makes changes of count entries, at most catalogue.MaxEdit, cycling over
-// services many services.
+// Edit returns changes of count entries, at most catalogue.MaxEdit, cycling over
+// the given number of services.
 func (w *Writer) Edit(count, services int) []catalogue.Change {
 	e := catalogue.Edit{Editor: "ayse.yilmaz", Owner: "kanatpar"}
 	for range count {
-		e.Put = append(e.Put, w.entry(w.Next%services))
-		w.Next++
+		e.Put = append(e.Put, w.entry(w.NextEntry%services))
+		w.NextEntry++
 	}
 	changes, err := w.State.Plan(e, w.editID(), simtime.Epoch)
 	for i := 0; err == nil && i < len(changes); i++ {
@@ -42,12 +42,13 @@
 	return changes
 }
 
-// editID is drawn from the writer's state: with a random one, the bytes of the
-// changes and with them the times of bulk streams would differ between runs.
+// editID returns an edit ID that depends only on the writer's state. With a
+// random one, the size of the changes and thus the times of bulk streams would
+// differ between runs.
 func (w *Writer) editID() catalogue.EditID {
 	var id catalogue.EditID
 	binary.BigEndian.PutUint64(id[:8], w.State.Revision())
-	binary.BigEndian.PutUint64(id[8:], rand.New(rand.NewPCG(w.State.Revision(), uint64(w.Next))).Uint64())
+	binary.BigEndian.PutUint64(id[8:], rand.New(rand.NewPCG(w.State.Revision(), uint64(w.NextEntry))).Uint64())
 	return id
 }
 
@@ -55,11 +56,12 @@
 	return catalogue.Entry{
 		Service: "listing-" + ServiceName(k), Owner: "kanatpar", Class: catalogue.ClassStream,
 		Addresses: []netip.Addr{netip.AddrFrom4([4]byte{100, byte(k >> 16), byte(k >> 8), byte(k)})},
-		Limits:    catalogue.Limits{Connections: 2000, Slots: 1 + (w.Next+1)%catalogue.MaxSlots, Deadline: 10 * time.Second},
+		Limits:    catalogue.Limits{Connections: 2000, Slots: 1 + (w.NextEntry+1)%catalogue.MaxSlots, Deadline: 10 * time.Second},
 	}
 }
 
-// ServiceName spells k in eight letters, the lowest digit first.
+// ServiceName returns eight letters that encode the decimal digits of k, the
+// lowest digit first.
 func ServiceName(k int) string {
 	const letters = "abcdefghij"
 	name := []byte("00000000")
@@ -70,10 +72,10 @@
 	return string(name)
 }
 
-// VariedSnapshot is a catalogue of the target's size whose names, owners,
-// addresses and limits are random, so that it compresses no better than a
-// real one.
-func VariedSnapshot() catalogue.Snapshot {
+// RandomSnapshot returns a catalogue of the target size whose names, owners,
+// addresses and limits are random, so that it compresses no better than a real
+// one.
+func RandomSnapshot() catalogue.Snapshot {
 	rng := rand.New(rand.NewPCG(3, 3))
 	classes := []catalogue.Class{catalogue.ClassInteractive, catalogue.ClassStream, catalogue.ClassDownload}
 	s := catalogue.Snapshot{Next: TargetEntries + 1}
--- a/catalogue/load_bench_test.go
+++ b/catalogue/load_bench_test.go
@@ -15,7 +15,7 @@
 // starting node. It reports the size of the stream with and without DEFLATE and
 // the heap size of the loaded state and its table.
 func BenchmarkFullLoad(b *testing.B) {
-	s := lab.VariedSnapshot()
+	s := lab.RandomSnapshot()
 	var buf bytes.Buffer
 	if err := s.Write(&buf); err != nil {
 		b.Fatal(err)
@@ -53,7 +53,7 @@
 // BenchmarkDeflate compares compression levels for a snapshot.
 func BenchmarkDeflate(b *testing.B) {
 	var raw []byte
-	for _, e := range lab.VariedSnapshot().Entries {
+	for _, e := range lab.RandomSnapshot().Entries {
 		raw = append(raw, EncodeEntry(e)...)
 	}
 	for _, level := range []int{flate.NoCompression, flate.HuffmanOnly, flate.BestSpeed, 6, flate.BestCompression} {
--- a/catalogue/spread_test.go
+++ b/catalogue/spread_test.go
@@ -10,7 +10,7 @@
 
 func applyAndConverge(t *testing.T, x *lab.Exchange, w *lab.Writer, changes []Change) {
 	t.Helper()
-	x.Change(0, func(r *Replica) {
+	x.Update(0, func(r *Replica) {
 		if err := r.ReceiveLoad(x.Now(), Bulk{Changes: changes}); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	if err := old.State.Apply(first[0]); err != nil {
 		t.Fatal(err)
 	}
-	old.Next = 5
+	old.NextEntry = 5
 	x.Nodes[3].Receive(x.Now(), lab.NodeAddr(7), Message{Changes: append(first, old.Edit(1, 10)...)})
 	x.Nodes[3].Outgoing()
 	if d := x.Nodes[3].Digest(); d.Revision != 2 {
@@ -88,7 +88,7 @@
 	x.Cut = func(from, to int) bool { return (from < 20) != (to < 20) }
 	for range 4 {
 		changes := w.Edit(50, 1000)
-		x.Change(0, func(r *Replica) { _ = r.ReceiveLoad(x.Now(), Bulk{Changes: changes}) })
+		x.Update(0, func(r *Replica) { _ = r.ReceiveLoad(x.Now(), Bulk{Changes: changes}) })
 		x.Run(5*time.Second, nil)
 	}
 	for i, r := range x.Nodes {
