--- a/idempotency/requester.go
+++ b/idempotency/requester.go
@@ -61,11 +61,11 @@
 // NewRequester returns the requester of the agent self. incarnation must differ
 // from that of each earlier process at the same address. The caller updates
 // electorate. rng randomizes the retry times that callers get.
-func NewRequester(self netip.AddrPort, incarnation uint64, elect *Electorate, cfg Config, rng *rand.Rand) *Requester {
+func NewRequester(self netip.AddrPort, incarnation uint64, electorate *Electorate, cfg Config, rng *rand.Rand) *Requester {
 	return &Requester{
 		cfg:        cfg.withDefaults(),
 		id:         ClaimID{Agent: self, Incarnation: incarnation},
-		electorate: elect,
+		electorate: electorate,
 		rng:        rng,
 		byID:       make(map[uint64]*attempt),
 		byKey:      make(map[Key]*attempt),
@@ -113,8 +113,8 @@
 	if a == nil || a.claim != v.ID || a.phase != awaitingVotes {
 		return
 	}
-	for i, home := range a.voters {
-		if home == from && a.votes[i] == 0 {
+	for i, voter := range a.voters {
+		if voter == from && a.votes[i] == 0 {
 			a.votes[i] = v.Kind
 			a.retryAfter = max(a.retryAfter, v.RetryAfter)
 			q.evaluate(now, a, v)
--- a/idempotency/world_test.go
+++ b/idempotency/simulation_test.go
@@ -35,7 +35,7 @@
 // process is one agent: its state machines and the state of its adapter.
 type process struct {
 	addr        netip.AddrPort
-	rate        float64 // speed of its clock relative to true time
+	clockRate   float64 // speed of its clock relative to true time
 	voter       *Voter
 	transfers   *TransferStore
 	incarnation uint64
@@ -80,7 +80,7 @@
 	net               map[int64][]datagram // by the step of their arrival
 	calls             []*call
 	ran               []*call // in order of their first byte
-	inc               uint64
+	lastIncarnation   uint64
 	acceptedHandovers int           // voters that accepted a handover
 	check             func(c *call) // called with each answer
 }
@@ -99,19 +99,19 @@
 
 func (w *simulation) add() *process {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + len(w.processes))}), 7000)
-	p := &process{addr: addr, rate: 1 + (w.rng.Float64()-0.5)*w.cfg.Drift, joinedAt: w.now}
+	p := &process{addr: addr, clockRate: 1 + (w.rng.Float64()-0.5)*w.cfg.Drift, joinedAt: w.now}
 	w.processes = append(w.processes, p)
 	return p
 }
 
 func (w *simulation) start(p *process, complete bool) {
-	w.inc++
+	w.lastIncarnation++
 	p.up = true
-	p.incarnation = w.inc
+	p.incarnation = w.lastIncarnation
 	p.transfers = NewTransferStore(w.cfg)
 	p.voter = NewVoter(p.addr, w.cfg)
 	p.electorate = NewElectorate(w.clock(p), w.cfg)
-	p.requester = NewRequester(p.addr, w.inc, p.electorate, w.cfg, rand.New(rand.NewPCG(w.inc, 2)))
+	p.requester = NewRequester(p.addr, w.lastIncarnation, p.electorate, w.cfg, rand.New(rand.NewPCG(w.lastIncarnation, 2)))
 	p.pending = map[uint64]time.Time{}
 	p.suspects = map[netip.AddrPort]time.Time{}
 	p.listAt = time.Time{}
@@ -146,7 +146,7 @@
 
 // clock returns the time on the clock of p.
 func (w *simulation) clock(p *process) time.Time {
-	return t0.Add(time.Duration(float64(w.now.Sub(t0)) * p.rate))
+	return t0.Add(time.Duration(float64(w.now.Sub(t0)) * p.clockRate))
 }
 
 // updateMemberList gives p a member list that is up to Skew old.
--- a/idempotency/home_test.go
+++ b/idempotency/voter_test.go
@@ -222,11 +222,11 @@
 	_, e, _ := newRequester(cfg, 20)
 	count := map[netip.AddrPort]int{}
 	for i := range 10_000 {
-		homes := e.voters(KeyOf(uint32(i), "", ""))
-		if len(homes) != cfg.Voters {
-			t.Fatalf("%d voters", len(homes))
+		voters := e.voters(KeyOf(uint32(i), "", ""))
+		if len(voters) != cfg.Voters {
+			t.Fatalf("%d voters", len(voters))
 		}
-		for _, h := range homes {
+		for _, h := range voters {
 			count[h]++
 		}
 	}
--- a/membership/bulk_test.go
+++ b/membership/bulk_test.go
@@ -15,12 +15,12 @@
 	x, list, _ := newFleet(t, 8, 2, 4, 400)
 	joined := x.Balancer(50, 1, lab.AddrOf(RoleBalancer, 0))
 	var from Record
-	asked := func() bool {
+	requested := func() bool {
 		rec, ok := joined.Machine.BulkSource()
 		from = rec
 		return ok
 	}
-	if !x.Run(10*time.Second, asked) {
+	if !x.Run(10*time.Second, requested) {
 		t.Fatal("no bulk transfer is requested within 10 s")
 	}
 	buf, err := x.ProcessAt(from.Addr).Machine.EncodeAll()
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -49,9 +49,9 @@
 }
 
 type queuePos struct {
-	class uint8
-	sent  uint8
-	full  bool // send the full record: the receivers don't know this incarnation yet
+	class uint8 // 0 if urgent, else 1
+	sent  uint8 // transmissions so far
+	full  bool  // send the full record: the receivers don't know this incarnation yet
 }
 
 // add queues a change. It stays a full record if an earlier change of it is
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -163,7 +163,7 @@
 // Guards against verdicts on healthy processes after all balancers, whose VMs share
 // a host, were paused for 30 s together and lost the messages in their sockets. They
 // must not count their own pause as missing reports and confirm it to each other.
-func TestPausedBalancersJudgeNobody(t *testing.T) {
+func TestPausedBalancersSuspectNoProcess(t *testing.T) {
 	x, balancers, _ := newSmallFleet(t, 7)
 	paused := balancers
 	for _, b := range paused {
--- a/membership/roster.go
+++ b/membership/memberlist.go
@@ -70,17 +70,17 @@
 func bucketOf(k key) int { return int(mix(uint64(k)) % bucketCount) }
 
 // zoneIndex returns the index of a zone, which it adds if it is new.
-func (r *memberList) zoneIndex(name, region string) uint16 {
+func (l *memberList) zoneIndex(name, region string) uint16 {
 	full := region + "/" + name
-	if i, ok := r.zoneOf[full]; ok {
+	if i, ok := l.zoneOf[full]; ok {
 		return i
 	}
 	h := fnv.New64a()
 	h.Write([]byte(full))
-	i := uint16(len(r.zones))
-	r.zones = append(r.zones, zone{name: name, region: region, hash: h.Sum64()})
-	r.live = append(r.live, nil)
-	r.zoneOf[full] = i
+	i := uint16(len(l.zones))
+	l.zones = append(l.zones, zone{name: name, region: region, hash: h.Sum64()})
+	l.live = append(l.live, nil)
+	l.zoneOf[full] = i
 	return i
 }
 
@@ -101,27 +101,27 @@
 	return c.role == RoleBalancer && c.verdict == VerdictAlive && c.state != StateLeaving
 }
 
-func (r *memberList) toggleDigest(c *cell) {
+func (l *memberList) toggleDigest(c *cell) {
 	if !c.digested() {
 		return
 	}
 	h := c.hash()
 	b := bucketOf(c.key)
-	r.buckets[b] ^= h
-	r.groups[b/groupSize] ^= h
-	r.root ^= h
+	l.buckets[b] ^= h
+	l.groups[b/groupSize] ^= h
+	l.root ^= h
 }
 
-func (r *memberList) find(k key) *cell {
-	i, ok := r.index[k]
+func (l *memberList) find(k key) *cell {
+	i, ok := l.index[k]
 	if !ok {
 		return nil
 	}
-	return &r.cells[i]
+	return &l.cells[i]
 }
 
-func (r *memberList) record(c *cell) Record {
-	z := &r.zones[c.zone]
+func (l *memberList) record(c *cell) Record {
+	z := &l.zones[c.zone]
 	return Record{
 		Addr: c.key.addrPort(), Role: c.role, State: c.state, Verdict: c.verdict,
 		Weight: c.weight, Service: c.service, Incarnation: c.incarnation, Version: c.version,
@@ -131,103 +131,103 @@
 
 // put stores rec without comparing it with the stored record; the caller has
 // compared them.
-func (r *memberList) put(rec *Record) *cell {
+func (l *memberList) put(rec *Record) *cell {
 	k := keyOf(rec.Addr)
-	i, known := r.index[k]
+	i, known := l.index[k]
 	if known {
-		r.unlink(i)
+		l.unlink(i)
 	} else {
-		i = r.alloc(k)
+		i = l.alloc(k)
 	}
-	c := &r.cells[i]
+	c := &l.cells[i]
 	*c = cell{
 		key: k, incarnation: rec.Incarnation, version: rec.Version, service: rec.Service,
-		bulk: rec.Bulk, admin: rec.Admin, zone: r.zoneIndex(rec.Zone, rec.Region),
+		bulk: rec.Bulk, admin: rec.Admin, zone: l.zoneIndex(rec.Zone, rec.Region),
 		role: rec.Role, state: rec.State, verdict: rec.Verdict, weight: rec.Weight, next: c.next,
 	}
-	r.link(i)
+	l.link(i)
 	return c
 }
 
-func (r *memberList) alloc(k key) int32 {
+func (l *memberList) alloc(k key) int32 {
 	var i int32
-	if n := len(r.free); n > 0 {
-		i = r.free[n-1]
-		r.free = r.free[:n-1]
+	if n := len(l.free); n > 0 {
+		i = l.free[n-1]
+		l.free = l.free[:n-1]
 	} else {
-		i = int32(len(r.cells))
-		r.cells = append(r.cells, cell{})
+		i = int32(len(l.cells))
+		l.cells = append(l.cells, cell{})
 	}
-	r.index[k] = i
+	l.index[k] = i
 	b := bucketOf(k)
-	r.cells[i].next = r.heads[b]
-	r.heads[b] = i
+	l.cells[i].next = l.heads[b]
+	l.heads[b] = i
 	return i
 }
 
 // link adds cell i to the digests and indices, unlink removes it from them.
-func (r *memberList) link(i int32) {
-	c := &r.cells[i]
-	r.toggleDigest(c)
-	r.zones[c.zone].cells++
+func (l *memberList) link(i int32) {
+	c := &l.cells[i]
+	l.toggleDigest(c)
+	l.zones[c.zone].cells++
 	if c.digested() {
-		r.count++
+		l.count++
 	}
 	if c.observes() {
-		r.live[c.zone] = append(r.live[c.zone], c.key)
-		r.gen++
+		l.live[c.zone] = append(l.live[c.zone], c.key)
+		l.gen++
 	}
 	if c.role == RoleAgent {
-		r.services[c.service] = append(r.services[c.service], i)
+		l.services[c.service] = append(l.services[c.service], i)
 	}
 }
 
-func (r *memberList) unlink(i int32) {
-	c := &r.cells[i]
-	r.toggleDigest(c)
-	r.zones[c.zone].cells--
+func (l *memberList) unlink(i int32) {
+	c := &l.cells[i]
+	l.toggleDigest(c)
+	l.zones[c.zone].cells--
 	if c.digested() {
-		r.count--
+		l.count--
 	}
 	if c.observes() {
-		r.live[c.zone] = without(r.live[c.zone], c.key)
-		r.gen++
+		l.live[c.zone] = without(l.live[c.zone], c.key)
+		l.gen++
 	}
 	if c.role == RoleAgent {
-		r.services[c.service] = without(r.services[c.service], i)
+		l.services[c.service] = without(l.services[c.service], i)
 	}
 }
 
 // remove removes the record of k.
-func (r *memberList) remove(k key) {
-	i, ok := r.index[k]
+func (l *memberList) remove(k key) {
+	i, ok := l.index[k]
 	if !ok {
 		return
 	}
-	r.unlink(i)
-	delete(r.index, k)
-	p := &r.heads[bucketOf(k)]
+	l.unlink(i)
+	delete(l.index, k)
+	p := &l.heads[bucketOf(k)]
 	for *p != i {
-		p = &r.cells[*p].next
+		p = &l.cells[*p].next
 	}
-	*p = r.cells[i].next
-	r.cells[i] = cell{}
-	r.free = append(r.free, i)
+	*p = l.cells[i].next
+	l.cells[i] = cell{}
+	l.free = append(l.free, i)
 }
 
 // liveAll returns the live balancers of all reachable zones.
-func (r *memberList) liveAll() []key {
-	if r.allGen == r.gen && r.all != nil {
-		return r.all
-	}
-	r.all = r.all[:0]
-	for z, list := range r.live {
-		if !r.zones[z].down {
-			r.all = append(r.all, list...)
+func (l *memberList) liveAll() []key {
+	if l.allGen == l.gen && l.all != nil {
+		return l.all
+	}
+	l.all = l.all[:0]
+	for z, list := range l.live {
+		if !l.zones[z].down {
+			l.all = append(l.all, list...)
 		}
 	}
-	r.allGen = r.gen
-	return r.all
+	l.allGen = l.gen
+	return l.all
 }
 
 // without removes v from list without keeping the order.
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -71,9 +71,9 @@
 func TestRemovedDeadRecordIsNotRequested(t *testing.T) {
 	rec := agentRecord()
 	x, m := newMachineWith(t, rec)
-	gone := rec
-	gone.Verdict = VerdictDead
-	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Records: []Record{gone}})
+	dead := rec
+	dead.Verdict = VerdictDead
+	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Records: []Record{dead}})
 	for end := x.Now.Add(25 * time.Hour); x.Now.Before(end); x.Now = x.Now.Add(time.Minute) {
 		m.Tick(x.Now)
 	}
--- a/membership/message.go
+++ b/membership/message.go
@@ -107,9 +107,9 @@
 	return n + sizeText(r.Zone) + sizeText(r.Region)
 }
 
-func (f *ZoneStatus) size() int {
-	n := sizeZoneStatus + sizeText(f.Zone) + sizeText(f.Region) + sizeText(f.ViewerRegion)
-	return n + sizeWitness*len(f.Witnesses)
+func (s *ZoneStatus) size() int {
+	n := sizeZoneStatus + sizeText(s.Zone) + sizeText(s.Region) + sizeText(s.ViewerRegion)
+	return n + sizeWitness*len(s.Witnesses)
 }
 
 // size returns an upper bound of the encoded size of m.
--- a/membership/watch.go
+++ b/membership/observation.go
@@ -201,7 +201,8 @@
 }
 
 // evaluatedByZone reports whether missing reports of c and its observers count as
-// those of its whole zone: this balancer is outside, and the zone is not small.
+// those of its whole zone: this balancer is outside the zone, and the zone has
+// enough balancers and did not recover through its agents only.
 func (m *Machine) evaluatedByZone(c *cell) bool {
 	return c.zone != m.zone && len(m.members.live[c.zone]) >= minZoneStatusBalancers && !m.zoneState(c.zone).agentsOnly
 }
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -71,31 +71,31 @@
 // rank returns the observers of the subject. Every balancer with the same member
 // list returns the same ones. All observers of an agent are in its zone, and
 // nearObservers of a balancer's; if a zone has too few, the rest are in others.
-func (r *memberList) rank(subject key, role Role, zone uint16) ranking {
+func (l *memberList) rank(subject key, role Role, zone uint16) ranking {
 	t := ranking{subject: subject}
 	if role == RoleAgent {
-		t.add(r.live[zone], observers)
+		t.add(l.live[zone], observers)
 	} else {
-		t.add(r.live[zone], nearObservers)
-		if z, ok := r.farZone(subject, zone); ok {
-			t.add(r.live[z], t.n+1)
+		t.add(l.live[zone], nearObservers)
+		if z, ok := l.farZone(subject, zone); ok {
+			t.add(l.live[z], t.n+1)
 		}
 	}
 	if t.n < observers {
-		t.add(r.liveAll(), observers)
+		t.add(l.liveAll(), observers)
 	}
 	return t
 }
 
 // farZone picks the zone of the outside observer by rendezvous hashing over zones.
-func (r *memberList) farZone(subject key, zone uint16) (uint16, bool) {
+func (l *memberList) farZone(subject key, zone uint16) (uint16, bool) {
 	best, found := uint64(0), false
 	var pick uint16
-	for z, list := range r.live {
-		if uint16(z) == zone || len(list) == 0 || r.zones[z].down {
+	for z, list := range l.live {
+		if uint16(z) == zone || len(list) == 0 || l.zones[z].down {
 			continue
 		}
-		s := score(subject, key(r.zones[z].hash))
+		s := score(subject, key(l.zones[z].hash))
 		if !found || s > best {
 			best, pick, found = s, uint16(z), true
 		}
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -119,18 +119,18 @@
 }
 
 func (m *Machine) onRootDigest(from netip.AddrPort, msg *Message) {
-	r := m.members
-	if msg.Hash == r.root {
+	l := m.members
+	if msg.Hash == l.root {
 		return
 	}
-	theirs, own := int(msg.Count), r.count
+	theirs, own := int(msg.Count), l.count
 	switch {
 	case theirs > own+bulkDifference:
 		m.bulkSource = from
 	case own > theirs+bulkDifference:
 		m.sendRootDigest(from) // the sender then sees which records it lacks
 	default:
-		m.send(from, &Message{Kind: KindGroupDigests, Hashes: packHashes(r.groups[:])})
+		m.send(from, &Message{Kind: KindGroupDigests, Hashes: packHashes(l.groups[:])})
 	}
 }
 
@@ -257,9 +257,9 @@
 	return uint32(c.hash()) | 1
 }
 
-func (r *memberList) eachInBucket(b int, f func(*cell)) {
-	for i := r.heads[b]; i >= 0; i = r.cells[i].next {
-		f(&r.cells[i])
+func (l *memberList) eachInBucket(b int, f func(*cell)) {
+	for i := l.heads[b]; i >= 0; i = l.cells[i].next {
+		f(&l.cells[i])
 	}
 }
 
--- a/membership/slots.go
+++ b/membership/slots.go
@@ -64,7 +64,7 @@
 	failures   int // consecutive unsuccessful reads and refused calls
 	leaseID    uint64
 	leaseEnd   time.Time
-	holdsSlot  bool // by this process, and not known to have lapsed
+	holdsSlot  bool // this process has claimed slot, and the lease is not known to have lapsed
 	nextCallAt time.Time
 	sentAt     time.Time
 	pendingID  uint64
--- a/membership/zonefact.go
+++ b/membership/zonestatus.go
@@ -22,7 +22,7 @@
 	Zone         string
 	Region       string
 	Epoch        uint32
-	AgentsOnly   bool     // since then only agents of the zone have sent messages, no balancer
+	AgentsOnly   bool     // the zone is reachable, but only its agents have sent messages since
 	Witnesses    []uint64 // packed addresses, at most maxWitnesses
 }
 
@@ -37,11 +37,11 @@
 	zoneHoldDown = 5 * time.Second
 )
 
-func (f *ZoneStatus) check() error {
-	if f.Zone == "" || len(f.Zone) > MaxLabel || len(f.Region) > MaxLabel || len(f.ViewerRegion) > MaxLabel {
+func (s *ZoneStatus) check() error {
+	if s.Zone == "" || len(s.Zone) > MaxLabel || len(s.Region) > MaxLabel || len(s.ViewerRegion) > MaxLabel {
 		return &MessageError{"zone status with a label out of bounds", "count and drop the datagram"}
 	}
-	if len(f.Witnesses) > maxWitnesses {
+	if len(s.Witnesses) > maxWitnesses {
 		return &MessageError{"zone status with too many witnesses", "count and drop the datagram"}
 	}
 	return nil
@@ -56,18 +56,18 @@
 	sent       int // gossip transmissions of the current content
 }
 
-func (v *zoneState) suspected() bool { return v.epoch%2 == 1 }
+func (s *zoneState) suspected() bool { return s.epoch%2 == 1 }
 
-func (v *zoneState) addWitness(k key) bool {
-	for _, w := range v.witnesses {
+func (s *zoneState) addWitness(k key) bool {
+	for _, w := range s.witnesses {
 		if w == k {
 			return false
 		}
 	}
-	if len(v.witnesses) >= maxWitnesses {
+	if len(s.witnesses) >= maxWitnesses {
 		return false
 	}
-	v.witnesses = append(v.witnesses, k)
+	s.witnesses = append(s.witnesses, k)
 	return true
 }
 
--- a/propagation/node_test.go
+++ b/propagation/node_test.go
@@ -183,11 +183,11 @@
 // most limit.
 func (f *fleet) change(limit time.Duration) time.Duration {
 	f.revision++
-	begun := f.now
-	for f.now.Sub(begun) < limit && !f.converged() {
+	startedAt := f.now
+	for f.now.Sub(startedAt) < limit && !f.converged() {
 		f.advance(step)
 	}
-	return f.now.Sub(begun)
+	return f.now.Sub(startedAt)
 }
 
 func (f *fleet) converged() bool {
@@ -263,7 +263,7 @@
 
 // Guards against a store that no process reads for over a second after a short outage, in
 // which time its lost writes stay unnoticed.
-func TestStoreIsReadSoonAfterAMomentAway(t *testing.T) {
+func TestStoreIsReadSoonAfterShortOutage(t *testing.T) {
 	const outage, soon = 300 * time.Millisecond, 500 * time.Millisecond
 	for _, processes := range []int{1, 2, 30} {
 		for seed := range uint64(20) {
@@ -309,7 +309,7 @@
 
 // Guards against a read that stays recent while it is passed on over slow links, so that no
 // process reads the store.
-func TestReadDoesNotGrowYoungerByBeingTold(t *testing.T) {
+func TestForwardedReadDoesNotSeemRecent(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(23, seed)
 		f.delay = 250 * time.Millisecond
