--- a/internal/agent/backendhealth.go
+++ b/internal/agent/backendhealth.go
@@ -21,28 +21,28 @@
 
 // setBackendReachable records whether the backend server is reachable, and announces the
 // agent's state after a change.
-func (d *controlLoop) setBackendReachable(now time.Time, up bool) {
-	if up == !d.reachableSince.IsZero() {
+func (l *controlLoop) setBackendReachable(now time.Time, up bool) {
+	if up == !l.reachableSince.IsZero() {
 		return
 	}
-	d.reachableSince = time.Time{}
+	l.reachableSince = time.Time{}
 	if up {
-		d.reachableSince = now
+		l.reachableSince = now
 	}
-	d.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackendReachable(now, up) })
-	d.a.log.Info("backend server reachability changed", zap.Bool("reachable", up))
-	d.announceState(now)
+	l.a.gate.do(func(c *admission.Controller, now time.Time) { c.SetBackendReachable(now, up) })
+	l.a.log.Info("backend server reachability changed", zap.Bool("reachable", up))
+	l.announceState(now)
 }
 
 // watchBackend connects to the backend server at intervals. It does not use the server's
 // health endpoint, which may be late or wrong.
-func (d *controlLoop) watchBackend(ctx context.Context) {
+func (l *controlLoop) watchBackend(ctx context.Context) {
 	dialer := &net.Dialer{Timeout: healthTimeout}
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	failures := 0
 	for {
-		conn, err := dialer.DialContext(ctx, "tcp", d.a.cfg.Backend.Host)
+		conn, err := dialer.DialContext(ctx, "tcp", l.a.cfg.Backend.Host)
 		if err == nil {
 			conn.Close()
 			failures = 0
@@ -51,7 +51,7 @@
 		}
 		if failures == 0 || failures >= failureThreshold {
 			select {
-			case d.health <- failures == 0:
+			case l.health <- failures == 0:
 			case <-ctx.Done():
 				return
 			}
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -40,7 +40,7 @@
 }
 
 func newControlLoop(a *Agent, link *control.Link) *controlLoop {
-	d := &controlLoop{
+	l := &controlLoop{
 		a:             a,
 		link:          link,
 		held:          catalogue.NewHeldEntry(a.cfg.Service),
@@ -50,164 +50,164 @@
 		seeds:         a.cfg.Seeds,
 	}
 	if a.cfg.Store != nil {
-		d.contacts = contact.NewCaller(a.cfg.Store)
-		d.slots = membership.NewSlots(time.Now(), membership.SlotsConfig{Zone: a.cfg.Zone, Self: a.cfg.Internal, Seed: d.rng.Uint64()})
+		l.contacts = contact.NewCaller(a.cfg.Store)
+		l.slots = membership.NewSlots(time.Now(), membership.SlotsConfig{Zone: a.cfg.Zone, Self: a.cfg.Internal, Seed: l.rng.Uint64()})
 	}
-	return d
+	return l
 }
 
 // leave makes the control loop announce that the agent leaves.
-func (d *controlLoop) leave() {
+func (l *controlLoop) leave() {
 	select {
-	case d.leaveRequests <- struct{}{}:
+	case l.leaveRequests <- struct{}{}:
 	default: // already requested
 	}
 }
 
-func (d *controlLoop) run(ctx context.Context) {
-	go d.watchBackend(ctx)
+func (l *controlLoop) run(ctx context.Context) {
+	go l.watchBackend(ctx)
 	tick := time.NewTicker(controlTickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case m := <-d.a.conn.control:
-			d.receive(time.Now(), m)
-		case up := <-d.health:
-			d.setBackendReachable(time.Now(), up)
-		case <-d.leaveRequests:
-			d.leaving = true
-			d.a.claims.stopVoting()
-			d.announceState(time.Now())
-		case r := <-d.results():
-			d.receiveContact(time.Now(), r)
+		case m := <-l.a.conn.control:
+			l.receive(time.Now(), m)
+		case up := <-l.health:
+			l.setBackendReachable(time.Now(), up)
+		case <-l.leaveRequests:
+			l.leaving = true
+			l.a.claims.stopVoting()
+			l.announceState(time.Now())
+		case r := <-l.results():
+			l.receiveContact(time.Now(), r)
 		case now := <-tick.C:
-			d.readContacts(ctx, now)
-			d.tick(now)
+			l.readContacts(ctx, now)
+			l.tick(now)
 		case <-ctx.Done():
 			return
 		}
-		d.sendOutbox()
+		l.sendOutbox()
 	}
 }
 
-func (d *controlLoop) tick(now time.Time) {
-	d.requestEntry(now)
-	if d.announcer == nil {
+func (l *controlLoop) tick(now time.Time) {
+	l.requestEntry(now)
+	if l.announcer == nil {
 		return
 	}
-	if !d.reachableSince.IsZero() {
-		d.announcer.SetWeight(now, d.a.cfg.Ramp.Weight(now.Sub(d.reachableSince)))
+	if !l.reachableSince.IsZero() {
+		l.announcer.SetWeight(now, l.a.cfg.Ramp.Weight(now.Sub(l.reachableSince)))
 	}
-	d.announcer.Tick(now)
-	d.a.claims.tick(d.nextObserver(), d.a.entry.Load().Number)
-	d.a.metrics.keysReady.Set(boolValue(d.a.claims.ready()))
-	if !d.acceptsFlows && d.a.claims.acceptsFlows() {
-		d.acceptsFlows = true
-		d.announceState(now)
+	l.announcer.Tick(now)
+	l.a.claims.tick(l.nextObserver(), l.a.entry.Load().Number)
+	l.a.metrics.keysReady.Set(boolValue(l.a.claims.ready()))
+	if !l.acceptsFlows && l.a.claims.acceptsFlows() {
+		l.acceptsFlows = true
+		l.announceState(now)
 	}
 }
 
 // nextObserver returns the next of the balancers that this agent reports to, in turn, so
 // that a failed balancer does not affect two requests in a row. It returns the zero value if
 // there is none.
-func (d *controlLoop) nextObserver() netip.AddrPort {
-	observers := d.announcer.Observers()
+func (l *controlLoop) nextObserver() netip.AddrPort {
+	observers := l.announcer.Observers()
 	if len(observers) == 0 {
 		return netip.AddrPort{}
 	}
-	d.observerIndex++
-	return observers[d.observerIndex%len(observers)]
+	l.observerIndex++
+	return observers[l.observerIndex%len(observers)]
 }
 
-func (d *controlLoop) sendOutbox() {
-	if d.announcer == nil {
+func (l *controlLoop) sendOutbox() {
+	if l.announcer == nil {
 		return
 	}
-	for _, e := range d.announcer.Outbox() {
+	for _, e := range l.announcer.Outbox() {
 		b, err := membership.Encode(e.Msg)
 		if err != nil {
-			d.a.log.Error("membership message can't be encoded, not sent", zap.Error(err))
+			l.a.log.Error("membership message can't be encoded, not sent", zap.Error(err))
 			continue
 		}
-		d.link.SendBytes(seal.TopicMembership, e.To, b)
+		l.link.SendBytes(seal.TopicMembership, e.To, b)
 	}
 }
 
-func (d *controlLoop) receive(now time.Time, m control.Datagram) {
-	topic, b, ok := d.link.Open(m)
+func (l *controlLoop) receive(now time.Time, m control.Datagram) {
+	topic, b, ok := l.link.Open(m)
 	if !ok {
-		d.a.metrics.controlRejected.Inc()
+		l.a.metrics.controlRejected.Inc()
 		return
 	}
 	switch topic {
 	case seal.TopicMembership:
-		d.receiveMembership(now, m.From, b)
+		l.receiveMembership(now, m.From, b)
 	case seal.TopicCatalogue:
-		d.receiveEntry(now, b)
+		l.receiveEntry(now, b)
 	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicRosterIs:
-		if !d.a.claims.receive(topic, m.From, b) {
-			d.a.metrics.controlRejected.Inc()
+		if !l.a.claims.receive(topic, m.From, b) {
+			l.a.metrics.controlRejected.Inc()
 		}
 	default:
-		d.a.metrics.controlRejected.Inc()
+		l.a.metrics.controlRejected.Inc()
 	}
 }
 
-func (d *controlLoop) receiveMembership(now time.Time, from netip.AddrPort, b []byte) {
+func (l *controlLoop) receiveMembership(now time.Time, from netip.AddrPort, b []byte) {
 	msg, err := membership.Decode(b)
 	if err != nil {
-		d.a.metrics.controlRejected.Inc()
+		l.a.metrics.controlRejected.Inc()
 		return
 	}
-	if d.announcer != nil {
-		d.announcer.Receive(now, from, msg)
+	if l.announcer != nil {
+		l.announcer.Receive(now, from, msg)
 		if msg.Kind == membership.KindAck {
-			d.receiveVersion(from, msg.EntryVersion)
+			l.receiveVersion(from, msg.EntryVersion)
 		}
 	}
 }
 
-func (d *controlLoop) startAnnouncing(now time.Time) {
-	cfg := d.a.cfg
+func (l *controlLoop) startAnnouncing(now time.Time) {
+	cfg := l.a.cfg
 	announcer, err := membership.NewAnnouncer(membership.AnnouncerConfig{
 		Self: membership.Record{
 			Addr:        cfg.Internal,
 			Role:        membership.RoleAgent,
 			State:       membership.StateStarting,
 			Weight:      cfg.Ramp.Weight(0),
-			Service:     d.a.entry.Load().Number,
+			Service:     l.a.entry.Load().Number,
 			Incarnation: uint64(now.UnixNano()),
 			Zone:        cfg.Zone,
 			Region:      cfg.Region,
 		},
-		Seeds: d.seeds,
-		Seed:  d.rng.Uint64(),
+		Seeds: l.seeds,
+		Seed:  l.rng.Uint64(),
 	})
 	if err != nil {
-		d.a.log.Error("agent can't be announced to balancers and receives no flows", zap.Error(err))
+		l.a.log.Error("agent can't be announced to balancers and receives no flows", zap.Error(err))
 		return
 	}
-	d.announcer = announcer
-	d.announceState(now)
+	l.announcer = announcer
+	l.announceState(now)
 }
 
 // announceState announces the agent's current state.
-func (d *controlLoop) announceState(now time.Time) {
-	if d.announcer == nil {
+func (l *controlLoop) announceState(now time.Time) {
+	if l.announcer == nil {
 		return
 	}
 	state := membership.StateReady
 	switch {
-	case d.leaving:
+	case l.leaving:
 		state = membership.StateLeaving
-	case !d.acceptsFlows:
+	case !l.acceptsFlows:
 		state = membership.StateStarting
-	case d.reachableSince.IsZero():
+	case l.reachableSince.IsZero():
 		state = membership.StateDraining
 	}
-	d.announcer.SetState(now, state)
-	d.a.ready.Store(state == membership.StateReady)
-	d.a.log.Info("state", zap.Stringer("state", state))
+	l.announcer.SetState(now, state)
+	l.a.ready.Store(state == membership.StateReady)
+	l.a.log.Info("state", zap.Stringer("state", state))
 }
 
 func boolValue(b bool) float64 {
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -291,13 +291,13 @@
 		header.Set(HeaderFirstStatus, strconv.Itoa(f.FirstStatus))
 	}
 	if f.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.Itoa(wholeSeconds(f.RetryAfter)))
+		header.Set("Retry-After", strconv.Itoa(roundUpSeconds(f.RetryAfter)))
 	}
 	w.WriteHeader(f.Status)
 	json.NewEncoder(w).Encode(f)
 }
 
-func wholeSeconds(d time.Duration) int {
+func roundUpSeconds(d time.Duration) int {
 	return max(1, int((d+time.Second-1)/time.Second))
 }
 
--- a/internal/agent/packetconn.go
+++ b/internal/agent/packetconn.go
@@ -33,8 +33,8 @@
 
 // firstPacketPolicy decides which agent receives a flow's first packet.
 type firstPacketPolicy interface {
-	// place returns the agent to forward the packet to, with elsewhere true and the
-	// header's flags set, or elsewhere false if the flow stays at this agent.
+	// place returns the agent to forward the packet to, with forward true and the
+	// header's flags set, or forward false if the flow stays at this agent.
 	place(h *frame.Header, packet []byte) (to netip.AddrPort, forward bool)
 	// load returns the occupancy that return datagrams report.
 	load() byte
@@ -143,9 +143,9 @@
 
 func (c *packetConn) queuePacket(packet []byte, from *net.UDPAddr) {
 	buf := c.buffers.Get().(*[udp.MaxDatagram]byte)
-	a := callerPacket{data: buf, n: copy(buf[:], packet), from: from}
+	p := callerPacket{data: buf, n: copy(buf[:], packet), from: from}
 	select {
-	case c.data <- a:
+	case c.data <- p:
 	default:
 		c.buffers.Put(buf)
 		c.metrics.dataOverflow.Inc()
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -90,8 +90,8 @@
 	creditedAt   time.Time // when a delivery was last recorded for current
 }
 
-// recordReceived records that a packet of the path was received through w.
-func (p *path) recordReceived(w *returnPath, now time.Time) {
+// recordReceived records that a packet of the path was received through r.
+func (p *path) recordReceived(r *returnPath, now time.Time) {
 	p.recordResponse(now)
 	p.receivedAt = now
 	p.sentAt = time.Time{}
@@ -99,7 +99,7 @@
 	oldest := 0
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if c.returnPath == w {
+		if c.returnPath == r {
 			c.receivedAt = now
 			return
 		}
@@ -107,7 +107,7 @@
 			oldest = i
 		}
 	}
-	p.candidates[oldest] = candidate{returnPath: w, receivedAt: now}
+	p.candidates[oldest] = candidate{returnPath: r, receivedAt: now}
 }
 
 // recordResponse updates the path's response time when a packet is received after a send. At
@@ -160,8 +160,8 @@
 // dueProbe returns a broken return path that is due to be probed, nil if there is none.
 func (p *path) dueProbe(now time.Time) *returnPath {
 	for i := range p.candidates {
-		if w := p.candidates[i].returnPath; w != nil && w != p.current && w.probeDue(now) {
-			return w
+		if r := p.candidates[i].returnPath; r != nil && r != p.current && r.probeDue(now) {
+			return r
 		}
 	}
 	return nil
@@ -171,9 +171,9 @@
 func (p *path) listReturnPaths(out *[maxReturnPaths]*returnPath, least grade, now, newest time.Time) (n int) {
 	clear(out[:])
 	for i := range p.candidates {
-		w := p.candidates[i].returnPath
-		if w != nil && w.grade(now, newest) >= least {
-			out[n] = w
+		r := p.candidates[i].returnPath
+		if r != nil && r.grade(now, newest) >= least {
+			out[n] = r
 			n++
 		}
 	}
@@ -201,15 +201,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	w := t.returnPaths[h.Via]
-	if w == nil {
-		w = newReturnPath(h.Via)
-		t.returnPaths[h.Via] = w
+	r := t.returnPaths[h.Via]
+	if r == nil {
+		r = newReturnPath(h.Via)
+		t.returnPaths[h.Via] = r
 	}
-	w.receivedAt, t.newest = now, now
+	r.receivedAt, t.newest = now, now
 	// The echo in a packet forwarded by another agent belongs to that agent.
 	if h.Flags&frame.FlagHandedOn == 0 {
-		w.receiveEcho(now, h.Echo)
+		r.receiveEcho(now, h.Echo)
 	}
 	key := pathKey{caller: h.Caller, address: h.Address}
 	p := t.byKey[key]
@@ -217,7 +217,7 @@
 		p = &path{virtual: key.virtualAddr()}
 		t.byKey[key] = p
 	}
-	p.recordReceived(w, now)
+	p.recordReceived(r, now)
 	p.validated = p.validated || h.Flags&frame.FlagFirst == 0
 	return p.virtual
 }
@@ -233,8 +233,8 @@
 			delete(t.byKey, k)
 		}
 	}
-	for a, w := range t.returnPaths {
-		if now.Sub(w.receivedAt) > pathIdleTimeout {
+	for a, r := range t.returnPaths {
+		if now.Sub(r.receivedAt) > pathIdleTimeout {
 			delete(t.returnPaths, a)
 		}
 	}
@@ -261,8 +261,8 @@
 	if !p.sentAt.IsZero() {
 		t.reportStall(key, p, now)
 	}
-	for i, w := range selected[:n] {
-		out[i] = route{balancer: w.balancer, seq: w.nextSeq(now)}
+	for i, r := range selected[:n] {
+		out[i] = route{balancer: r.balancer, seq: r.nextSeq(now)}
 	}
 	return n
 }
@@ -291,15 +291,15 @@
 // so any balancer can reach the caller. If none is usable it selects the most recent one of
 // the best grade.
 func (t *paths) switchReturnPath(p *path, now time.Time) {
-	w := p.mostRecent(gradeUsable, now, t.newest)
-	if w == nil {
-		w = t.otherUsable(now, nil)
+	r := p.mostRecent(gradeUsable, now, t.newest)
+	if r == nil {
+		r = t.otherUsable(now, nil)
 	}
-	for least := gradeExcluded; w == nil; least-- {
-		w = p.mostRecent(least, now, t.newest)
+	for least := gradeExcluded; r == nil; least-- {
+		r = p.mostRecent(least, now, t.newest)
 	}
-	if p.current != w {
-		p.current, p.currentSince = w, now
+	if p.current != r {
+		p.current, p.currentSince = r, now
 	}
 }
 
@@ -311,8 +311,8 @@
 	n = p.listReturnPaths(out, gradeUsable, now, t.newest)
 	if n < 2 {
 		// A caller that never got a response has sent few packets, through few balancers.
-		if w := t.otherUsable(now, out[0]); w != nil {
-			out[n] = w
+		if r := t.otherUsable(now, out[0]); r != nil {
+			out[n] = r
 			n++
 		}
 	}
@@ -327,10 +327,10 @@
 	return n
 }
 
-// otherUsable returns any usable return path except w, nil if there is none.
-func (t *paths) otherUsable(now time.Time, w *returnPath) *returnPath {
+// otherUsable returns any usable return path except r, nil if there is none.
+func (t *paths) otherUsable(now time.Time, r *returnPath) *returnPath {
 	for _, o := range t.returnPaths {
-		if o != w && o.grade(now, t.newest) == gradeUsable {
+		if o != r && o.grade(now, t.newest) == gradeUsable {
 			return o
 		}
 	}
@@ -341,9 +341,9 @@
 // That of a failed one no longer changes, so others must not be compared with it.
 func (t *paths) bestDelivery(now time.Time) float64 {
 	best := 0.0
-	for _, w := range t.returnPaths {
-		if w.grade(now, t.newest) >= gradeExcluded {
-			best = max(best, w.deliveryRate)
+	for _, r := range t.returnPaths {
+		if r.grade(now, t.newest) >= gradeExcluded {
+			best = max(best, r.deliveryRate)
 		}
 	}
 	return best
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestUnresponsivePathTriesOtherReturnPaths checks that a path without responses is tried through return
-// paths other than the one in use.
+// TestUnresponsivePathTriesOtherReturnPaths checks that a path without responses is tried
+// through return paths other than the one in use.
 func TestUnresponsivePathTriesOtherReturnPaths(t *testing.T) {
 	c := newPathTest()
 	for _, b := range allBalancers {
@@ -129,10 +129,10 @@
 	}
 }
 
-// TestReturnPathWithoutDeliveryIsExcluded guards against losing a third of the agents' packets for
-// as long as a balancer forwards and echoes but reaches no caller, as B does here. If each
-// path sends through the balancer of its last packet, every path loses a part and no return
-// path stands out.
+// TestReturnPathWithoutDeliveryIsExcluded guards against losing a third of the agents' packets
+// for as long as a balancer forwards and echoes but reaches no caller, as B does here. If each
+// path sent through the balancer of its last packet, every path would lose a part and no
+// return path would stand out.
 func TestReturnPathWithoutDeliveryIsExcluded(t *testing.T) {
 	const paths, rounds = 12, 200
 	c := newPathTest()
@@ -141,9 +141,9 @@
 		c.now = c.now.Add(20 * time.Millisecond)
 		for i := range paths {
 			k := callerKey(i)
-			answered := round == 0
+			responded := round == 0
 			for _, b := range c.send(k) {
-				answered = answered || b != balancerB
+				responded = responded || b != balancerB
 				if round > rounds/2 {
 					sent++
 				}
@@ -151,7 +151,7 @@
 					lost++
 				}
 			}
-			if answered {
+			if responded {
 				c.receive(k, allBalancers[(round+i)%3])
 			}
 		}
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestNewFlowsAvoidReturnPathWithoutDelivery guards against new flows that stall on a return path which
-// loses all packets to callers, although other flows have already shown that it does.
+// TestNewFlowsAvoidReturnPathWithoutDelivery guards against new flows that stall on a return
+// path which loses all packets to callers, although other flows have already shown that it does.
 func TestNewFlowsAvoidReturnPathWithoutDelivery(t *testing.T) {
 	const flows = 200
 	c := newPathTest()
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestCrashedCallersExcludeNoReturnPath checks that callers that crash, and so stop responding on
-// working return paths, do not exclude a return path on which other callers respond.
+// TestCrashedCallersExcludeNoReturnPath checks that callers that crash, and so stop responding
+// on working return paths, do not exclude a return path on which other callers respond.
 func TestCrashedCallersExcludeNoReturnPath(t *testing.T) {
 	c := newPathTest()
 	for round := range 300 {
@@ -214,13 +214,13 @@
 	}
 }
 
-// TestReturnPathsAreNotComparedWithFailedOnes guards against a flow that stalls for half a minute after half
-// of the balancers have failed. Acknowledgements to failed balancers are lost, so paths become
-// unresponsive on working return paths. Compared with the failed ones' last delivery rate, the
-// working ones would be excluded and only failed ones tried.
+// TestReturnPathsAreNotComparedWithFailedOnes guards against a flow that stalls for half a
+// minute after half of the balancers have failed. Acknowledgements to failed balancers are lost,
+// so paths become unresponsive on working return paths. Compared with the failed ones' last
+// delivery rate, the working ones would be excluded and only failed ones tried.
 func TestReturnPathsAreNotComparedWithFailedOnes(t *testing.T) {
 	c := newPathTest()
-	dead := allBalancers[0]
+	failed := allBalancers[0]
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
 	}
@@ -236,7 +236,7 @@
 			c.receive(callerKey(1+i), b)
 		}
 		for _, b := range c.send(testKey) {
-			if b == dead {
+			if b == failed {
 				t.Fatal("sent to a failed balancer")
 			}
 		}
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestReturnPathWithoutEchoIsBroken guards against long flows that stall because the agent sends through the
-// balancer of their last packet, which forwards callers' packets but receives nothing from
-// this agent.
+// TestReturnPathWithoutEchoIsBroken guards against long flows that stall because the agent sends
+// through the balancer of their last packet, which forwards callers' packets but receives nothing
+// from this agent.
 func TestReturnPathWithoutEchoIsBroken(t *testing.T) {
 	c := newPathTest()
 	c.receive(testKey, balancerA)
@@ -278,9 +278,9 @@
 	}
 }
 
-// TestStalledPathIsReported guards against a stalled download without a line in its agent's log,
-// which one of eight downloads had for 88 s. A path that does not respond is reported once per
-// stall, and many stalled paths in one report per second.
+// TestStalledPathIsReported guards against a download that stalls without a line in its agent's
+// log, as one of eight did for 88 s. A path that does not respond is reported once per stall,
+// and many stalled paths in one report per second.
 func TestStalledPathIsReported(t *testing.T) {
 	c := newPathTest()
 	var reported []stall
--- a/internal/agent/returnpath.go
+++ b/internal/agent/returnpath.go
@@ -59,55 +59,55 @@
 }
 
 // receiveEcho handles the echo in a datagram from the balancer.
-func (w *returnPath) receiveEcho(now time.Time, echo uint32) {
-	if w.sampleSentAt.IsZero() {
+func (r *returnPath) receiveEcho(now time.Time, echo uint32) {
+	if r.sampleSentAt.IsZero() {
 		return
 	}
-	if int32(echo-w.sampleSeq) >= 0 {
-		w.sampleSentAt = time.Time{}
-		w.broken = false
+	if int32(echo-r.sampleSeq) >= 0 {
+		r.sampleSentAt = time.Time{}
+		r.broken = false
 		return
 	}
-	if now.Sub(w.sampleSentAt) > echoTimeout {
-		w.broken = true
+	if now.Sub(r.sampleSentAt) > echoTimeout {
+		r.broken = true
 	}
 }
 
-// nextSeq returns the sequence number of a return datagram that is sent through w at now.
-func (w *returnPath) nextSeq(now time.Time) uint32 {
-	w.seq++
-	if w.sampleSentAt.IsZero() || w.broken {
-		w.sampleSeq, w.sampleSentAt = w.seq, now
+// nextSeq returns the sequence number of a return datagram that is sent through r at now.
+func (r *returnPath) nextSeq(now time.Time) uint32 {
+	r.seq++
+	if r.sampleSentAt.IsZero() || r.broken {
+		r.sampleSeq, r.sampleSentAt = r.seq, now
 	}
-	return w.seq
+	return r.seq
 }
 
 // probeDue reports whether a broken return path is to be probed now.
-func (w *returnPath) probeDue(now time.Time) bool {
-	if !w.broken || now.Sub(w.probedAt) < probeInterval {
+func (r *returnPath) probeDue(now time.Time) bool {
+	if !r.broken || now.Sub(r.probedAt) < probeInterval {
 		return false
 	}
-	w.probedAt = now
+	r.probedAt = now
 	return true
 }
 
-// recordDelivery records that a caller has responded to a packet sent through w.
-func (w *returnPath) recordDelivery() {
-	w.deliveryRate += (1 - w.deliveryRate) * deliveryGain
-	if w.deliveryRate > 1-maxDeliveryGap {
-		w.backoff = 0
+// recordDelivery records that a caller has responded to a packet sent through r.
+func (r *returnPath) recordDelivery() {
+	r.deliveryRate += (1 - r.deliveryRate) * deliveryGain
+	if r.deliveryRate > 1-maxDeliveryGap {
+		r.backoff = 0
 	}
 }
 
-// recordFailure records that a path that uses w has become unresponsive. best is the highest
+// recordFailure records that a path that uses r has become unresponsive. best is the highest
 // delivery rate of all return paths.
-func (w *returnPath) recordFailure(now time.Time, best float64) {
-	w.deliveryRate -= w.deliveryRate * deliveryGain
-	if w.deliveryRate > best-maxDeliveryGap || now.Before(w.excludedUntil) {
+func (r *returnPath) recordFailure(now time.Time, best float64) {
+	r.deliveryRate -= r.deliveryRate * deliveryGain
+	if r.deliveryRate > best-maxDeliveryGap || now.Before(r.excludedUntil) {
 		return
 	}
-	w.backoff = min(max(2*w.backoff, minExclusion), maxExclusion)
-	w.excludedUntil = now.Add(w.backoff)
+	r.backoff = min(max(2*r.backoff, minExclusion), maxExclusion)
+	r.excludedUntil = now.Add(r.backoff)
 }
 
 // grade rates whether a return path is expected to deliver.
@@ -120,13 +120,13 @@
 	gradeUsable                // no fault detected
 )
 
-// grade returns the grade of w. newest is when a packet was last received through any
+// grade returns the grade of r. newest is when a packet was last received through any
 // return path.
-func (w *returnPath) grade(now, newest time.Time) grade {
+func (r *returnPath) grade(now, newest time.Time) grade {
 	switch {
-	case w.broken || newest.Sub(w.receivedAt) > failedAfter:
+	case r.broken || newest.Sub(r.receivedAt) > failedAfter:
 		return gradeFailed
-	case now.Before(w.excludedUntil):
+	case now.Before(r.excludedUntil):
 		return gradeExcluded
 	}
 	return gradeUsable
--- a/internal/agent/stalls.go
+++ b/internal/agent/stalls.go
@@ -62,8 +62,8 @@
 	}
 	s := stall{key: key, others: t.stalls.suppressed}
 	for _, c := range p.candidates {
-		if w := c.returnPath; w != nil {
-			s.returnPaths = append(s.returnPaths, returnPathState{w.balancer, w.grade(now, t.newest), now.Sub(w.receivedAt), w.deliveryRate})
+		if r := c.returnPath; r != nil {
+			s.returnPaths = append(s.returnPaths, returnPathState{r.balancer, r.grade(now, t.newest), now.Sub(r.receivedAt), r.deliveryRate})
 		}
 	}
 	t.stalls.loggedAt, t.stalls.suppressed = now, 0
--- a/internal/agent/tracing.go
+++ b/internal/agent/tracing.go
@@ -64,22 +64,22 @@
 
 // recordFirstPacket records a first packet if its flow is traced. Only the receive loop
 // calls it.
-func (m *tracedFlows) recordFirstPacket(h *frame.Header, packet []byte, now time.Time) {
-	if m == nil || h.Flags&frame.FlagSampled == 0 || !quicwire.Parse(packet, connid.Len, &m.packet) {
+func (t *tracedFlows) recordFirstPacket(h *frame.Header, packet []byte, now time.Time) {
+	if t == nil || h.Flags&frame.FlagSampled == 0 || !quicwire.Parse(packet, connid.Len, &t.packet) {
 		return
 	}
-	flow := m.hash.Of(m.packet.ID, h.Via)
+	flow := t.hash.Of(t.packet.ID, h.Via)
 	key := pathKey{caller: h.Caller, address: h.Address}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	f := m.byKey[key]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f := t.byKey[key]
 	// A caller's socket may open another flow, which gets an entry of its own.
 	if f == nil || f.ids[0].Trace != flow.Trace {
-		if f == nil && !m.makeRoom(now) {
+		if f == nil && !t.makeRoom(now) {
 			return
 		}
 		f = &tracedFlow{at: now}
-		m.byKey[key] = f
+		t.byKey[key] = f
 	}
 	if len(f.via) < maxBalancersPerFlow && !slices.Contains(f.via, h.Via) {
 		f.via = append(f.via, h.Via)
@@ -89,23 +89,23 @@
 
 // makeRoom reports whether another flow may be recorded. At the limit it first removes
 // flows whose connection was never established. m.mu is held.
-func (m *tracedFlows) makeRoom(now time.Time) bool {
-	if len(m.byKey) < maxTracedFlows {
+func (t *tracedFlows) makeRoom(now time.Time) bool {
+	if len(t.byKey) < maxTracedFlows {
 		return true
 	}
-	for k, f := range m.byKey {
+	for k, f := range t.byKey {
 		if now.Sub(f.at) > idleTimeout {
-			delete(m.byKey, k)
+			delete(t.byKey, k)
 		}
 	}
-	return len(m.byKey) < maxTracedFlows
+	return len(t.byKey) < maxTracedFlows
 }
 
 type tracedFlowKey struct{}
 
 // attach moves a connection's traced flow into its context. Later packets do not change it.
-func (m *tracedFlows) attach(ctx context.Context, remote net.Addr) context.Context {
-	if m == nil {
+func (t *tracedFlows) attach(ctx context.Context, remote net.Addr) context.Context {
+	if t == nil {
 		return ctx
 	}
 	u, ok := remote.(*net.UDPAddr)
@@ -116,38 +116,38 @@
 	if !ok {
 		return ctx
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	f := m.byKey[key]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f := t.byKey[key]
 	if f == nil {
 		return ctx
 	}
-	delete(m.byKey, key)
+	delete(t.byKey, key)
 	return context.WithValue(ctx, tracedFlowKey{}, f)
 }
 
 // wrap returns a handler that records a span for each request of a traced flow.
-func (m *tracedFlows) wrap(h http.Handler) http.Handler {
-	if m == nil {
+func (t *tracedFlows) wrap(h http.Handler) http.Handler {
+	if t == nil {
 		return h
 	}
-	return m.spans.Wrap(h, m.spanLinks)
+	return t.spans.Wrap(h, t.spanLinks)
 }
 
 // spanLinks reports whether a request is traced, which it is if a balancer has selected its
 // flow and the caller does not disable tracing. The agent's span is a child of the caller's
 // and has links to the balancers' spans. The first traced request of a connection claims
 // those for its trace, since later requests were forwarded without a first packet.
-func (m *tracedFlows) spanLinks(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
+func (t *tracedFlows) spanLinks(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
 	f, ok := r.Context().Value(tracedFlowKey{}).(*tracedFlow)
-	if !ok || !m.spans.Picks(parent) {
+	if !ok || !t.spans.Picks(parent) {
 		return nil, false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if parent.IsValid() && !f.claimed {
 		f.claimed = true
-		m.claimSpans(f, parent)
+		t.claimSpans(f, parent)
 	}
 	for _, id := range f.ids {
 		links = append(links, trace.Link{SpanContext: trace.NewSpanContext(trace.SpanContextConfig{
@@ -159,9 +159,9 @@
 
 // claimSpans notifies the balancers of the trace that their spans belong to. If a claim is
 // lost, the span stays the root of a trace of its own. f.mu is held.
-func (m *tracedFlows) claimSpans(f *tracedFlow, parent trace.SpanContext) {
+func (t *tracedFlows) claimSpans(f *tracedFlow, parent trace.SpanContext) {
 	for i, via := range f.via {
-		m.link.Send(seal.TopicTrace, via, tracing.Claim{Span: f.ids[i].Span, Trace: parent.TraceID(), Parent: parent.SpanID()})
+		t.link.Send(seal.TopicTrace, via, tracing.Claim{Span: f.ids[i].Span, Trace: parent.TraceID(), Parent: parent.SpanID()})
 		f.ids[i].Trace = parent.TraceID()
 	}
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -133,8 +133,8 @@
 )
 
 // Guards against an overload of the store after a power failure of all VMs. Each process
-// restarts at its address without having deregistered, and used to write its key again under
-// a new lease, although its old key was still in the store.
+// restarts at its address without having deregistered, and its old key is still in the store.
+// It must take over the key's lease instead of writing the key again under a new lease.
 func TestLeaseOfEarlierProcessIsTakenOver(t *testing.T) {
 	s := newKeyStore()
 	for range 2 {
@@ -159,8 +159,8 @@
 
 // Guards against processes that do not know each other during an outage of the store that
 // begins a second after they have started. A balancer and an agent start at the same moment
-// and the store answers only their first calls, in any order. Both used to list the other
-// keys before they wrote their own.
+// and the store answers only their first calls, in any order. If both listed the other keys
+// before they wrote their own, neither would find the other.
 func TestOneOfTwoProcessesThatStartTogetherFindsTheOther(t *testing.T) {
 	for _, order := range [][]Peer{{agentPeer, balancerPeer}, {balancerPeer, agentPeer}} {
 		for at := range 3 {
