--- a/internal/agent/flows_test.go
+++ b/internal/agent/flows_test.go
@@ -30,7 +30,7 @@
 	kept := 0
 	for n := range burst {
 		h := frame.Header{Flags: frame.FlagFirst | frame.FlagAlternate, Alternate: netip.MustParseAddrPort("10.0.0.2:7700"), Load: 40}
-		if _, elsewhere := f.place(&h, firstPacket(n)); !elsewhere {
+		if _, forward := f.place(&h, firstPacket(n)); !forward {
 			kept++
 		}
 	}
