--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -16,18 +16,18 @@
 // BenchmarkVoterClaim measures a vote and the report that follows it.
 func BenchmarkVoterClaim(b *testing.B) {
 	cfg := Config{MaxKeys: 1 << 30}
-	h, now := newVotingVoter(cfg)
+	voter, now := newVotingVoter(cfg)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		c := Claim{Key: benchKey(i), ID: claim(uint64(i)).ID}
-		if v := h.Claim(now, c); v.Kind != Granted {
+		if v := voter.Claim(now, c); v.Kind != Granted {
 			b.Fatalf("vote %+v", v)
 		}
-		h.Report(now, Report{Key: c.Key, ID: c.ID, State: Done, Status: 200})
+		voter.Report(now, Report{Key: c.Key, ID: c.ID, State: Done, Status: 200})
 		if i%1000 == 0 {
 			now = now.Add(time.Second)
-			h.Confirm(now)
-			h.Tick(now)
+			voter.Confirm(now)
+			voter.Tick(now)
 		}
 	}
 }
@@ -75,9 +75,9 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		h, now := newVotingVoter(Config{})
+		voter, now := newVotingVoter(Config{})
 		for i := range DefaultMaxKeys {
-			h.Claim(now, Claim{Key: benchKey(i), ID: claim(uint64(i)).ID})
+			voter.Claim(now, Claim{Key: benchKey(i), ID: claim(uint64(i)).ID})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -86,7 +86,7 @@
 		if perKey > RecordBytes {
 			b.Errorf("%.0f bytes a key, stated bound %d", perKey, RecordBytes)
 		}
-		runtime.KeepAlive(h)
+		runtime.KeepAlive(voter)
 	}
 }
 
@@ -97,16 +97,16 @@
 		b.Run(string(rune('0'+n/10))+string(rune('0'+n%10)), func(b *testing.B) {
 			refused, total := 0, 0
 			for b.Loop() {
-				w := newSimulation(rand.Uint64(), n, testConfig(), faults{delay: 5 * time.Millisecond})
-				w.check = func(*call) {}
-				w.crash(w.processes[0], time.Second)
-				w.run(10*time.Second, func() {
-					if len(w.calls) < 300 {
-						w.begin(1+w.rng.IntN(n-1), benchKey(len(w.calls)))
+				sim := newSimulation(rand.Uint64(), n, testConfig(), faults{delay: 5 * time.Millisecond})
+				sim.check = func(*call) {}
+				sim.crash(sim.processes[0], time.Second)
+				sim.run(10*time.Second, func() {
+					if len(sim.calls) < 300 {
+						sim.begin(1+sim.rng.IntN(n-1), benchKey(len(sim.calls)))
 					}
 				}, false)
-				total += len(w.calls)
-				refused += len(w.calls) - len(w.ran)
+				total += len(sim.calls)
+				refused += len(sim.calls) - len(sim.ran)
 			}
 			b.ReportMetric(float64(refused)/float64(total), "refused/call")
 		})
--- a/idempotency/handover.go
+++ b/idempotency/handover.go
@@ -37,14 +37,14 @@
 
 // Handover returns the voter's records for the next process at its address. From
 // then on the voter grants no votes, since they would be missing there.
-func (h *Voter) Handover(now time.Time, incarnation uint64) []Transfer {
-	fence := h.fenceLeft(now)
-	if !h.listed {
-		fence = h.cfg.Fence()
+func (v *Voter) Handover(now time.Time, incarnation uint64) []Transfer {
+	fence := v.fenceLeft(now)
+	if !v.listed {
+		fence = v.cfg.Fence()
 	}
-	h.closed = true
+	v.closed = true
 	parts := []Transfer{{}}
-	for key, r := range h.records {
+	for key, r := range v.records {
 		if !now.Before(r.expires) {
 			continue
 		}
@@ -57,7 +57,7 @@
 	}
 	for i := range parts {
 		p := &parts[i]
-		p.From, p.Incarnation, p.Fence = h.self, incarnation, fence
+		p.From, p.Incarnation, p.Fence = v.self, incarnation, fence
 		p.Part, p.Parts = i, len(parts)
 	}
 	return parts
@@ -66,34 +66,34 @@
 // Accept stores a part of the records of the last voter at this address.
 // incarnation is that of this process. When all parts have arrived, the voter votes
 // as if it had never stopped, and Accept returns true.
-func (h *Voter) Accept(now time.Time, incarnation uint64, t Transfer) bool {
-	if t.From != h.self || t.To != incarnation || t.Age > h.cfg.maxTransferAge() {
+func (v *Voter) Accept(now time.Time, incarnation uint64, t Transfer) bool {
+	if t.From != v.self || t.To != incarnation || t.Age > v.cfg.maxTransferAge() {
 		return false
 	}
 	// After a vote of its own, an older record could replace a newer one and so
 	// release a granted vote.
-	if h.voted {
+	if v.voted {
 		return false
 	}
-	if h.transferFrom != t.Incarnation || h.acceptedParts == nil {
-		h.transferFrom = t.Incarnation
-		h.acceptedParts = make(map[int]bool)
+	if v.transferFrom != t.Incarnation || v.acceptedParts == nil {
+		v.transferFrom = t.Incarnation
+		v.acceptedParts = make(map[int]bool)
 	}
-	if h.acceptedParts[t.Part] {
+	if v.acceptedParts[t.Part] {
 		return false
 	}
-	h.acceptedParts[t.Part] = true
+	v.acceptedParts[t.Part] = true
 	for _, r := range t.Records {
-		if old, known := h.records[r.Key]; !known || !old.state.ran() {
-			h.put(now, r.Key, record{id: r.ID, state: r.State, status: int32(r.Status)})
+		if old, known := v.records[r.Key]; !known || !old.state.ran() {
+			v.put(now, r.Key, record{id: r.ID, state: r.State, status: int32(r.Status)})
 		}
 	}
-	if len(h.acceptedParts) < t.Parts {
+	if len(v.acceptedParts) < t.Parts {
 		return false
 	}
-	h.inheritUntil = now.Add(h.cfg.maxTransferAge() - t.Age)
-	if end := now.Add(t.Fence); h.fencedUntil.IsZero() || end.Before(h.fencedUntil) {
-		h.fencedUntil = end
+	v.inheritUntil = now.Add(v.cfg.maxTransferAge() - t.Age)
+	if end := now.Add(t.Fence); v.fencedUntil.IsZero() || end.Before(v.fencedUntil) {
+		v.fencedUntil = end
 	}
 	return true
 }
@@ -123,21 +123,21 @@
 }
 
 // Put stores a part of a handover.
-func (d *TransferStore) Put(now time.Time, t Transfer) {
+func (s *TransferStore) Put(now time.Time, t Transfer) {
 	id := transferID{t.From, t.Incarnation}
-	e := d.entries[id]
+	e := s.entries[id]
 	if e == nil {
 		e = &entry{parts: make(map[int]Transfer), at: now}
-		d.entries[id] = e
+		s.entries[id] = e
 	}
 	e.parts[t.Part] = t
 }
 
 // Take returns the parts handed over for the process incarnation at addr. The same
 // process may call it again if the answer was lost.
-func (d *TransferStore) Take(now time.Time, addr netip.AddrPort, incarnation uint64) []Transfer {
+func (s *TransferStore) Take(now time.Time, addr netip.AddrPort, incarnation uint64) []Transfer {
 	var parts []Transfer
-	for id, e := range d.entries {
+	for id, e := range s.entries {
 		if id.from != addr || e.takenBy != 0 && e.takenBy != incarnation {
 			continue
 		}
@@ -152,10 +152,10 @@
 
 // Tick removes parts that are too old. They are kept for longer than they may be
 // used, so that a late copy of a part doesn't restore a removed handover.
-func (d *TransferStore) Tick(now time.Time) {
-	for id, e := range d.entries {
-		if now.Sub(e.at) > 2*d.cfg.VoteRetention() {
-			delete(d.entries, id)
+func (s *TransferStore) Tick(now time.Time) {
+	for id, e := range s.entries {
+		if now.Sub(e.at) > 2*s.cfg.VoteRetention() {
+			delete(s.entries, id)
 		}
 	}
 }
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -10,33 +10,33 @@
 
 // stopped returns the handover of a voter that voted for claim(1), and the time.
 func newHandover(t *testing.T, cfg Config) ([]Transfer, time.Time) {
-	h, now := newVotingVoter(cfg)
-	wantVote(t, h.Claim(now, claim(1)), Granted)
-	parts := h.Handover(now, 1)
-	wantVote(t, h.Claim(now, claim(1)), Fenced)
+	voter, now := newVotingVoter(cfg)
+	wantVote(t, voter.Claim(now, claim(1)), Granted)
+	parts := voter.Handover(now, 1)
+	wantVote(t, voter.Claim(now, claim(1)), Fenced)
 	return parts, now
 }
 
 // successor returns a voter that has just started at the same address.
 func successor(now time.Time, cfg Config) *Voter {
-	h := NewVoter(addr(1), cfg)
-	h.Update(now, MemberList{Live: addrs(1, 1)})
-	h.Confirm(now)
-	return h
+	voter := NewVoter(addr(1), cfg)
+	voter.Update(now, MemberList{Live: addrs(1, 1)})
+	voter.Confirm(now)
+	return voter
 }
 
 func TestHandoverEndsFenceAndKeepsVotes(t *testing.T) {
 	cfg := testConfig()
 	parts, now := newHandover(t, cfg)
-	d := NewTransferStore(cfg)
-	d.Put(now, parts[0])
+	transfers := NewTransferStore(cfg)
+	transfers.Put(now, parts[0])
 	now = now.Add(time.Second)
-	h := successor(now, cfg)
-	if !h.Accept(now, 2, d.Take(now, addr(1), 2)[0]) {
+	voter := successor(now, cfg)
+	if !voter.Accept(now, 2, transfers.Take(now, addr(1), 2)[0]) {
 		t.Fatal("handover not accepted")
 	}
-	wantVote(t, h.Claim(now, claim(2)), Held)
-	wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
+	wantVote(t, voter.Claim(now, claim(2)), Held)
+	wantVote(t, voter.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
 }
 
 // Guards against a key that runs twice after two restarts: a voter accepts a
@@ -45,21 +45,21 @@
 func TestHandoverGoesToOneProcess(t *testing.T) {
 	cfg := testConfig()
 	parts, now := newHandover(t, cfg)
-	d := NewTransferStore(cfg)
-	d.Put(now, parts[0])
-	first := d.Take(now, addr(1), 2)
-	if again := d.Take(now, addr(1), 2); len(first) != 1 || len(again) != 1 {
+	transfers := NewTransferStore(cfg)
+	transfers.Put(now, parts[0])
+	first := transfers.Take(now, addr(1), 2)
+	if again := transfers.Take(now, addr(1), 2); len(first) != 1 || len(again) != 1 {
 		t.Fatalf("the successor got %d and %d parts, want 1 each time", len(first), len(again))
 	}
-	d.Put(now, parts[0]) // a late copy
-	if third := d.Take(now, addr(1), 3); len(third) != 0 {
+	transfers.Put(now, parts[0]) // a late copy
+	if third := transfers.Take(now, addr(1), 3); len(third) != 0 {
 		t.Fatal("handover given to a second process")
 	}
-	h := successor(now, cfg)
-	if h.Accept(now, 3, first[0]) {
+	voter := successor(now, cfg)
+	if voter.Accept(now, 3, first[0]) {
 		t.Fatal("accepted a copy meant for the previous process")
 	}
-	wantVote(t, h.Claim(now, claim(2)), Fenced)
+	wantVote(t, voter.Claim(now, claim(2)), Fenced)
 }
 
 // Guards against a voter that votes although requesters don't count it any more: it
@@ -67,16 +67,16 @@
 func TestOldHandoverIsRefused(t *testing.T) {
 	cfg := testConfig()
 	parts, now := newHandover(t, cfg)
-	d := NewTransferStore(cfg)
-	d.Put(now, parts[0])
+	transfers := NewTransferStore(cfg)
+	transfers.Put(now, parts[0])
 	now = now.Add(cfg.VoteRetention())
-	h := successor(now, cfg)
-	if h.Accept(now, 2, d.Take(now, addr(1), 2)[0]) {
+	voter := successor(now, cfg)
+	if voter.Accept(now, 2, transfers.Take(now, addr(1), 2)[0]) {
 		t.Fatal("accepted an old handover")
 	}
 	now = now.Add(2 * cfg.VoteRetention())
-	d.Tick(now)
-	if len(d.Take(now, addr(1), 2)) != 0 {
+	transfers.Tick(now)
+	if len(transfers.Take(now, addr(1), 2)) != 0 {
 		t.Fatal("an expired handover is still stored")
 	}
 }
@@ -87,11 +87,11 @@
 	cfg := testConfig()
 	before := successor(t0, cfg)
 	parts := before.Handover(t0, 1)
-	d := NewTransferStore(cfg)
-	d.Put(t0, parts[0])
-	h := successor(t0, cfg)
-	h.Accept(t0, 2, d.Take(t0, addr(1), 2)[0])
-	wantVote(t, h.Claim(t0, claim(1)), Fenced)
+	transfers := NewTransferStore(cfg)
+	transfers.Put(t0, parts[0])
+	voter := successor(t0, cfg)
+	voter.Accept(t0, 2, transfers.Take(t0, addr(1), 2)[0])
+	wantVote(t, voter.Claim(t0, claim(1)), Fenced)
 }
 
 // Guards against a vote granted twice: a copy of a handover arrives after the voter
@@ -99,25 +99,25 @@
 func TestHandoverAfterVoteIsRefused(t *testing.T) {
 	cfg := testConfig()
 	parts, _ := newHandover(t, cfg)
-	h, now := newVotingVoter(cfg)
+	voter, now := newVotingVoter(cfg)
 	parts[0].To = 2
 	parts[0].Records[0].State = Released
-	wantVote(t, h.Claim(now, claim(5)), Granted)
-	if h.Accept(now, 2, parts[0]) {
+	wantVote(t, voter.Claim(now, claim(5)), Granted)
+	if voter.Accept(now, 2, parts[0]) {
 		t.Fatal("handover accepted after a vote")
 	}
-	wantVote(t, h.Claim(now, claim(6)), Held)
+	wantVote(t, voter.Claim(now, claim(6)), Held)
 }
 
 func TestHandoverNeedsAllPartsAndFitsDatagrams(t *testing.T) {
 	cfg := testConfig()
-	h, now := newVotingVoter(cfg)
+	voter, now := newVotingVoter(cfg)
 	const keys = 3*transferRecords + 1
 	for i := range keys {
 		id := ClaimID{Agent: addr(255), Incarnation: math.MaxUint64, Seq: math.MaxUint64}
-		h.Claim(now, Claim{Key: benchKey(i), ID: id})
+		voter.Claim(now, Claim{Key: benchKey(i), ID: id})
 	}
-	parts := h.Handover(now, math.MaxUint64)
+	parts := voter.Handover(now, math.MaxUint64)
 	next := successor(now, cfg)
 	for i, p := range parts {
 		p.To, p.Age = math.MaxUint64, time.Second
@@ -141,14 +141,14 @@
 	for pause, want := range map[time.Duration]VoteKind{time.Second: Granted, cfg.VoteRetention(): Fenced} {
 		parts, now := newHandover(t, cfg)
 		parts[0].To = 2
-		h := NewVoter(addr(1), cfg)
-		if !h.Accept(now, 2, parts[0]) {
+		voter := NewVoter(addr(1), cfg)
+		if !voter.Accept(now, 2, parts[0]) {
 			t.Fatal("handover not accepted")
 		}
 		now = now.Add(pause)
-		h.Update(now, MemberList{Live: addrs(1, 1)})
-		h.Confirm(now)
-		wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), want)
+		voter.Update(now, MemberList{Live: addrs(1, 1)})
+		voter.Confirm(now)
+		wantVote(t, voter.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), want)
 	}
 }
 
@@ -158,7 +158,7 @@
 	cfg := testConfig()
 	parts, _ := newHandover(t, cfg)
 	parts[0].To, parts[0].Fence = 2, cfg.Fence()
-	h, now := newVotingVoter(cfg)
-	h.Accept(now, 2, parts[0])
-	wantVote(t, h.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
+	voter, now := newVotingVoter(cfg)
+	voter.Accept(now, 2, parts[0])
+	wantVote(t, voter.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
 }
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -44,20 +44,20 @@
 func key(i int) Key { return KeyOf(7, "kanatpar", string(rune('a'+i))) }
 
 // checkAnswers fails the test unless each answer is consistent with the runs so far.
-func (w *simulation) checkAnswers(t *rapid.T) func(*call) {
+func (s *simulation) checkAnswers(t *rapid.T) func(*call) {
 	return func(c *call) {
 		var earlier *call
-		for _, r := range w.ran {
+		for _, r := range s.ran {
 			if r != c && r.key == c.key {
 				earlier = r
 			}
 		}
-		recent := earlier != nil && w.now.Sub(earlier.ranAt) < w.cfg.Window
+		recent := earlier != nil && s.now.Sub(earlier.ranAt) < s.cfg.Window
 		switch {
 		case c.result == Run && recent:
-			t.Fatalf("key run again after %v", w.now.Sub(earlier.ranAt))
+			t.Fatalf("key run again after %v", s.now.Sub(earlier.ranAt))
 		case c.result == NotRun && recent:
-			t.Fatalf("answered not run, but it ran %v ago", w.now.Sub(earlier.ranAt))
+			t.Fatalf("answered not run, but it ran %v ago", s.now.Sub(earlier.ranAt))
 		case c.result == Duplicate && c.state.ran() && earlier == nil:
 			t.Fatalf("answered %v, but it never ran", c.state)
 		}
@@ -72,11 +72,11 @@
 		cfg := testConfig()
 		cfg.Voters = rapid.SampledFrom([]int{1, 3, 5, 9}).Draw(t, "homes")
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, cfg, drawFaults(t))
-		w.check = w.checkAnswers(t)
-		w.run(60*time.Second, func() {
-			if w.rng.IntN(4) == 0 {
-				w.begin(w.rng.IntN(len(w.processes)), key(w.rng.IntN(6)))
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), n, cfg, drawFaults(t))
+		sim.check = sim.checkAnswers(t)
+		sim.run(60*time.Second, func() {
+			if sim.rng.IntN(4) == 0 {
+				sim.begin(sim.rng.IntN(len(sim.processes)), key(sim.rng.IntN(6)))
 			}
 		}, true)
 	})
@@ -87,21 +87,21 @@
 func TestPlannedRollFencesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 7).Draw(t, "agents")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
-		w.check = w.checkAnswers(t)
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		sim.check = sim.checkAnswers(t)
 		i, next := 0, 0
-		w.run(time.Duration(2*n+8)*time.Second, func() {
-			if w.step()%100 == 0 && next < n {
-				w.restart(w.processes[next], time.Second)
+		sim.run(time.Duration(2*n+8)*time.Second, func() {
+			if sim.step()%100 == 0 && next < n {
+				sim.restart(sim.processes[next], time.Second)
 				next++
 			}
-			if p := w.processes[(next+1)%n]; i < 50 && w.step()%10 == 0 && p.up {
-				w.begin((next+1)%n, key(i))
+			if p := sim.processes[(next+1)%n]; i < 50 && sim.step()%10 == 0 && p.up {
+				sim.begin((next+1)%n, key(i))
 				i++
 			}
 		}, false)
-		if i != 50 || len(w.ran) != 50 {
-			t.Fatalf("%d of %d keys ran during a rolling restart", len(w.ran), i)
+		if i != 50 || len(sim.ran) != 50 {
+			t.Fatalf("%d of %d keys ran during a rolling restart", len(sim.ran), i)
 		}
 	})
 }
@@ -130,21 +130,21 @@
 		cfg := testConfig()
 		cfg.Window = time.Minute
 		f := drawFaults(t)
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "agents"), cfg, f)
-		w.check = func(*call) {}
-		w.run(30*time.Second, func() {
-			if w.rng.IntN(50) == 0 {
-				w.begin(w.rng.IntN(len(w.processes)), key(0))
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "agents"), cfg, f)
+		sim.check = func(*call) {}
+		sim.run(30*time.Second, func() {
+			if sim.rng.IntN(50) == 0 {
+				sim.begin(sim.rng.IntN(len(sim.processes)), key(0))
 			}
 		}, true)
 		var ops []porcupine.Operation
-		for i, c := range w.calls {
+		for i, c := range sim.calls {
 			out := c.result
 			if out == Duplicate && !c.state.ran() || c.end.IsZero() {
 				out = Unknown
 			}
 			if c.end.IsZero() {
-				c.end = w.now
+				c.end = sim.now
 			}
 			ops = append(ops, porcupine.Operation{ClientId: i, Call: c.begin.UnixNano(), Return: c.end.UnixNano(), Output: out})
 		}
@@ -158,17 +158,17 @@
 func TestEveryKeyRunsWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
-		w.check = func(*call) {}
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		sim.check = func(*call) {}
 		i := 0
-		w.run(4*time.Second, func() {
+		sim.run(4*time.Second, func() {
 			if i < 50 {
-				w.begin(w.rng.IntN(n), key(i))
+				sim.begin(sim.rng.IntN(n), key(i))
 				i++
 			}
 		}, false)
-		if len(w.ran) != 50 {
-			t.Fatalf("%d of 50 keys ran", len(w.ran))
+		if len(sim.ran) != 50 {
+			t.Fatalf("%d of 50 keys ran", len(sim.ran))
 		}
 	})
 }
@@ -178,18 +178,18 @@
 func TestOneCrashFencesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 9).Draw(t, "agents")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
-		w.check = func(*call) {}
-		w.crash(w.processes[0], time.Second)
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), n, testConfig(), faults{delay: 5 * time.Millisecond})
+		sim.check = func(*call) {}
+		sim.crash(sim.processes[0], time.Second)
 		i := 0
-		w.run(8*time.Second, func() {
-			if i < 50 && w.step()%5 == 0 {
-				w.begin(1+w.rng.IntN(n-1), key(i))
+		sim.run(8*time.Second, func() {
+			if i < 50 && sim.step()%5 == 0 {
+				sim.begin(1+sim.rng.IntN(n-1), key(i))
 				i++
 			}
 		}, false)
-		if len(w.ran) != 50 {
-			t.Fatalf("%d of 50 keys ran", len(w.ran))
+		if len(sim.ran) != 50 {
+			t.Fatalf("%d of 50 keys ran", len(sim.ran))
 		}
 	})
 }
--- a/idempotency/simulation_test.go
+++ b/idempotency/simulation_test.go
@@ -86,84 +86,84 @@
 }
 
 func newSimulation(seed uint64, n int, cfg Config, f faults) *simulation {
-	w := &simulation{cfg: cfg.withDefaults(), f: f, rng: rand.New(rand.NewPCG(seed, 1)), now: t0, net: map[int64][]datagram{}}
+	s := &simulation{cfg: cfg.withDefaults(), f: f, rng: rand.New(rand.NewPCG(seed, 1)), now: t0, net: map[int64][]datagram{}}
 	for range n {
-		w.add()
+		s.add()
 	}
-	for _, p := range w.processes {
-		w.start(p, true)
+	for _, p := range s.processes {
+		s.start(p, true)
 	}
-	w.run(cfg.Fence()+time.Second, func() {}, false)
-	return w
+	s.run(cfg.Fence()+time.Second, func() {}, false)
+	return s
 }
 
-func (w *simulation) add() *process {
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + len(w.processes))}), 7000)
-	p := &process{addr: addr, clockRate: 1 + (w.rng.Float64()-0.5)*w.cfg.Drift, joinedAt: w.now}
-	w.processes = append(w.processes, p)
+func (s *simulation) add() *process {
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + len(s.processes))}), 7000)
+	p := &process{addr: addr, clockRate: 1 + (s.rng.Float64()-0.5)*s.cfg.Drift, joinedAt: s.now}
+	s.processes = append(s.processes, p)
 	return p
 }
 
-func (w *simulation) start(p *process, complete bool) {
-	w.lastIncarnation++
+func (s *simulation) start(p *process, complete bool) {
+	s.lastIncarnation++
 	p.up = true
-	p.incarnation = w.lastIncarnation
-	p.transfers = NewTransferStore(w.cfg)
-	p.voter = NewVoter(p.addr, w.cfg)
-	p.electorate = NewElectorate(w.clock(p), w.cfg)
-	p.requester = NewRequester(p.addr, w.lastIncarnation, p.electorate, w.cfg, rand.New(rand.NewPCG(w.lastIncarnation, 2)))
+	p.incarnation = s.lastIncarnation
+	p.transfers = NewTransferStore(s.cfg)
+	p.voter = NewVoter(p.addr, s.cfg)
+	p.electorate = NewElectorate(s.clock(p), s.cfg)
+	p.requester = NewRequester(p.addr, s.lastIncarnation, p.electorate, s.cfg, rand.New(rand.NewPCG(s.lastIncarnation, 2)))
 	p.pending = map[uint64]time.Time{}
 	p.suspects = map[netip.AddrPort]time.Time{}
 	p.listAt = time.Time{}
-	w.updateMemberList(p, complete)
-	w.fetchTransfers(p)
+	s.updateMemberList(p, complete)
+	s.fetchTransfers(p)
 }
 
 // fetchTransfers lets p ask each other process twice for the handover to its address.
-func (w *simulation) fetchTransfers(p *process) {
-	for _, o := range slices.Concat(w.processes, w.processes) {
-		if o == p || !o.up || o.group != p.group || w.rng.Float64() < w.f.loss {
+func (s *simulation) fetchTransfers(p *process) {
+	for _, o := range slices.Concat(s.processes, s.processes) {
+		if o == p || !o.up || o.group != p.group || s.rng.Float64() < s.f.loss {
 			continue
 		}
-		for _, t := range o.transfers.Take(w.clock(o), p.addr, p.incarnation) {
-			if w.rng.Float64() >= w.f.loss && p.voter.Accept(w.clock(p), p.incarnation, t) {
-				w.acceptedHandovers++
+		for _, t := range o.transfers.Take(s.clock(o), p.addr, p.incarnation) {
+			if s.rng.Float64() >= s.f.loss && p.voter.Accept(s.clock(p), p.incarnation, t) {
+				s.acceptedHandovers++
 			}
 		}
 	}
 }
 
 // restart stops p as planned and hands its votes over to another process.
-func (w *simulation) restart(p *process, down time.Duration) {
-	o := w.processes[(slices.Index(w.processes, p)+1)%len(w.processes)]
-	for _, t := range p.voter.Handover(w.clock(p), p.incarnation) {
-		if o != p && o.up && o.group == p.group && w.rng.Float64() >= w.f.loss {
-			o.transfers.Put(w.clock(o), t)
+func (s *simulation) restart(p *process, down time.Duration) {
+	o := s.processes[(slices.Index(s.processes, p)+1)%len(s.processes)]
+	for _, t := range p.voter.Handover(s.clock(p), p.incarnation) {
+		if o != p && o.up && o.group == p.group && s.rng.Float64() >= s.f.loss {
+			o.transfers.Put(s.clock(o), t)
 		}
 	}
-	w.crash(p, down)
+	s.crash(p, down)
 }
 
 // clock returns the time on the clock of p.
-func (w *simulation) clock(p *process) time.Time {
-	return t0.Add(time.Duration(float64(w.now.Sub(t0)) * p.clockRate))
+func (s *simulation) clock(p *process) time.Time {
+	return t0.Add(time.Duration(float64(s.now.Sub(t0)) * p.clockRate))
 }
 
 // updateMemberList gives p a member list that is up to Skew old.
-func (w *simulation) updateMemberList(p *process, complete bool) {
-	at := w.now.Add(-time.Duration(w.rng.Float64() * float64(w.cfg.Skew)))
+func (s *simulation) updateMemberList(p *process, complete bool) {
+	at := s.now.Add(-time.Duration(s.rng.Float64() * float64(s.cfg.Skew)))
 	if at.Before(p.listAt) {
 		at = p.listAt
 	}
 	p.listAt = at
 	r := MemberList{Complete: complete}
-	for _, o := range w.processes {
+	for _, o := range s.processes {
 		if o != p && o.joinedAt.After(at) {
 			continue
 		}
 		if !o.departedAt.IsZero() && o.departedAt.Before(at) && o != p {
-			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr, Age: w.now.Sub(o.departedAt), Left: o.left})
-		} else if w.now.After(p.suspects[o.addr]) {
+			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr, Age: s.now.Sub(o.departedAt), Left: o.left})
+		} else if s.now.After(p.suspects[o.addr]) {
 			r.Live = append(r.Live, o.addr)
 		} else if p.electorate.members[o.addr] == nil {
 			// A member list may drop a process that it contained before, but a list
@@ -171,7 +171,7 @@
 			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr})
 		}
 	}
-	now := w.clock(p)
+	now := s.clock(p)
 	p.electorate.Update(now, r)
 	p.electorate.Confirm(now)
 	p.voter.Update(now, r)
@@ -179,159 +179,159 @@
 }
 
 // flush carries out the effects of p's requester.
-func (w *simulation) flush(i int) {
-	p := w.processes[i]
+func (s *simulation) flush(i int) {
+	p := s.processes[i]
 	for _, e := range p.requester.Effects(nil) {
 		switch e.Kind {
 		case SendClaim:
-			w.send(i, e.To, datagram{claim: &e.Claim})
+			s.send(i, e.To, datagram{claim: &e.Claim})
 		case SendReport:
-			w.send(i, e.To, datagram{report: &e.Report})
+			s.send(i, e.To, datagram{report: &e.Report})
 		case Run:
-			p.pending[e.ID] = w.now.Add(time.Duration(w.rng.Int64N(int64(w.cfg.Expiry))) / 4)
+			p.pending[e.ID] = s.now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.Expiry))) / 4)
 		default:
-			c := w.calls[e.ID]
-			c.end, c.result, c.state = w.now, e.Kind, e.State
+			c := s.calls[e.ID]
+			c.end, c.result, c.state = s.now, e.Kind, e.State
 			delete(p.pending, e.ID)
-			w.check(c)
+			s.check(c)
 		}
 	}
 }
 
-func (w *simulation) send(from int, to netip.AddrPort, d datagram) {
+func (s *simulation) send(from int, to netip.AddrPort, d datagram) {
 	d.from = from
-	d.to = slices.IndexFunc(w.processes, func(p *process) bool { return p.addr == to })
+	d.to = slices.IndexFunc(s.processes, func(p *process) bool { return p.addr == to })
 	copies := 1
-	if w.rng.Float64() < w.f.dup {
+	if s.rng.Float64() < s.f.dup {
 		copies = 2
 	}
 	for range copies {
-		if from != d.to && (w.rng.Float64() < w.f.loss || w.processes[from].group != w.processes[d.to].group) {
+		if from != d.to && (s.rng.Float64() < s.f.loss || s.processes[from].group != s.processes[d.to].group) {
 			continue
 		}
-		at := w.step() + 1 + int64(w.rng.Float64()*float64(w.f.delay/step))
-		w.net[at] = append(w.net[at], d)
+		at := s.step() + 1 + int64(s.rng.Float64()*float64(s.f.delay/step))
+		s.net[at] = append(s.net[at], d)
 	}
 }
 
-func (w *simulation) step() int64 { return int64(w.now.Sub(t0) / step) }
+func (s *simulation) step() int64 { return int64(s.now.Sub(t0) / step) }
 
-func (w *simulation) deliver() {
-	due := w.net[w.step()]
-	delete(w.net, w.step())
+func (s *simulation) deliver() {
+	due := s.net[s.step()]
+	delete(s.net, s.step())
 	for _, d := range due {
-		p := w.processes[d.to]
+		p := s.processes[d.to]
 		if !p.up {
 			continue
 		}
-		if p.pausedUntil.After(w.now) {
-			w.net[w.step()+1] = append(w.net[w.step()+1], d)
+		if p.pausedUntil.After(s.now) {
+			s.net[s.step()+1] = append(s.net[s.step()+1], d)
 			continue
 		}
-		now := w.clock(p)
+		now := s.clock(p)
 		switch {
 		case d.claim != nil:
 			v := p.voter.Claim(now, *d.claim)
-			w.send(d.to, w.processes[d.from].addr, datagram{vote: &v})
+			s.send(d.to, s.processes[d.from].addr, datagram{vote: &v})
 		case d.report != nil:
 			p.voter.Report(now, *d.report)
 		case d.vote != nil:
-			p.requester.Receive(now, w.processes[d.from].addr, *d.vote)
-			w.flush(d.to)
+			p.requester.Receive(now, s.processes[d.from].addr, *d.vote)
+			s.flush(d.to)
 		}
 	}
 }
 
 // tick does what the adapter of process i does in each step.
-func (w *simulation) tick(i int) {
-	p := w.processes[i]
-	now := w.clock(p)
+func (s *simulation) tick(i int) {
+	p := s.processes[i]
+	now := s.clock(p)
 	for _, id := range slices.Sorted(maps.Keys(p.pending)) {
-		if p.pending[id].After(w.now) {
+		if p.pending[id].After(s.now) {
 			continue
 		}
 		delete(p.pending, id)
-		if c := w.calls[id]; p.requester.Start(now, id) {
-			c.ranAt, c.end, c.result = w.now, w.now, Run
-			w.ran = append(w.ran, c)
-			w.check(c)
-			if w.rng.IntN(2) == 0 {
+		if c := s.calls[id]; p.requester.Start(now, id) {
+			c.ranAt, c.end, c.result = s.now, s.now, Run
+			s.ran = append(s.ran, c)
+			s.check(c)
+			if s.rng.IntN(2) == 0 {
 				p.requester.Finish(now, id, Done, 200)
 			}
 		}
 	}
 	p.requester.Tick(now)
 	p.voter.Tick(now)
-	w.flush(i)
-	if !w.now.Before(p.nextListAt) && (p.group == 0 || w.rng.IntN(50) == 0) {
-		p.nextListAt = w.now.Add(time.Duration(w.rng.Int64N(int64(w.cfg.Freshness / 2))))
-		w.updateMemberList(p, false)
+	s.flush(i)
+	if !s.now.Before(p.nextListAt) && (p.group == 0 || s.rng.IntN(50) == 0) {
+		p.nextListAt = s.now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.Freshness / 2))))
+		s.updateMemberList(p, false)
 	}
 }
 
 // begin lets a caller send a request with key to agent i.
-func (w *simulation) begin(i int, key Key) {
-	p := w.processes[i]
-	if !p.up || p.left || p.pausedUntil.After(w.now) {
+func (s *simulation) begin(i int, key Key) {
+	p := s.processes[i]
+	if !p.up || p.left || p.pausedUntil.After(s.now) {
 		return
 	}
-	w.calls = append(w.calls, &call{key: key, begin: w.now})
-	p.requester.Begin(w.clock(p), uint64(len(w.calls)-1), key)
-	w.flush(i)
+	s.calls = append(s.calls, &call{key: key, begin: s.now})
+	p.requester.Begin(s.clock(p), uint64(len(s.calls)-1), key)
+	s.flush(i)
 }
 
 // run passes time, with act and optionally faults in each step.
-func (w *simulation) run(d time.Duration, act func(), faulty bool) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(step)
+func (s *simulation) run(d time.Duration, act func(), faulty bool) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(step)
 		if faulty {
-			w.injectFault()
+			s.injectFault()
 		}
 		act()
-		w.deliver()
-		for i, p := range w.processes {
-			if !p.up && !p.left && !p.startAt.After(w.now) {
+		s.deliver()
+		for i, p := range s.processes {
+			if !p.up && !p.left && !p.startAt.After(s.now) {
 				p.departedAt = time.Time{}
-				w.start(p, w.rng.IntN(2) == 0 || !faulty)
+				s.start(p, s.rng.IntN(2) == 0 || !faulty)
 			}
-			if p.up && !p.pausedUntil.After(w.now) {
-				w.tick(i)
+			if p.up && !p.pausedUntil.After(s.now) {
+				s.tick(i)
 			}
 		}
 	}
 }
 
 // crash kills p, which starts again after the time down.
-func (w *simulation) crash(p *process, down time.Duration) {
-	p.up, p.departedAt, p.startAt = false, w.now, w.now.Add(down)
+func (s *simulation) crash(p *process, down time.Duration) {
+	p.up, p.departedAt, p.startAt = false, s.now, s.now.Add(down)
 }
 
-func (w *simulation) injectFault() {
-	r := w.rng
-	p := w.processes[r.IntN(len(w.processes))]
-	if p.up && r.Float64() < w.f.crash {
-		w.crash(p, time.Duration(r.IntN(5000))*time.Millisecond)
+func (s *simulation) injectFault() {
+	r := s.rng
+	p := s.processes[r.IntN(len(s.processes))]
+	if p.up && r.Float64() < s.f.crash {
+		s.crash(p, time.Duration(r.IntN(5000))*time.Millisecond)
 	}
-	if p.up && r.Float64() < w.f.restart {
-		w.restart(p, time.Duration(r.IntN(8000))*time.Millisecond)
+	if p.up && r.Float64() < s.f.restart {
+		s.restart(p, time.Duration(r.IntN(8000))*time.Millisecond)
 	}
-	if p.up && r.Float64() < w.f.pause {
-		p.pausedUntil = w.now.Add(time.Duration(r.Float64() * float64(w.f.maxPause)))
+	if p.up && r.Float64() < s.f.pause {
+		p.pausedUntil = s.now.Add(time.Duration(r.Float64() * float64(s.f.maxPause)))
 	}
-	if r.Float64() < w.f.partition {
+	if r.Float64() < s.f.partition {
 		cut := r.IntN(2)
-		for _, p := range w.processes {
+		for _, p := range s.processes {
 			p.group = cut * r.IntN(2)
 		}
 	}
-	if p.up && r.Float64() < w.f.suspect {
-		o := w.processes[r.IntN(len(w.processes))]
-		p.suspects[o.addr] = w.now.Add(time.Duration(r.IntN(10)) * time.Second)
+	if p.up && r.Float64() < s.f.suspect {
+		o := s.processes[r.IntN(len(s.processes))]
+		p.suspects[o.addr] = s.now.Add(time.Duration(r.IntN(10)) * time.Second)
 	}
-	if len(w.processes) < 20 && r.Float64() < w.f.join {
-		w.start(w.add(), r.IntN(2) == 0)
+	if len(s.processes) < 20 && r.Float64() < s.f.join {
+		s.start(s.add(), r.IntN(2) == 0)
 	}
-	if p.up && !p.left && r.Float64() < w.f.leave {
-		p.left, p.up, p.departedAt = true, false, w.now
+	if p.up && !p.left && r.Float64() < s.f.leave {
+		p.left, p.up, p.departedAt = true, false, s.now
 	}
 }
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -55,52 +55,52 @@
 // Update applies the member list as known at now. A voter that is not in the
 // member list doesn't vote, since requesters may no longer count it. When it is
 // added again, its fence starts again.
-func (h *Voter) Update(now time.Time, r MemberList) {
-	listed := slices.Contains(r.Live, h.self)
-	if listed && !h.listed && !now.Before(h.inheritUntil) {
-		h.fencedUntil = now.Add(h.cfg.Fence())
+func (v *Voter) Update(now time.Time, r MemberList) {
+	listed := slices.Contains(r.Live, v.self)
+	if listed && !v.listed && !now.Before(v.inheritUntil) {
+		v.fencedUntil = now.Add(v.cfg.Fence())
 	}
-	h.listed = listed
+	v.listed = listed
 }
 
 // Confirm is like Electorate.Confirm.
-func (h *Voter) Confirm(at time.Time) {
-	if at.After(h.confirmedAt) {
-		h.confirmedAt = at
+func (v *Voter) Confirm(at time.Time) {
+	if at.After(v.confirmedAt) {
+		v.confirmedAt = at
 	}
 }
 
 // fenceLeft is how long the voter grants no votes; zero if it does.
-func (h *Voter) fenceLeft(now time.Time) time.Duration {
+func (v *Voter) fenceLeft(now time.Time) time.Duration {
 	// A paused voter still has the member list from before the pause. Its clock
 	// shows the pause, so it waits for a current member list.
-	if h.closed || !h.listed || now.Sub(h.confirmedAt) > h.cfg.Freshness {
-		return h.cfg.Freshness
+	if v.closed || !v.listed || now.Sub(v.confirmedAt) > v.cfg.Freshness {
+		return v.cfg.Freshness
 	}
-	return max(0, h.fencedUntil.Sub(now))
+	return max(0, v.fencedUntil.Sub(now))
 }
 
 // Claim returns the vote on a claim.
-func (h *Voter) Claim(now time.Time, c Claim) Vote {
-	v := Vote{Key: c.Key, ID: c.ID}
-	r, known := h.records[c.Key]
+func (v *Voter) Claim(now time.Time, c Claim) Vote {
+	vote := Vote{Key: c.Key, ID: c.ID}
+	r, known := v.records[c.Key]
 	known = known && now.Before(r.expires)
 	if known && !r.mayGrantTo(c.ID) {
-		v.Kind, v.Holder, v.State, v.Status = Held, r.id, r.state, int(r.status)
-		return v
+		vote.Kind, vote.Holder, vote.State, vote.Status = Held, r.id, r.state, int(r.status)
+		return vote
 	}
-	if wait := h.fenceLeft(now); wait > 0 {
-		v.Kind, v.RetryAfter = Fenced, wait
-		return v
+	if wait := v.fenceLeft(now); wait > 0 {
+		vote.Kind, vote.RetryAfter = Fenced, wait
+		return vote
 	}
-	if !known && h.full(now) {
-		v.Kind, v.RetryAfter = Full, h.capacityIn(now)
-		return v
+	if !known && v.full(now) {
+		vote.Kind, vote.RetryAfter = Full, v.capacityIn(now)
+		return vote
 	}
-	h.put(now, c.Key, record{id: c.ID, state: Claimed})
-	h.voted = true
-	v.Kind = Granted
-	return v
+	v.put(now, c.Key, record{id: c.ID, state: Claimed})
+	v.voted = true
+	vote.Kind = Granted
+	return vote
 }
 
 // mayGrantTo reports whether id may get the vote that r records: it has the vote
@@ -117,16 +117,16 @@
 // voter's vote is ignored, unless the voter has no record of the key. It then
 // stores the report: this is how a fenced voter learns of the claims that others
 // voted for.
-func (h *Voter) Report(now time.Time, r Report) {
-	old, known := h.records[r.Key]
+func (v *Voter) Report(now time.Time, r Report) {
+	old, known := v.records[r.Key]
 	known = known && now.Before(old.expires)
-	if !known && h.full(now) {
+	if !known && v.full(now) {
 		return
 	}
 	if known && !r.replaces(old) {
 		return
 	}
-	h.put(now, r.Key, record{id: r.ID, state: r.State, status: int32(r.Status)})
+	v.put(now, r.Key, record{id: r.ID, state: r.State, status: int32(r.Status)})
 }
 
 // replaces reports whether r replaces old. A report of a claim that is known to
@@ -140,46 +140,46 @@
 
 // put stores r for the vote retention time. A later report starts that time again,
 // so that the window counts from the end of the run.
-func (h *Voter) put(now time.Time, key Key, r record) {
-	_, queued := h.records[key]
-	r.expires = now.Add(h.cfg.VoteRetention())
-	h.records[key] = r
+func (v *Voter) put(now time.Time, key Key, r record) {
+	_, queued := v.records[key]
+	r.expires = now.Add(v.cfg.VoteRetention())
+	v.records[key] = r
 	if !queued {
-		h.expiry = append(h.expiry, expiryEntry{key, r.expires})
+		v.expiry = append(v.expiry, expiryEntry{key, r.expires})
 	}
 }
 
 // Tick removes expired keys. Call it every second.
-func (h *Voter) Tick(now time.Time) {
-	for h.nextExpiry < len(h.expiry) && !now.Before(h.expiry[h.nextExpiry].at) {
-		key := h.expiry[h.nextExpiry].key
-		h.nextExpiry++
-		if r := h.records[key]; now.Before(r.expires) {
-			h.expiry = append(h.expiry, expiryEntry{key, r.expires})
+func (v *Voter) Tick(now time.Time) {
+	for v.nextExpiry < len(v.expiry) && !now.Before(v.expiry[v.nextExpiry].at) {
+		key := v.expiry[v.nextExpiry].key
+		v.nextExpiry++
+		if r := v.records[key]; now.Before(r.expires) {
+			v.expiry = append(v.expiry, expiryEntry{key, r.expires})
 			continue
 		}
-		delete(h.records, key)
+		delete(v.records, key)
 	}
-	if h.nextExpiry > len(h.expiry)/2 {
-		h.expiry = slices.Delete(h.expiry, 0, h.nextExpiry)
-		h.nextExpiry = 0
+	if v.nextExpiry > len(v.expiry)/2 {
+		v.expiry = slices.Delete(v.expiry, 0, v.nextExpiry)
+		v.nextExpiry = 0
 	}
 }
 
 // full reports whether there is no capacity for another key. A voter never removes
 // a key early: the key could run twice without being noticed.
-func (h *Voter) full(now time.Time) bool {
-	if len(h.records) < h.cfg.MaxKeys {
+func (v *Voter) full(now time.Time) bool {
+	if len(v.records) < v.cfg.MaxKeys {
 		return false
 	}
-	h.Tick(now)
-	return len(h.records) >= h.cfg.MaxKeys
+	v.Tick(now)
+	return len(v.records) >= v.cfg.MaxKeys
 }
 
 // capacityIn is the time until the oldest key is due to be removed.
-func (h *Voter) capacityIn(now time.Time) time.Duration {
-	return max(time.Second, h.expiry[h.nextExpiry].at.Sub(now))
+func (v *Voter) capacityIn(now time.Time) time.Duration {
+	return max(time.Second, v.expiry[v.nextExpiry].at.Sub(now))
 }
 
 // Len returns the number of keys that the voter remembers.
-func (h *Voter) Len() int { return len(h.records) }
+func (v *Voter) Len() int { return len(v.records) }
--- a/idempotency/voter_test.go
+++ b/idempotency/voter_test.go
@@ -23,11 +23,11 @@
 
 // newVotingVoter returns a voter whose fence has just ended at the returned time.
 func newVotingVoter(cfg Config) (*Voter, time.Time) {
-	h := NewVoter(addr(1), cfg)
-	h.Update(t0, MemberList{Live: addrs(1, 1)})
+	voter := NewVoter(addr(1), cfg)
+	voter.Update(t0, MemberList{Live: addrs(1, 1)})
 	now := t0.Add(cfg.Fence())
-	h.Confirm(now)
-	return h, now
+	voter.Confirm(now)
+	return voter, now
 }
 
 func claim(seq uint64) Claim {
@@ -46,34 +46,34 @@
 // little less than a window after that must still be answered Held.
 func TestVoteOutlastsWindowAfterLateStart(t *testing.T) {
 	cfg := testConfig()
-	h, now := newVotingVoter(cfg)
-	wantVote(t, h.Claim(now, claim(1)), Granted)
+	voter, now := newVotingVoter(cfg)
+	wantVote(t, voter.Claim(now, claim(1)), Granted)
 	now = now.Add(cfg.Window + cfg.Expiry)
-	h.Confirm(now)
-	h.Tick(now)
-	wantVote(t, h.Claim(now, claim(2)), Held)
+	voter.Confirm(now)
+	voter.Tick(now)
+	wantVote(t, voter.Claim(now, claim(2)), Held)
 	now = t0.Add(cfg.Fence() + cfg.VoteRetention())
-	h.Confirm(now)
-	h.Tick(now)
-	wantVote(t, h.Claim(now, claim(2)), Granted)
+	voter.Confirm(now)
+	voter.Tick(now)
+	wantVote(t, voter.Claim(now, claim(2)), Granted)
 }
 
 // Guards against votes of a voter that requesters no longer count: after a pause or
 // cut it answers claims that waited in its socket, with an outdated member list.
 func TestVoterWithStaleMemberListIsFenced(t *testing.T) {
 	cfg := testConfig()
-	h, now := newVotingVoter(cfg)
+	voter, now := newVotingVoter(cfg)
 	now = now.Add(cfg.Freshness + 1)
-	wantVote(t, h.Claim(now, claim(1)), Fenced)
-	h.Confirm(now)
-	wantVote(t, h.Claim(now, claim(1)), Granted)
-	h.Update(now, MemberList{Live: addrs(2, 3)})
-	wantVote(t, h.Claim(now, claim(1)), Fenced)
-	h.Update(now, MemberList{Live: addrs(1, 3)})
-	wantVote(t, h.Claim(now, claim(1)), Fenced)
+	wantVote(t, voter.Claim(now, claim(1)), Fenced)
+	voter.Confirm(now)
+	wantVote(t, voter.Claim(now, claim(1)), Granted)
+	voter.Update(now, MemberList{Live: addrs(2, 3)})
+	wantVote(t, voter.Claim(now, claim(1)), Fenced)
+	voter.Update(now, MemberList{Live: addrs(1, 3)})
+	wantVote(t, voter.Claim(now, claim(1)), Fenced)
 	now = now.Add(cfg.Fence())
-	h.Confirm(now)
-	wantVote(t, h.Claim(now, claim(1)), Granted)
+	voter.Confirm(now)
+	wantVote(t, voter.Claim(now, claim(1)), Granted)
 }
 
 // Guards against a key that is blocked for its window although no request runs it: a
@@ -81,24 +81,24 @@
 // received the claim itself, and gets the vote.
 func TestLateCopyOfReleasedClaimGetsNoVote(t *testing.T) {
 	for _, claimFirst := range []bool{true, false} {
-		h, now := newVotingVoter(testConfig())
+		voter, now := newVotingVoter(testConfig())
 		if claimFirst {
-			wantVote(t, h.Claim(now, claim(1)), Granted)
+			wantVote(t, voter.Claim(now, claim(1)), Granted)
 		}
-		h.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Released})
-		wantVote(t, h.Claim(now, claim(1)), Held)
-		wantVote(t, h.Claim(now, claim(2)), Granted)
+		voter.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Released})
+		wantVote(t, voter.Claim(now, claim(1)), Held)
+		wantVote(t, voter.Claim(now, claim(2)), Granted)
 	}
 }
 
 // Guards against an answer that a request is running although it is done: an older
 // report arrives after the newer one and replaces it.
 func TestReorderedReportsKeepLatestState(t *testing.T) {
-	h, now := newVotingVoter(testConfig())
-	h.Claim(now, claim(1))
-	h.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Done, Status: 201})
-	h.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Running})
-	v := h.Claim(now, claim(2))
+	voter, now := newVotingVoter(testConfig())
+	voter.Claim(now, claim(1))
+	voter.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Done, Status: 201})
+	voter.Report(now, Report{Key: key(0), ID: claim(1).ID, State: Running})
+	v := voter.Claim(now, claim(2))
 	wantVote(t, v, Held)
 	if v.State != Done || v.Status != 201 {
 		t.Fatalf("vote %+v, want done with 201", v)
@@ -110,19 +110,19 @@
 func TestFullVoterRefusesAndKeepsKeys(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxKeys = 2
-	h, now := newVotingVoter(cfg)
+	voter, now := newVotingVoter(cfg)
 	for i := range 2 {
-		wantVote(t, h.Claim(now, Claim{Key: key(i), ID: claim(uint64(i)).ID}), Granted)
+		wantVote(t, voter.Claim(now, Claim{Key: key(i), ID: claim(uint64(i)).ID}), Granted)
 	}
-	v := h.Claim(now, Claim{Key: key(2), ID: claim(2).ID})
+	v := voter.Claim(now, Claim{Key: key(2), ID: claim(2).ID})
 	wantVote(t, v, Full)
 	if v.RetryAfter <= 0 || v.RetryAfter > cfg.VoteRetention() {
 		t.Fatalf("RetryAfter %v", v.RetryAfter)
 	}
-	wantVote(t, h.Claim(now, Claim{Key: key(0), ID: claim(7).ID}), Held)
+	wantVote(t, voter.Claim(now, Claim{Key: key(0), ID: claim(7).ID}), Held)
 	now = now.Add(cfg.VoteRetention())
-	h.Confirm(now)
-	wantVote(t, h.Claim(now, Claim{Key: key(2), ID: claim(2).ID}), Granted)
+	voter.Confirm(now)
+	wantVote(t, voter.Claim(now, Claim{Key: key(2), ID: claim(2).ID}), Granted)
 }
 
 // newRequester returns a requester among n live voters, and the time.
--- a/membership/lab/rest.go
+++ b/membership/lab/rest.go
@@ -43,7 +43,8 @@
 	return r
 }
 
-// Disturbance is a disturbance that must cause no suspicion of healthy processes.
+// Disturbance is a fault of the network or of a process that other, healthy
+// processes are exposed to.
 type Disturbance struct {
 	Name  string
 	Loss  float64
@@ -101,7 +102,7 @@
 type DayResult struct {
 	Balancers, Agents, Restarts int
 	Took                        time.Duration
-	Sent, Rest, Received        float64 // B/s per balancer; Rest is sent before the restarts
+	Sent, Rest, Received        float64 // B/s per balancer; Rest is Sent before the restarts
 	PerRestart                  float64 // bytes sent per balancer
 	Differences                 string  // between the member lists 20 s after the last restart; empty if none
 }
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -50,17 +50,17 @@
 	rec := agentRecord()
 	rec.State = StateLeaving
 	x, m := newMachineWith(t, rec)
-	back := rec
-	back.State, back.Version = StateReady, 9
-	gossip := &Message{Kind: KindGossip, Records: []Record{back}, Deltas: []Delta{{
+	ready := rec
+	ready.State, ready.Version = StateReady, 9
+	gossip := &Message{Kind: KindGossip, Records: []Record{ready}, Deltas: []Delta{{
 		Addr: rec.Addr, Incarnation: ShortIncarnation(rec.Incarnation), Version: 9, State: StateReady,
 	}}}
 	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), gossip)
 	if got, _ := m.Lookup(rec.Addr); got.State != StateLeaving {
 		t.Errorf("leaving became %v", got.State)
 	}
-	back.Incarnation++
-	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Records: []Record{back}})
+	ready.Incarnation++
+	m.Receive(x.Now, lab.AddrOf(RoleBalancer, 1), &Message{Kind: KindGossip, Records: []Record{ready}})
 	if got, _ := m.Lookup(rec.Addr); got.State != StateReady {
 		t.Errorf("a newer incarnation is %v, want ready", got.State)
 	}
