--- a/catalogue/calls_bench_test.go
+++ b/catalogue/calls_bench_test.go
@@ -127,29 +127,29 @@
 }
 
 // step advances the time by 50 ms and makes the follower's calls.
-func (d *holderSimulation) step() {
-	d.now = d.now.Add(50 * time.Millisecond)
-	for _, c := range d.f.Next(d.now) {
+func (h *holderSimulation) step() {
+	h.now = h.now.Add(50 * time.Millisecond)
+	for _, c := range h.f.Next(h.now) {
 		if c.Kind == CallWatch {
-			d.watches = append(d.watches, openWatch{c, d.now.Add(storeWatchTimeout)})
+			h.watches = append(h.watches, openWatch{c, h.now.Add(storeWatchTimeout)})
 			continue
 		}
-		r := MakeCall(context.Background(), d.st, c)
-		d.bytes += len(r.Value.Data)
-		d.f.Done(d.now, r)
+		r := MakeCall(context.Background(), h.st, c)
+		h.bytes += len(r.Value.Data)
+		h.f.Done(h.now, r)
 	}
-	pending := d.watches
-	d.watches = nil
+	pending := h.watches
+	h.watches = nil
 	for _, w := range pending {
-		v, err := d.st.Get(context.Background(), HeadKey)
+		v, err := h.st.Get(context.Background(), HeadKey)
 		switch {
 		case err == nil && v.Version > w.call.Version:
-			d.bytes += len(v.Data)
-			d.f.Done(d.now, Result{Call: w.call, Value: v})
-		case !d.now.Before(w.end):
-			d.f.Done(d.now, Result{Call: w.call, Err: &StoreError{KindWatchTimeout, errDown}})
+			h.bytes += len(v.Data)
+			h.f.Done(h.now, Result{Call: w.call, Value: v})
+		case !h.now.Before(w.end):
+			h.f.Done(h.now, Result{Call: w.call, Err: &StoreError{KindWatchTimeout, errDown}})
 		default:
-			d.watches = append(d.watches, w)
+			h.watches = append(h.watches, w)
 		}
 	}
 }
--- a/catalogue/follower.go
+++ b/catalogue/follower.go
@@ -9,19 +9,19 @@
 
 // Defaults of FollowerConfig.
 const (
-	DefaultCheck       = 2 * time.Second
-	DefaultWatchEnd    = 15 * time.Second
-	DefaultBackoffBase = 250 * time.Millisecond
-	DefaultBackoffMax  = 2 * time.Second
+	DefaultCheckInterval = 2 * time.Second
+	DefaultWatchTimeout  = 15 * time.Second
+	DefaultBackoffBase   = 250 * time.Millisecond
+	DefaultBackoffMax    = 2 * time.Second
 )
 
 // FollowerConfig configures a Follower. A zero field means its default.
 type FollowerConfig struct {
-	Check       time.Duration // interval between reads of the head; default DefaultCheck
-	WatchEnd    time.Duration // timeout of a watch, longer than the store's own; default DefaultWatchEnd
-	BackoffBase time.Duration // backoff after the first failed call; default DefaultBackoffBase
-	BackoffMax  time.Duration // maximum backoff; default DefaultBackoffMax
-	Rand        *rand.Rand    // jitter; must be set
+	CheckInterval time.Duration // between reads of the head; default DefaultCheckInterval
+	WatchTimeout  time.Duration // of a watch, longer than the store's own; default DefaultWatchTimeout
+	BackoffBase   time.Duration // backoff after the first failed call; default DefaultBackoffBase
+	BackoffMax    time.Duration // maximum backoff; default DefaultBackoffMax
+	Rand          *rand.Rand    // jitter; must be set
 }
 
 // CallKind is the kind of a Call.
@@ -87,8 +87,8 @@
 
 // NewFollower returns a Follower that updates r.
 func NewFollower(cfg FollowerConfig, r *Replica) *Follower {
-	orDefault(&cfg.Check, DefaultCheck)
-	orDefault(&cfg.WatchEnd, DefaultWatchEnd)
+	orDefault(&cfg.CheckInterval, DefaultCheckInterval)
+	orDefault(&cfg.WatchTimeout, DefaultWatchTimeout)
 	orDefault(&cfg.BackoffBase, DefaultBackoffBase)
 	orDefault(&cfg.BackoffMax, DefaultBackoffMax)
 	return &Follower{cfg: cfg, replica: r}
@@ -109,7 +109,7 @@
 	}
 	// A watch needs a version to wait for, so the head must have been read once.
 	if f.version > 0 && f.due(CallWatch, now) {
-		calls = append(calls, f.start(CallWatch, now, f.cfg.WatchEnd))
+		calls = append(calls, f.start(CallWatch, now, f.cfg.WatchTimeout))
 	}
 	return calls
 }
@@ -192,7 +192,7 @@
 	d.failures = 0
 	d.due = now
 	if k == CallCheck {
-		d.due = now.Add(f.cfg.Check)
+		d.due = now.Add(f.cfg.CheckInterval)
 	}
 }
 
@@ -204,7 +204,7 @@
 	if !current {
 		return
 	}
-	if r.Call.Kind == CallWatch && now.Sub(f.calls[CallWatch].started) >= f.cfg.WatchEnd {
+	if r.Call.Kind == CallWatch && now.Sub(f.calls[CallWatch].started) >= f.cfg.WatchTimeout {
 		f.stats.Stopped++
 	}
 	d := &f.calls[r.Call.Kind]
@@ -236,7 +236,7 @@
 
 // LoadSince returns a bulk that leads from d to the head: the changes if the
 // store still keeps them and d belongs to its history, otherwise the whole
-// catalogue. It returns the errors of the store and a *LayoutError.
+// catalogue. It returns the errors of ReadHead and Load.
 func LoadSince(ctx context.Context, st Store, d Digest) (Bulk, error) {
 	h, _, err := ReadHead(ctx, st)
 	if err != nil {
--- a/catalogue/follower_test.go
+++ b/catalogue/follower_test.go
@@ -100,7 +100,7 @@
 	d.step()
 	d.watchesStopped = true
 	for range 5 {
-		if took := d.waitFor(d.edit(1)); took > DefaultCheck+200*time.Millisecond {
+		if took := d.waitFor(d.edit(1)); took > DefaultCheckInterval+200*time.Millisecond {
 			t.Errorf("a change took %v while the watch was stopped", took)
 		}
 	}
--- a/catalogue/layout_test.go
+++ b/catalogue/layout_test.go
@@ -106,12 +106,12 @@
 	writes int
 }
 
-func (d *failingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte) (uint64, error) {
-	if d.writes == 0 {
+func (f *failingStore) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte) (uint64, error) {
+	if f.writes == 0 {
 		return 0, &StoreError{KindUnavailable, errDown}
 	}
-	d.writes--
-	return d.memStore.CompareAndSwap(ctx, key, expect, data)
+	f.writes--
+	return f.memStore.CompareAndSwap(ctx, key, expect, data)
 }
 
 func TestSnapshotRefusesDamage(t *testing.T) {
--- a/catalogue/property_test.go
+++ b/catalogue/property_test.go
@@ -26,191 +26,193 @@
 	loads        []bulkLoad          // in progress
 }
 
+// bulkLoad is a bulk load in progress, from a peer to the node of index to.
 type bulkLoad struct {
 	to   int
 	from netip.AddrPort
 	b    Bulk
 }
 
+// pendingMessage is a message that the node of index from has sent.
 type pendingMessage struct {
 	from int
 	p    Packet
 }
 
 func newCluster(t *rapid.T) *cluster {
-	w := &cluster{t: t, st: newMemStore(rapid.Uint64().Draw(t, "seed")), now: epoch, checksums: map[uint64]Checksum{0: 0}}
-	w.ed = &Editor{Store: w.st, Now: func() time.Time { return w.now }}
+	cl := &cluster{t: t, st: newMemStore(rapid.Uint64().Draw(t, "seed")), now: epoch, checksums: map[uint64]Checksum{0: 0}}
+	cl.ed = &Editor{Store: cl.st, Now: func() time.Time { return cl.now }}
 	if rapid.Bool().Draw(t, "small") {
-		w.ed.sizes = smallSizes
+		cl.ed.sizes = smallSizes
 	}
 	n := rapid.IntRange(2, 6).Draw(t, "nodes")
-	w.lastRevision = make([]uint64, n)
+	cl.lastRevision = make([]uint64, n)
 	for i := range n {
-		w.nodes = append(w.nodes, NewReplica(ReplicaConfig{
+		cl.nodes = append(cl.nodes, NewReplica(ReplicaConfig{
 			BulkGap: 6, Keep: 8,
-			Peers: func(k int) []netip.AddrPort { return w.peers(i, k) },
+			Peers: func(k int) []netip.AddrPort { return cl.peers(i, k) },
 		}))
 	}
-	return w
+	return cl
 }
 
-func (w *cluster) peers(i, k int) []netip.AddrPort {
+func (cl *cluster) peers(i, k int) []netip.AddrPort {
 	var all []netip.AddrPort
-	for j := range w.nodes {
+	for j := range cl.nodes {
 		if j != i {
 			all = append(all, nodeAddr(j))
 		}
 	}
-	w.st.rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
+	cl.st.rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
 	return all[:min(k, len(all))]
 }
 
-func (w *cluster) edit() {
+func (cl *cluster) edit() {
 	e := Edit{Editor: "ayse", Owner: "kanatpar"}
-	for _, k := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 4, rapid.ID[int]).Draw(w.t, "services") {
+	for _, k := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 4, rapid.ID[int]).Draw(cl.t, "services") {
 		service := fmt.Sprintf("s%d", k)
-		if rapid.IntRange(0, 3).Draw(w.t, "op") == 0 {
+		if rapid.IntRange(0, 3).Draw(cl.t, "op") == 0 {
 			e.Delete = append(e.Delete, service)
 			continue
 		}
-		addr := fmt.Sprintf("10.0.0.%d", rapid.IntRange(1, 12).Draw(w.t, "address"))
+		addr := fmt.Sprintf("10.0.0.%d", rapid.IntRange(1, 12).Draw(cl.t, "address"))
 		ent := entry(service, "kanatpar", addr)
-		ent.Limits.Slots = rapid.IntRange(1, 3).Draw(w.t, "slots")
+		ent.Limits.Slots = rapid.IntRange(1, 3).Draw(cl.t, "slots")
 		e.Put = append(e.Put, ent)
 	}
-	_, err := w.ed.Apply(context.Background(), e)
+	_, err := cl.ed.Apply(context.Background(), e)
 	var refused *RefusedError
 	var unknown *UnknownOutcomeError
 	if err != nil && !errors.As(err, &refused) && !errors.As(err, &unknown) {
-		w.t.Fatalf("edit: %v", err)
+		cl.t.Fatalf("edit: %v", err)
 	}
-	w.checkStore()
+	cl.checkStore()
 }
 
 // checkStore reads the store without faults, records its revisions and checks
 // that they are consecutive and never overwritten.
-func (w *cluster) checkStore() {
-	down, lose, drop := w.st.down, w.st.lose, w.st.drop
-	w.st.set(0, 0, 0)
-	defer w.st.set(down, lose, drop)
-	h, _, err := ReadHead(context.Background(), w.st)
+func (cl *cluster) checkStore() {
+	down, lose, drop := cl.st.down, cl.st.lose, cl.st.drop
+	cl.st.set(0, 0, 0)
+	defer cl.st.set(down, lose, drop)
+	h, _, err := ReadHead(context.Background(), cl.st)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	changes, err := h.changesAfter(context.Background(), w.st, 0)
+	changes, err := h.changesAfter(context.Background(), cl.st, 0)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	for i, ch := range changes {
 		if want := h.oldest() + uint64(i) + 1; ch.Revision != want {
-			w.t.Fatalf("revision %d, want %d", ch.Revision, want)
+			cl.t.Fatalf("revision %d, want %d", ch.Revision, want)
 		}
-		if old, ok := w.checksums[ch.Revision]; ok && old != ch.Checksum {
-			w.t.Fatalf("revision %d was overwritten", ch.Revision)
+		if old, ok := cl.checksums[ch.Revision]; ok && old != ch.Checksum {
+			cl.t.Fatalf("revision %d was overwritten", ch.Revision)
 		}
-		w.checksums[ch.Revision] = ch.Checksum
+		cl.checksums[ch.Revision] = ch.Checksum
 	}
 }
 
-func (w *cluster) node() int { return rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node") }
+func (cl *cluster) node() int { return rapid.IntRange(0, len(cl.nodes)-1).Draw(cl.t, "node") }
 
-func (w *cluster) readStore() {
-	i := w.node()
-	v, err := w.st.Get(context.Background(), HeadKey)
+func (cl *cluster) readStore() {
+	i := cl.node()
+	v, err := cl.st.Get(context.Background(), HeadKey)
 	if err != nil {
 		return
 	}
 	h, err := DecodeHead(v.Data)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	if !w.nodes[i].ReceiveHead(w.now, h) {
+	if !cl.nodes[i].ReceiveHead(cl.now, h) {
 		return
 	}
-	if b, err := LoadSince(context.Background(), w.st, w.nodes[i].Digest()); err == nil {
-		_ = w.nodes[i].ReceiveLoad(w.now, b)
+	if b, err := LoadSince(context.Background(), cl.st, cl.nodes[i].Digest()); err == nil {
+		_ = cl.nodes[i].ReceiveLoad(cl.now, b)
 	}
 }
 
-func (w *cluster) tick() {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 700).Draw(w.t, "ms")) * time.Millisecond)
-	w.nodes[w.node()].Tick(w.now)
+func (cl *cluster) tick() {
+	cl.now = cl.now.Add(time.Duration(rapid.IntRange(1, 700).Draw(cl.t, "ms")) * time.Millisecond)
+	cl.nodes[cl.node()].Tick(cl.now)
 }
 
-func (w *cluster) collectMessages() {
-	for i, r := range w.nodes {
+func (cl *cluster) collectMessages() {
+	for i, r := range cl.nodes {
 		for _, p := range r.Outgoing() {
-			w.pending = append(w.pending, pendingMessage{i, p})
+			cl.pending = append(cl.pending, pendingMessage{i, p})
 		}
 	}
 }
 
 // deliver delivers a random pending message, which stays pending in half of the
 // cases.
-func (w *cluster) deliver() {
-	w.collectMessages()
-	if len(w.pending) == 0 {
+func (cl *cluster) deliver() {
+	cl.collectMessages()
+	if len(cl.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.pending)-1).Draw(w.t, "message")
-	l := w.pending[i]
-	if rapid.Bool().Draw(w.t, "once") {
-		w.pending = append(w.pending[:i], w.pending[i+1:]...)
+	i := rapid.IntRange(0, len(cl.pending)-1).Draw(cl.t, "message")
+	msg := cl.pending[i]
+	if rapid.Bool().Draw(cl.t, "once") {
+		cl.pending = append(cl.pending[:i], cl.pending[i+1:]...)
 	}
-	m, err := DecodeMessage(l.p.Message.Encode())
+	m, err := DecodeMessage(msg.p.Message.Encode())
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	w.nodes[nodeIndex(l.p.To)].Receive(w.now, nodeAddr(l.from), m)
-	w.startLoad(nodeIndex(l.p.To))
+	cl.nodes[nodeIndex(msg.p.To)].Receive(cl.now, nodeAddr(msg.from), m)
+	cl.startLoad(nodeIndex(msg.p.To))
 }
 
-func (w *cluster) startLoad(i int) {
-	peer, ok := w.nodes[i].BulkSource()
+func (cl *cluster) startLoad(i int) {
+	peer, ok := cl.nodes[i].BulkSource()
 	if !ok {
 		return
 	}
-	if rapid.IntRange(0, 3).Draw(w.t, "bulk") == 0 {
-		w.nodes[i].BulkFailed()
+	if rapid.IntRange(0, 3).Draw(cl.t, "bulk") == 0 {
+		cl.nodes[i].BulkFailed()
 		return
 	}
 	var buf bytes.Buffer
-	if err := w.nodes[nodeIndex(peer)].Bulk(w.nodes[i].Digest()).Write(&buf); err != nil {
-		w.t.Fatal(err)
+	if err := cl.nodes[nodeIndex(peer)].Bulk(cl.nodes[i].Digest()).Write(&buf); err != nil {
+		cl.t.Fatal(err)
 	}
 	b, err := ReadBulk(&buf)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	w.loads = append(w.loads, bulkLoad{i, peer, b})
+	cl.loads = append(cl.loads, bulkLoad{i, peer, b})
 }
 
 // finishLoad completes a random bulk load in progress.
-func (w *cluster) finishLoad() {
-	if len(w.loads) == 0 {
+func (cl *cluster) finishLoad() {
+	if len(cl.loads) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.loads)-1).Draw(w.t, "load")
-	l := w.loads[i]
-	w.loads = append(w.loads[:i], w.loads[i+1:]...)
-	_ = w.nodes[l.to].ReceiveBulk(w.now, l.from, l.b)
+	i := rapid.IntRange(0, len(cl.loads)-1).Draw(cl.t, "load")
+	l := cl.loads[i]
+	cl.loads = append(cl.loads[:i], cl.loads[i+1:]...)
+	_ = cl.nodes[l.to].ReceiveBulk(cl.now, l.from, l.b)
 }
 
-func (w *cluster) setFaults() {
+func (cl *cluster) setFaults() {
 	share := rapid.SampledFrom([]float64{0, 0.3, 1})
-	w.st.set(share.Draw(w.t, "down"), share.Draw(w.t, "lose"), share.Draw(w.t, "drop"))
+	cl.st.set(share.Draw(cl.t, "down"), share.Draw(cl.t, "lose"), share.Draw(cl.t, "drop"))
 }
 
 // check is called after every step. It checks that no replica's revision has
 // decreased and that each replica's state is one that the store has had.
-func (w *cluster) check(t *rapid.T) {
-	for i, r := range w.nodes {
+func (cl *cluster) check(t *rapid.T) {
+	for i, r := range cl.nodes {
 		d := r.Digest()
-		if d.Revision < w.lastRevision[i] {
-			t.Fatalf("node %d reverted from %d to %d", i, w.lastRevision[i], d.Revision)
+		if d.Revision < cl.lastRevision[i] {
+			t.Fatalf("node %d reverted from %d to %d", i, cl.lastRevision[i], d.Revision)
 		}
-		w.lastRevision[i] = d.Revision
-		if sum, ok := w.checksums[d.Revision]; !ok || sum != d.Checksum {
+		cl.lastRevision[i] = d.Revision
+		if sum, ok := cl.checksums[d.Revision]; !ok || sum != d.Checksum {
 			t.Fatalf("node %d is at %+v, which the store never had", i, d)
 		}
 	}
@@ -218,49 +220,49 @@
 
 // converge ends all faults and checks that every replica reaches the state of
 // the store.
-func (w *cluster) converge() {
-	w.st.set(0, 0, 0)
-	c, _, _, err := Load(context.Background(), w.st)
+func (cl *cluster) converge() {
+	cl.st.set(0, 0, 0)
+	c, _, _, err := Load(context.Background(), cl.st)
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	s := c.Snapshot()
-	_ = w.nodes[0].ReceiveLoad(w.now, Bulk{Snapshot: &s})
-	for round := 0; round < 400 && !w.converged(c.Digest()); round++ {
-		w.now = w.now.Add(100 * time.Millisecond)
-		for _, r := range w.nodes {
-			r.Tick(w.now)
+	_ = cl.nodes[0].ReceiveLoad(cl.now, Bulk{Snapshot: &s})
+	for round := 0; round < 400 && !cl.converged(c.Digest()); round++ {
+		cl.now = cl.now.Add(100 * time.Millisecond)
+		for _, r := range cl.nodes {
+			r.Tick(cl.now)
 		}
-		w.collectMessages()
-		messages := w.pending
-		w.pending = nil
-		for _, l := range messages {
-			to := nodeIndex(l.p.To)
-			w.nodes[to].Receive(w.now, nodeAddr(l.from), l.p.Message)
-			if peer, ok := w.nodes[to].BulkSource(); ok {
-				_ = w.nodes[to].ReceiveBulk(w.now, peer, w.nodes[nodeIndex(peer)].Bulk(w.nodes[to].Digest()))
+		cl.collectMessages()
+		messages := cl.pending
+		cl.pending = nil
+		for _, msg := range messages {
+			to := nodeIndex(msg.p.To)
+			cl.nodes[to].Receive(cl.now, nodeAddr(msg.from), msg.p.Message)
+			if peer, ok := cl.nodes[to].BulkSource(); ok {
+				_ = cl.nodes[to].ReceiveBulk(cl.now, peer, cl.nodes[nodeIndex(peer)].Bulk(cl.nodes[to].Digest()))
 			}
 		}
 	}
-	if !w.converged(c.Digest()) {
-		w.t.Fatalf("the replicas do not converge to %+v", c.Digest())
+	if !cl.converged(c.Digest()) {
+		cl.t.Fatalf("the replicas do not converge to %+v", c.Digest())
 	}
-	for i, r := range w.nodes {
+	for i, r := range cl.nodes {
 		for _, e := range s.Entries {
 			if got, ok := r.Catalogue().Entry(e.Service); !ok || !got.sameContent(e) || got.Number != e.Number {
-				w.t.Fatalf("node %d has %+v, want %+v", i, got, e)
+				cl.t.Fatalf("node %d has %+v, want %+v", i, got, e)
 			}
 			for _, a := range e.Addresses {
 				if r.Table().NumberOf(a) != e.Number {
-					w.t.Fatalf("node %d: service number %d for address %s, want that of %+v", i, r.Table().NumberOf(a), a, e)
+					cl.t.Fatalf("node %d: service number %d for address %s, want that of %+v", i, r.Table().NumberOf(a), a, e)
 				}
 			}
 		}
 	}
 }
 
-func (w *cluster) converged(d Digest) bool {
-	for _, r := range w.nodes {
+func (cl *cluster) converged(d Digest) bool {
+	for _, r := range cl.nodes {
 		if !r.Digest().sameState(d) {
 			return false
 		}
@@ -274,17 +276,17 @@
 // messages between replicas are lost, repeated and reordered.
 func TestReplicasNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newCluster(t)
+		cl := newCluster(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"":        w.check,
-			"edit":    func(*rapid.T) { w.edit() },
-			"faults":  func(*rapid.T) { w.setFaults() },
-			"read":    func(*rapid.T) { w.readStore() },
-			"tick":    func(*rapid.T) { w.tick() },
-			"deliver": func(*rapid.T) { w.deliver() },
-			"finish":  func(*rapid.T) { w.finishLoad() },
+			"":        cl.check,
+			"edit":    func(*rapid.T) { cl.edit() },
+			"faults":  func(*rapid.T) { cl.setFaults() },
+			"read":    func(*rapid.T) { cl.readStore() },
+			"tick":    func(*rapid.T) { cl.tick() },
+			"deliver": func(*rapid.T) { cl.deliver() },
+			"finish":  func(*rapid.T) { cl.finishLoad() },
 		})
-		w.converge()
+		cl.converge()
 	})
 }
 
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -161,7 +161,7 @@
 	}
 	r.push(now, from, before)
 	if m.More {
-		r.lastPull = time.Time{} // the answer is complete, so handleDigest may pull again at once
+		r.lastPull = time.Time{} // the answer to the pull has ended, so handleDigest may pull again at once
 	}
 }
 
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -33,7 +33,7 @@
 	var mu sync.Mutex
 	moved := make(chan uint64, 64)
 	r := catalogue.NewReplica(catalogue.ReplicaConfig{Peers: func(int) []netip.AddrPort { return nil }})
-	f := catalogue.NewFollower(catalogue.FollowerConfig{Check: 50 * time.Millisecond, BackoffMax: 50 * time.Millisecond, Rand: rand.New(rand.NewPCG(1, 1))}, r)
+	f := catalogue.NewFollower(catalogue.FollowerConfig{CheckInterval: 50 * time.Millisecond, BackoffMax: 50 * time.Millisecond, Rand: rand.New(rand.NewPCG(1, 1))}, r)
 	do := func(run func(time.Time)) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/placement/alternate.go
+++ b/placement/alternate.go
@@ -13,8 +13,8 @@
 }
 
 // Alternate returns the agent with the lowest estimated load in a sample of the
-// agents other than primary, which is an index. ok is false when the service
-// has no other agent.
+// agents, without the one at index primary. ok is false when the service has no
+// other agent.
 func (t *Table) Alternate(cid []byte, primary int, load *Load, now time.Time) (alt Alternate, ok bool) {
 	return t.alternate(t.hash(cid), primary, load, ticks(now))
 }
@@ -28,7 +28,7 @@
 }
 
 // Choose returns the primary and the alternate for cid. ok is false when the
-// service has no agent that takes new flows.
+// service has no agent that accepts new flows.
 func (t *Table) Choose(cid []byte, load *Load, now time.Time) (c Choice, ok bool) {
 	h := t.hash(cid)
 	primary := t.primary(h)
--- a/placement/lab/model.go
+++ b/placement/lab/model.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	sampleEvery          = 100 * time.Millisecond
+	sampleInterval       = 100 * time.Millisecond
 	windowTicks          = 100 // samples per window
 	retransmitAfter      = time.Second
 	twoInitialsShare     = 0.5 // share of handshakes with a second Initial
@@ -81,7 +81,7 @@
 func (m *model) schedule() {
 	c := &m.c
 	m.drawFlow()
-	m.events.push(event{at: sampleEvery, kind: sample})
+	m.events.push(event{at: sampleInterval, kind: sample})
 	if m.policy.wantsReports() {
 		for i := range m.servers {
 			m.scheduleReport(i)
@@ -120,7 +120,7 @@
 		m.scheduleReport(int(e.id))
 	case sample:
 		m.sample()
-		m.events.push(event{at: m.now + sampleEvery, kind: sample})
+		m.events.push(event{at: m.now + sampleInterval, kind: sample})
 	case zoneFailure:
 		m.failZone()
 	case membersUpdate, ramp:
@@ -170,6 +170,7 @@
 	return int(f.zone) + m.c.Zones*int(f.next()%uint64(inZone))
 }
 
+// place places the flow on the arrival of an Initial packet.
 func (m *model) place(id int32) {
 	f := &m.flows[id]
 	b, second := m.balancer(f), m.balancer(f)
@@ -186,6 +187,7 @@
 	m.policy.report(m, b, chosen) // the first answer returns through the same balancer
 }
 
+// request starts, queues or refuses the flow's next request.
 func (m *model) request(id int32) {
 	f := &m.flows[id]
 	s := &m.servers[f.server]
@@ -216,6 +218,7 @@
 	m.events.push(event{at: m.now + length, kind: finish, id: id})
 }
 
+// finish ends the flow's request and starts the next one from the queue.
 func (m *model) finish(id int32) {
 	s := &m.servers[m.flows[id].server]
 	if !s.alive {
--- a/placement/lab/stats.go
+++ b/placement/lab/stats.go
@@ -11,7 +11,7 @@
 	flows, crossZone, split, forwarded, lost uint64
 	requests, refused, failed, broken        uint64
 	waits                                    *hdrhistogram.Histogram
-	windows, instants, factors               mean
+	windowRatios, busyRatios, factors        mean
 }
 
 func newStats() stats {
@@ -94,7 +94,7 @@
 		return
 	}
 	if busy > 0 {
-		m.stats.instants.add(float64(highest*alive) / float64(busy))
+		m.stats.busyRatios.add(float64(highest*alive) / float64(busy))
 	}
 	if m.ticks%windowTicks == 0 {
 		m.closeWindow()
@@ -104,7 +104,7 @@
 // historyRow returns a row to fill. It reuses the oldest row if the history
 // exceeds the lag.
 func (m *model) historyRow() []uint16 {
-	if len(m.history) <= int(m.c.Lag/sampleEvery) {
+	if len(m.history) <= int(m.c.Lag/sampleInterval) {
 		return make([]uint16, len(m.servers))
 	}
 	row := m.history[0]
@@ -119,9 +119,11 @@
 	}
 }
 
+// closeWindow records the ratio of the window that ends now and starts the next
+// window.
 func (m *model) closeWindow() {
 	if ratio := m.maxToMean(func(s *server) float64 { return float64(s.outstandingTime - s.windowStart) }); ratio > 0 {
-		m.stats.windows.add(ratio)
+		m.stats.windowRatios.add(ratio)
 	}
 	for i := range m.servers {
 		m.servers[i].windowStart = m.servers[i].outstandingTime
--- a/placement/table.go
+++ b/placement/table.go
@@ -75,7 +75,8 @@
 func (e entry) weight() uint8 { return uint8(e.packed >> weightShift) }
 func (e entry) local() bool   { return e.packed&localBit != 0 }
 
-// Table is an immutable snapshot of one service's agents that take new flows.
+// Table is an immutable snapshot of the agents of one service that accept new
+// flows. It is safe for concurrent use.
 // The zero value has no agents.
 type Table struct {
 	seed          uint64
