--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// The margins are wide; the measured figures are in docs/measure.
+// The bounds leave a wide margin to the figures in docs/measure.
 func TestPlacementBeatsPlainHashing(t *testing.T) {
 	ours, hashed := mustRun(t, testCase(), "placement"), mustRun(t, testCase(), "rendezvous")
 	if ours.WaitP99 > hashed.WaitP99/2 || ours.WindowMaxToMean > 1.4 {
