--- a/flow/director.go
+++ b/flow/director.go
@@ -171,10 +171,10 @@
 }
 
 // target returns the entry of an agent, nil if it was not queried.
-func (k *lookup) target(agent netip.AddrPort) *lookupTarget {
-	for i := range k.targets {
-		if k.targets[i].agent == agent {
-			return &k.targets[i]
+func (l *lookup) target(agent netip.AddrPort) *lookupTarget {
+	for i := range l.targets {
+		if l.targets[i].agent == agent {
+			return &l.targets[i]
 		}
 	}
 	return nil
--- a/flow/explore_test.go
+++ b/flow/explore_test.go
@@ -19,36 +19,36 @@
 // event is one event of a sequence.
 type event struct {
 	name string
-	do   func(x *explored)
+	do   func(x *sequenceRun)
 }
 
 // events are the events that sequences consist of. A flow opened at the start is held
 // by one of three servers. Its port determines which one, so events refer to the
 // holder, to another agent and to the third.
 var events = []event{
-	{"use A", func(x *explored) { x.use(balancerA) }},
-	{"use B", func(x *explored) { x.use(balancerB) }},
-	{"open through B", func(x *explored) { x.open(balancerB) }},
-	{"holder drains", func(x *explored) { x.drain(x.holder) }},
-	{"holder's server crashes and starts", func(x *explored) { x.crash(x.holder) }},
-	{"another server crashes and starts", func(x *explored) { x.crash(x.other()) }},
-	{"holder's agent restarts", func(x *explored) { x.restartAgent(x.holder) }},
-	{"another agent restarts", func(x *explored) { x.restartAgent(x.other()) }},
-	{"A restarts", func(x *explored) { x.restartBalancer(balancerA) }},
-	{"B restarts", func(x *explored) { x.restartBalancer(balancerB) }},
-	{"holder is cut off from B", func(x *explored) { x.cutPair(agentAddr(x.holder), balancerB) }},
-	{"holder's messages to A are dropped", func(x *explored) { x.cutOneWay(agentAddr(x.holder), balancerA) }},
-	{"holder is cut off", func(x *explored) { x.cutAll(agentAddr(x.holder)) }},
-	{"network recovers", func(x *explored) { x.w.drops = nil }},
-	{"another server stops responding", func(x *explored) { x.w.server(x.other()).unresponsive = true }},
-	{"A gets a newer configuration, B an older one", func(x *explored) { x.configure() }},
-	{"100 ms", func(x *explored) { x.w.advance(100 * time.Millisecond) }},
-	{"1 s", func(x *explored) { x.w.advance(time.Second) }},
-	{"7 s", func(x *explored) { x.w.advance(7 * time.Second) }},
-}
-
-// explored is the run of one sequence.
-type explored struct {
+	{"use A", func(x *sequenceRun) { x.request(balancerA) }},
+	{"use B", func(x *sequenceRun) { x.request(balancerB) }},
+	{"open through B", func(x *sequenceRun) { x.open(balancerB) }},
+	{"holder drains", func(x *sequenceRun) { x.drain(x.holder) }},
+	{"holder's server crashes and starts", func(x *sequenceRun) { x.crash(x.holder) }},
+	{"another server crashes and starts", func(x *sequenceRun) { x.crash(x.other()) }},
+	{"holder's agent restarts", func(x *sequenceRun) { x.restartAgent(x.holder) }},
+	{"another agent restarts", func(x *sequenceRun) { x.restartAgent(x.other()) }},
+	{"A restarts", func(x *sequenceRun) { x.restartBalancer(balancerA) }},
+	{"B restarts", func(x *sequenceRun) { x.restartBalancer(balancerB) }},
+	{"holder is cut off from B", func(x *sequenceRun) { x.partition(agentAddr(x.holder), balancerB) }},
+	{"holder's messages to A are dropped", func(x *sequenceRun) { x.dropOneWay(agentAddr(x.holder), balancerA) }},
+	{"holder is cut off", func(x *sequenceRun) { x.isolate(agentAddr(x.holder)) }},
+	{"network recovers", func(x *sequenceRun) { x.w.drops = nil }},
+	{"another server stops responding", func(x *sequenceRun) { x.w.server(x.other()).unresponsive = true }},
+	{"A gets a newer configuration, B an older one", func(x *sequenceRun) { x.configure() }},
+	{"100 ms", func(x *sequenceRun) { x.w.advance(100 * time.Millisecond) }},
+	{"1 s", func(x *sequenceRun) { x.w.advance(time.Second) }},
+	{"7 s", func(x *sequenceRun) { x.w.advance(7 * time.Second) }},
+}
+
+// sequenceRun is the run of one sequence.
+type sequenceRun struct {
 	w         *world
 	callers   []*testCaller
 	holder    int
@@ -61,27 +61,27 @@
 	violation string // the first violation
 }
 
-func newExplored(t fataler) *explored {
-	x := &explored{w: newWorld(t, 3), revision: 1}
+func newSequenceRun(t fataler) *sequenceRun {
+	x := &sequenceRun{w: newWorld(t, 3), revision: 1}
 	x.w.balancers[balancerA].AddBalancer(balancerB)
 	x.w.balancers[balancerB].AddBalancer(balancerA)
 	x.open(balancerA)
 	x.usedAt = x.w.now
 	x.holder = x.callers[0].holders()[0]
-	x.use(balancerA)
+	x.request(balancerA)
 	x.check()
 	return x
 }
 
-func (x *explored) other() int { return (x.holder + 1) % 3 }
+func (x *sequenceRun) other() int { return (x.holder + 1) % 3 }
 
-func (x *explored) open(via netip.AddrPort) {
+func (x *sequenceRun) open(via netip.AddrPort) {
 	c := x.w.caller(uint16(1000+len(x.callers)), listingPort)
 	x.callers = append(x.callers, c)
 	c.open(via, 0)
 }
 
-func (x *explored) use(via netip.AddrPort) {
+func (x *sequenceRun) request(via netip.AddrPort) {
 	x.idled = x.idled || x.w.now.Sub(x.usedAt) >= testIdle*time.Millisecond
 	x.usedAt = x.w.now
 	for _, c := range x.callers {
@@ -91,14 +91,14 @@
 	}
 }
 
-func (x *explored) heartbeat(n int) { x.w.heartbeat(n, x.w.server(n).sequence+1, x.draining[n]) }
+func (x *sequenceRun) heartbeat(n int) { x.w.heartbeat(n, x.w.server(n).sequence+1, x.draining[n]) }
 
-func (x *explored) drain(n int) {
+func (x *sequenceRun) drain(n int) {
 	x.draining[n] = true
 	x.heartbeat(n)
 }
 
-func (x *explored) crash(n int) {
+func (x *sequenceRun) crash(n int) {
 	x.instances++
 	v := x.w.server(n)
 	v.instance = fmt.Sprintf("i-new-%d", x.instances)
@@ -109,7 +109,7 @@
 	x.w.heartbeat(n, 1, false)
 }
 
-func (x *explored) restartAgent(n int) {
+func (x *sequenceRun) restartAgent(n int) {
 	g := x.w.restartAgent(n)
 	v := x.w.server(n)
 	if v.unresponsive {
@@ -119,7 +119,7 @@
 	x.heartbeat(n)
 }
 
-func (x *explored) restartBalancer(addr netip.AddrPort) {
+func (x *sequenceRun) restartBalancer(addr netip.AddrPort) {
 	d := x.w.addBalancer(addr)
 	d.SetRoutes(testRoutes(x.revision))
 	for n := range 3 {
@@ -132,19 +132,19 @@
 	}
 }
 
-func (x *explored) cutOneWay(a, b netip.AddrPort) {
+func (x *sequenceRun) dropOneWay(a, b netip.AddrPort) {
 	x.w.drops = func(from, to netip.AddrPort) bool { return from == a && to == b }
 }
 
-func (x *explored) cutPair(a, b netip.AddrPort) {
+func (x *sequenceRun) partition(a, b netip.AddrPort) {
 	x.w.drops = func(from, to netip.AddrPort) bool { return from == a && to == b || from == b && to == a }
 }
 
-func (x *explored) cutAll(a netip.AddrPort) {
+func (x *sequenceRun) isolate(a netip.AddrPort) {
 	x.w.drops = func(from, to netip.AddrPort) bool { return from == a || to == a }
 }
 
-func (x *explored) configure() {
+func (x *sequenceRun) configure() {
 	x.revision++
 	x.w.balancers[balancerA].SetRoutes(testRoutes(x.revision))
 	before := x.w.balancers[balancerB].Routes().Revision
@@ -154,14 +154,14 @@
 	}
 }
 
-func (x *explored) fail(format string, args ...any) {
+func (x *sequenceRun) fail(format string, args ...any) {
 	if x.violation == "" {
 		x.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // check looks for violations since the last check.
-func (x *explored) check() {
+func (x *sequenceRun) check() {
 	for n := range 3 {
 		v := x.w.server(n)
 		for _, s := range v.received[x.checked[n]:] {
@@ -183,7 +183,7 @@
 }
 
 // end advances the time by a second, within which every lookup ends.
-func (x *explored) end() {
+func (x *sequenceRun) end() {
 	x.w.advance(time.Second)
 	for _, d := range x.w.balancers {
 		if n := d.lookupRetries.len(); n > 0 {
@@ -193,10 +193,10 @@
 	x.check()
 }
 
-// playOrder runs the sequence with the given number and returns its events and the
+// runSequence runs the sequence with the given number and returns its events and the
 // first violation.
-func playOrder(t fataler, order, depth int) (names []string, wrong string) {
-	x := newExplored(t)
+func runSequence(t fataler, order, depth int) (names []string, violation string) {
+	x := newSequenceRun(t)
 	for range depth {
 		e := events[order%len(events)]
 		order /= len(events)
@@ -222,9 +222,9 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for order := int(next.Add(1)) - 1; order < total && broken.Load() < 10; order = int(next.Add(1)) - 1 {
-				if names, wrong := playOrder(t, order, *exploreDepth); wrong != "" {
+				if names, violation := runSequence(t, order, *exploreDepth); violation != "" {
 					broken.Add(1)
-					t.Errorf("%s after: %s", wrong, strings.Join(names, "; "))
+					t.Errorf("%s after: %s", violation, strings.Join(names, "; "))
 				}
 			}
 		})
--- a/flow/freelist.go
+++ b/flow/freelist.go
@@ -36,9 +36,9 @@
 
 // lookup returns a cleared lookup that reuses the slices of an earlier one.
 func (p *freeLists) lookup() *lookup {
-	k := take(&p.lookups)
-	*k = lookup{targets: k.targets[:0], packet: k.packet[:0], buffered: k.buffered[:0]}
-	return k
+	l := take(&p.lookups)
+	*l = lookup{targets: l.targets[:0], packet: l.packet[:0], buffered: l.buffered[:0]}
+	return l
 }
 
 // release puts the objects that an entry refers to back into the lists. Effects of the
--- a/flow/lab/bound.go
+++ b/flow/lab/bound.go
@@ -11,9 +11,9 @@
 // requests. Network delays are zero, and a slot may switch requests at any moment.
 // slots returns the work of a warm server that is done per second.
 func bound(all []*request, work, extra time.Duration, end time.Time, slots func(time.Time) float64) map[*request]float64 {
-	worth := map[*request]float64{}
+	credit := map[*request]float64{}
 	if len(all) == 0 {
-		return worth
+		return credit
 	}
 	left := map[*request]float64{}
 	next := 0
@@ -38,19 +38,19 @@
 				if left[q] > 0 {
 					continue
 				}
-				worth[q] = lateCredit
+				credit[q] = lateCredit
 				if onTime {
-					worth[q] = 1
+					credit[q] = 1
 				}
 			}
 		}
-		kept := open[:0]
+		unfinished := open[:0]
 		for _, q := range open {
 			if left[q] > 0 && now.Sub(q.sent) < deadline {
-				kept = append(kept, q)
+				unfinished = append(unfinished, q)
 			}
 		}
-		open = kept
+		open = unfinished
 	}
-	return worth
+	return credit
 }
--- a/flow/lab/caller.go
+++ b/flow/lab/caller.go
@@ -8,13 +8,13 @@
 
 // callers send requests and keep some of their flows open.
 type callers struct {
-	f         *fleet
-	flows     map[flow.Key]*callerFlow
-	idle      []*callerFlow // open flows without a request
-	longFlows int           // number of long flows, with or without a request
-	users     int           // number of callers that keep a flow open; each sends about one request per second
-	port      uint32
-	all       []*request
+	f               *fleet
+	flows           map[flow.Key]*callerFlow
+	idle            []*callerFlow // open flows without a request
+	longFlows       int           // number of long flows, with or without a request
+	longFlowCallers int           // number of callers that keep a flow open; each sends about one request per second
+	port            uint32
+	all             []*request
 }
 
 // request is a request of a caller, with its retries.
@@ -26,7 +26,7 @@
 	took  time.Duration // time until the answer; 0: none yet
 }
 
-// over reports whether the caller no longer waits.
+// done reports whether the caller no longer waits.
 func (q *request) done(now time.Time) bool { return q.took > 0 || now.Sub(q.sent) >= deadline }
 
 type callerFlow struct {
@@ -63,12 +63,12 @@
 		return
 	}
 	q.tries++
-	if n := len(c.idle); q.long && n > 0 && c.longFlows >= c.users {
+	if n := len(c.idle); q.long && n > 0 && c.longFlows >= c.longFlowCallers {
 		i := c.f.rng.IntN(n)
 		x := c.idle[i]
 		c.idle[i] = c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		c.sendOn(x, q)
+		c.sendRequest(x, q)
 		return
 	}
 	c.port++
@@ -93,7 +93,7 @@
 	})
 }
 
-// forget removes a flow of a caller.
+// remove removes a flow of a caller.
 func (c *callers) remove(x *callerFlow) {
 	delete(c.flows, x.key)
 	if x.long {
@@ -111,8 +111,8 @@
 	}
 }
 
-// sendOn sends a request on an open flow and repeats it until there is an answer.
-func (c *callers) sendOn(x *callerFlow, q *request) {
+// sendRequest sends a request on an open flow and repeats it until there is an answer.
+func (c *callers) sendRequest(x *callerFlow, q *request) {
 	x.request, q.flow = q, x
 	pause := 200 * time.Millisecond
 	var send func()
@@ -132,8 +132,8 @@
 	})
 }
 
-// packet handles a packet from a server.
-func (c *callers) packet(s flow.Segment) {
+// receive handles a packet from a server.
+func (c *callers) receive(s flow.Segment) {
 	x := c.flows[s.Key]
 	if x == nil {
 		return
@@ -144,7 +144,7 @@
 		x.seq++
 		x.ack = s.Seq + 1
 		if x.request != nil {
-			c.sendOn(x, x.request)
+			c.sendRequest(x, x.request)
 		}
 	case s.Fin:
 		c.failed(x)
--- a/flow/lab/experiment.go
+++ b/flow/lab/experiment.go
@@ -24,7 +24,7 @@
 	warmUp   = 5 * time.Second // of usual load before the event
 	measured = 10 * time.Second
 	window   = 2 * time.Second
-	// exchanges is the shortest time of an answer besides the work.
+	// networkTime is the shortest time of an answer besides the work.
 	networkTime = 6 * callerDelay
 )
 
@@ -93,18 +93,18 @@
 // the bound.
 func (c Config) replay(s scenario) (list []figure.Figure) {
 	windows := int(measured / window)
-	got, could := make([]float64, windows), make([]float64, windows)
+	achieved, atMost := make([]float64, windows), make([]float64, windows)
 	asked := make([]int, windows)
 	for n := range uint64(c.Seeds) {
 		f := newFleet(c, c.Seed+n)
 		f.Run(2*time.Second, nil)
-		f.callers.users = int(longFlowShare * c.Load * c.capacity())
+		f.callers.longFlowCallers = int(longFlowShare * c.Load * c.capacity())
 		f.callers.arrive(c.Load*c.capacity(), warmUp+measured)
 		f.Run(warmUp, nil)
 		begin := f.Now()
 		s.event(f)
 		f.Run(measured+deadline, nil)
-		best := bound(f.callers.all, c.Work, networkTime, f.Now(), func(at time.Time) float64 {
+		limits := bound(f.callers.all, c.Work, networkTime, f.Now(), func(at time.Time) float64 {
 			if at.Before(begin) {
 				return warmSlots(c)
 			}
@@ -116,20 +116,20 @@
 				continue
 			}
 			asked[i]++
-			got[i] += q.credit()
-			could[i] += best[q]
+			achieved[i] += q.credit()
+			atMost[i] += limits[q]
 		}
 	}
 	for i := range windows {
 		where := fmt.Sprintf("from=%ds", i*int(window/time.Second))
 		list = append(list,
-			figure.Figure{Case: where, Quantity: "credit", Value: got[i] / float64(max(asked[i], 1))},
-			figure.Figure{Case: where, Quantity: "credit at most", Value: could[i] / float64(max(asked[i], 1))})
+			figure.Figure{Case: where, Quantity: "credit", Value: achieved[i] / float64(max(asked[i], 1))},
+			figure.Figure{Case: where, Quantity: "credit at most", Value: atMost[i] / float64(max(asked[i], 1))})
 	}
 	return list
 }
 
-// worth returns the credit of the request, from 0 to 1.
+// credit returns the credit of the request, from 0 to 1.
 func (q *request) credit() float64 {
 	switch {
 	case q.took == 0:
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -132,7 +132,7 @@
 
 // fromCaller carries a caller's packet to a balancer, the same one as long as it is up.
 func (f *fleet) fromCaller(s flow.Segment) {
-	b := f.route(s.Key)
+	b := f.balancerFor(s.Key)
 	if b == nil {
 		return
 	}
@@ -149,8 +149,8 @@
 	})
 }
 
-// route picks the balancer of a flow among those that are up.
-func (f *fleet) route(key flow.Key) *balancer {
+// balancerFor picks the balancer of a flow among those that are up.
+func (f *fleet) balancerFor(key flow.Key) *balancer {
 	var best *balancer
 	var bestScore uint64
 	for n, b := range f.balancers {
@@ -225,7 +225,7 @@
 				f.After(100*time.Microsecond, func() { v.receive(*decode(packet)) })
 			}
 		case flow.SendCaller:
-			f.After(callerDelay, func() { f.callers.packet(*decode(packet)) })
+			f.After(callerDelay, func() { f.callers.receive(*decode(packet)) })
 		case flow.SendMessage:
 			f.toBalancer(a.addr, to, m, packet)
 		}
--- a/flow/lab/server.go
+++ b/flow/lab/server.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// take handles a packet that the agent forwards.
+// receive handles a packet that the agent forwards.
 func (v *server) receive(s flow.Segment) {
 	if !v.alive() {
 		return
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -26,43 +26,43 @@
 // that holds the flow forwards it at once, so a flow that is found is not delayed.
 func (d *Director) startLookup(now time.Time, e *entry, s *Segment, packet []byte, all bool) {
 	d.free.release(e)
-	k := d.free.lookup()
-	k.serial, k.startedAt, k.allQueried, k.lastAttemptAt, k.segment = d.nextSerial(), now, all, now, *s
-	k.packet = append(k.packet, packet...)
+	l := d.free.lookup()
+	l.serial, l.startedAt, l.allQueried, l.lastAttemptAt, l.segment = d.nextSerial(), now, all, now, *s
+	l.packet = append(l.packet, packet...)
 	e.state = entryLookup
-	e.lookup = k
+	e.lookup = l
 	var targets []netip.AddrPort
 	if v := d.serviceOf(s.Key); !all && v != nil && len(d.agents) > queryAllLimit {
 		targets = v.all.AppendRanked(s.Key.hash(), lookupFanout, d.targetScratch[:0])
 		d.targetScratch = targets
 	} else {
-		k.allQueried = true
-		targets = d.agentsNotQueried(k)
+		l.allQueried = true
+		targets = d.agentsNotQueried(l)
 	}
-	d.trace.LookupStarted(now, s.Key, len(targets), k.allQueried)
+	d.trace.LookupStarted(now, s.Key, len(targets), l.allQueried)
 	if len(targets) == 0 {
 		d.countDropped(ReasonNoAgent)
 		d.removeEntry(s.Key)
 		return
 	}
-	d.queryAgents(k, targets)
-	d.scheduleRetry(now, k)
+	d.queryAgents(l, targets)
+	d.scheduleRetry(now, l)
 }
 
 // scheduleRetry schedules another query to the agents that do not answer. One of some
 // dozens of queries and answers is easily lost, and a missing one leaves the caller of
 // an ended flow waiting for its deadline.
-func (d *Director) scheduleRetry(now time.Time, k *lookup) {
-	if k.retries < maxQueryAttempts {
-		d.lookupRetries.push(lookupRetry{lookupRef{k, k.serial}, now.Add(queryRetryInterval)})
+func (d *Director) scheduleRetry(now time.Time, l *lookup) {
+	if l.retries < maxQueryAttempts {
+		d.lookupRetries.push(lookupRetry{lookupRef{l, l.serial}, now.Add(queryRetryInterval)})
 	}
 }
 
 // blockLookup has a lookup checked again once fewer agents have to answer.
-func (d *Director) blockLookup(k *lookup) {
-	if !k.blocked {
-		k.blocked = true
-		d.blockedLookups = append(d.blockedLookups, lookupRef{k, k.serial})
+func (d *Director) blockLookup(l *lookup) {
+	if !l.blocked {
+		l.blocked = true
+		d.blockedLookups = append(d.blockedLookups, lookupRef{l, l.serial})
 	}
 }
 
@@ -79,8 +79,8 @@
 	d.blockedLookups = nil
 	for _, ref := range blocked {
 		if !ref.ended() {
-			ref.k.blocked = false
-			d.conclude(now, ref.k)
+			ref.lookup.blocked = false
+			d.conclude(now, ref.lookup)
 		}
 	}
 }
@@ -89,23 +89,23 @@
 func (d *Director) retryLookups(now time.Time) {
 	for d.lookupRetries.len() > 0 && !d.lookupRetries.first().at.After(now) {
 		a := d.lookupRetries.pop()
-		k := a.k
+		l := a.lookup
 		if a.ended() {
 			continue
 		}
-		if !k.hasPendingQuery() {
-			k.retries++
-			d.queryAgents(k, d.unansweredTargets(k))
+		if !l.hasPendingQuery() {
+			l.retries++
+			d.queryAgents(l, d.unansweredTargets(l))
 		}
-		d.scheduleRetry(now, k)
+		d.scheduleRetry(now, l)
 	}
 }
 
 // hasPendingQuery reports whether the query to some agent has not been sent yet. On a
 // slow link it is sent late, and querying the others again would delay it further.
-func (k *lookup) hasPendingQuery() bool {
-	for i := range k.targets {
-		if k.targets[i].queryPending {
+func (l *lookup) hasPendingQuery() bool {
+	for i := range l.targets {
+		if l.targets[i].queryPending {
 			return true
 		}
 	}
@@ -113,10 +113,10 @@
 }
 
 // unansweredTargets returns the agents that were queried and have not answered.
-func (d *Director) unansweredTargets(k *lookup) []netip.AddrPort {
+func (d *Director) unansweredTargets(l *lookup) []netip.AddrPort {
 	list := d.targetScratch[:0]
-	for i := range k.targets {
-		if q := &k.targets[i]; !q.answered && !q.queryPending && d.agents[q.agent] != nil {
+	for i := range l.targets {
+		if q := &l.targets[i]; !q.answered && !q.queryPending && d.agents[q.agent] != nil {
 			list = append(list, q.agent)
 		}
 	}
@@ -127,26 +127,26 @@
 // queryAgents queries agents for a flow. If no other lookup was sent recently, the
 // query carries the flow's packet and is sent at once, so that a flow that is found is
 // not delayed; otherwise it waits for its place in the queue.
-func (d *Director) queryAgents(k *lookup, targets []netip.AddrPort) {
+func (d *Director) queryAgents(l *lookup, targets []netip.AddrPort) {
 	if len(targets) == 0 {
 		return
 	}
 	atOnce := d.queries.idle(d.now) && len(targets) <= queryAllLimit
 	for _, addr := range targets {
-		q := k.target(addr)
+		q := l.target(addr)
 		if q == nil {
-			k.targets = append(k.targets, lookupTarget{agent: addr})
-			q = &k.targets[len(k.targets)-1]
+			l.targets = append(l.targets, lookupTarget{agent: addr})
+			q = &l.targets[len(l.targets)-1]
 		}
 		if atOnce {
-			d.sendRequest(addr, Message{Kind: Lookup}, k.packet)
+			d.sendRequest(addr, Message{Kind: Lookup}, l.packet)
 			continue
 		}
 		q.queryPending = true
-		d.queries.add(addr, k)
+		d.queries.add(addr, l)
 	}
 	if atOnce {
-		d.queries.charge(d.now, len(targets), len(targets)*len(k.packet))
+		d.queries.charge(d.now, len(targets), len(targets)*len(l.packet))
 	}
 }
 
@@ -159,10 +159,10 @@
 }
 
 // agentsNotQueried returns the agents that were not queried for a flow.
-func (d *Director) agentsNotQueried(k *lookup) []netip.AddrPort {
+func (d *Director) agentsNotQueried(l *lookup) []netip.AddrPort {
 	list := d.targetScratch[:0]
 	for addr, a := range d.agents {
-		if !a.ended() && k.target(addr) == nil {
+		if !a.ended() && l.target(addr) == nil {
 			list = append(list, addr)
 		}
 	}
@@ -190,36 +190,36 @@
 // whether its server holds the flow from the server's reaction, and a server does not
 // react to a packet without data. Answers received before remain valid.
 func (d *Director) continueLookup(now time.Time, e *entry, s *Segment, packet []byte) {
-	k := e.lookup
-	first := s.Data > 0 && k.segment.Data == 0
-	due := now.Sub(k.lastAttemptAt) >= minRetransmissionTime
-	if replaces := s.Data > 0 || k.segment.Data == 0; replaces && (first || due) {
-		k.segment = *s
-		k.packet = append(k.packet[:0], packet...)
-	} else if !k.buffer(packet) {
+	l := e.lookup
+	first := s.Data > 0 && l.segment.Data == 0
+	due := now.Sub(l.lastAttemptAt) >= minRetransmissionTime
+	if replaces := s.Data > 0 || l.segment.Data == 0; replaces && (first || due) {
+		l.segment = *s
+		l.packet = append(l.packet[:0], packet...)
+	} else if !l.buffer(packet) {
 		d.countDropped(ReasonOverflow)
 	}
 	if !first && !due {
 		return
 	}
-	k.lastAttemptAt = now
-	d.queryAgents(k, d.unansweredTargets(k))
-	d.conclude(now, k)
+	l.lastAttemptAt = now
+	d.queryAgents(l, d.unansweredTargets(l))
+	d.conclude(now, l)
 }
 
 // buffer copies a packet for the agent that holds the flow, reusing the memory of an
 // earlier one if possible. It reports whether there was space.
-func (k *lookup) buffer(packet []byte) bool {
-	n := len(k.buffered)
+func (l *lookup) buffer(packet []byte) bool {
+	n := len(l.buffered)
 	if n == maxBufferedPackets {
 		return false
 	}
-	if n == cap(k.buffered) {
-		k.buffered = append(k.buffered, nil)
+	if n == cap(l.buffered) {
+		l.buffered = append(l.buffered, nil)
 	} else {
-		k.buffered = k.buffered[:n+1]
+		l.buffered = l.buffered[:n+1]
 	}
-	k.buffered[n] = append(k.buffered[n][:0], packet...)
+	l.buffered[n] = append(l.buffered[n][:0], packet...)
 	return true
 }
 
@@ -233,14 +233,14 @@
 // completeLookup ends a lookup. The agent gets the buffered packets, and the one that
 // started the lookup if it was queried without it.
 func (d *Director) completeLookup(now time.Time, e *entry, at netip.AddrPort, withFirst bool) {
-	k := e.lookup
+	l := e.lookup
 	d.stats.Found++
-	d.trace.Found(now, k.segment.Key, at, now.Sub(k.lastAttemptAt))
+	d.trace.Found(now, l.segment.Key, at, now.Sub(l.lastAttemptAt))
 	d.setHolder(e, at)
 	if withFirst {
-		d.forward(at, k.packet)
+		d.forward(at, l.packet)
 	}
-	for _, packet := range k.buffered {
+	for _, packet := range l.buffered {
 		d.forward(at, packet)
 	}
 }
@@ -288,29 +288,29 @@
 // it queries the others, and resets the flow when none is left. It does not reset
 // before all agents have answered and this balancer knows all agents, because a reset
 // breaks a flow that is still open.
-func (d *Director) conclude(now time.Time, k *lookup) {
-	for i := range k.targets {
-		q := &k.targets[i]
+func (d *Director) conclude(now time.Time, l *lookup) {
+	for i := range l.targets {
+		q := &l.targets[i]
 		done := q.answered || q.uncertain && d.fleetRecentlyStarted
 		if a := d.agents[q.agent]; !done && a != nil && !d.answerOptional(now, a) {
-			d.blockLookup(k)
+			d.blockLookup(l)
 			return
 		}
 	}
-	if others := d.agentsNotQueried(k); len(others) > 0 {
-		k.allQueried = true
-		d.queryAgents(k, others)
+	if others := d.agentsNotQueried(l); len(others) > 0 {
+		l.allQueried = true
+		d.queryAgents(l, others)
 		return
 	}
-	if !d.knowsAllAgents(now) || !d.membersConfirmed(now, k) {
-		if !k.unconfirmed {
-			k.unconfirmed = true
-			d.unconfirmed = append(d.unconfirmed, k)
+	if !d.knowsAllAgents(now) || !d.membersConfirmed(now, l) {
+		if !l.unconfirmed {
+			l.unconfirmed = true
+			d.unconfirmed = append(d.unconfirmed, l)
 		}
 		return
 	}
-	if e := d.flows[k.segment.Key]; e != nil {
-		d.endFlow(now, e, &k.segment, ReasonNotHeld)
+	if e := d.flows[l.segment.Key]; e != nil {
+		d.endFlow(now, e, &l.segment, ReasonNotHeld)
 	}
 }
 
@@ -330,10 +330,10 @@
 	}
 	lookups := d.unconfirmed
 	d.unconfirmed = nil
-	for _, k := range lookups {
-		k.unconfirmed = false
-		if e := d.flows[k.segment.Key]; e != nil && e.lookup == k {
-			d.conclude(now, k)
+	for _, l := range lookups {
+		l.unconfirmed = false
+		if e := d.flows[l.segment.Key]; e != nil && e.lookup == l {
+			d.conclude(now, l)
 		}
 	}
 }
--- a/flow/member_check.go
+++ b/flow/member_check.go
@@ -22,9 +22,9 @@
 // began, and asks them if not. The flow was opened before the lookup, so the balancer
 // that opened it knew the agent that holds it. If no balancer answers, the others have
 // failed and the list known here counts as complete.
-func (d *Director) membersConfirmed(now time.Time, k *lookup) bool {
+func (d *Director) membersConfirmed(now time.Time, l *lookup) bool {
 	c := &d.memberCheck
-	if len(d.balancers) == 0 || !c.confirmedAt.Before(k.startedAt) {
+	if len(d.balancers) == 0 || !c.confirmedAt.Before(l.startedAt) {
 		return true
 	}
 	if at, waiting := c.due(); waiting && now.Before(at) {
--- a/flow/offer.go
+++ b/flow/offer.go
@@ -269,9 +269,9 @@
 
 // offerTimeout is the deadline of an agent's answer.
 type offerTimeout struct {
-	o      *opening
-	serial uint64 // of the wait; if the opening's differs, another wait has begun
-	at     time.Time
+	opening *opening
+	serial  uint64 // of the wait; if the opening's differs, another wait has begun
+	at      time.Time
 }
 
 // startTimeout starts the wait for an agent's answer.
@@ -284,7 +284,7 @@
 func (d *Director) expire(now time.Time, queue *fifo[offerTimeout]) {
 	for queue.len() > 0 && !queue.first().at.After(now) {
 		w := queue.pop()
-		if e := d.flows[w.o.key]; e != nil && e.open == w.o && w.o.serial == w.serial {
+		if e := d.flows[w.opening.key]; e != nil && e.open == w.opening && w.opening.serial == w.serial {
 			d.onOfferTimeout(now, e)
 		}
 	}
--- a/flow/property_test.go
+++ b/flow/property_test.go
@@ -16,7 +16,7 @@
 // lookup ends.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &play{t: t, w: newWorld(t, 3), draining: map[int]bool{}}
+		p := &randomRun{t: t, w: newWorld(t, 3), draining: map[int]bool{}}
 		p.w.balancers[balancerA].AddBalancer(balancerB)
 		p.w.balancers[balancerB].AddBalancer(balancerA)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
@@ -26,8 +26,8 @@
 	})
 }
 
-// play is one random run.
-type play struct {
+// randomRun is one random run.
+type randomRun struct {
 	t        *rapid.T
 	w        *world
 	callers  []*testCaller
@@ -36,18 +36,18 @@
 	started  int // number of server instances started
 }
 
-func (p *play) step() {
+func (p *randomRun) step() {
 	n := rapid.IntRange(0, 2).Draw(p.t, "agent")
 	via := []netip.AddrPort{balancerA, balancerB}[rapid.IntRange(0, 1).Draw(p.t, "balancer")]
 	before := p.counts()
-	switch rapid.SampledFrom([]string{"open", "open", "use", "use", "use", "drain", "crash", "restart agent", "restart balancer", "restart all processes", "cut", "heal", "pass"}).Draw(p.t, "action") {
+	switch rapid.SampledFrom([]string{"open", "open", "use", "use", "use", "drain", "crash", "restart agent", "restart balancer", "restart all processes", "isolate agent", "restore network", "advance time"}).Draw(p.t, "action") {
 	case "open":
 		p.port++
 		c := p.w.caller(p.port, listingPort)
 		p.callers = append(p.callers, c)
 		c.open(via, 0)
 	case "use":
-		p.use(via)
+		p.request(via)
 	case "drain":
 		p.draining[n] = true
 		p.heartbeat(n)
@@ -67,19 +67,19 @@
 		}
 	case "restart all processes":
 		p.restartAll()
-	case "cut":
+	case "isolate agent":
 		a := agentAddr(n)
 		p.w.drops = func(from, to netip.AddrPort) bool { return from == a || to == a }
-	case "heal":
+	case "restore network":
 		p.w.drops = nil
-	case "pass":
+	case "advance time":
 		p.w.advance(time.Duration(rapid.IntRange(1, 30).Draw(p.t, "time")) * 100 * time.Millisecond)
 	}
 	p.check(before)
 }
 
 // restartAll replaces all balancers and agents; the servers keep running.
-func (p *play) restartAll() {
+func (p *randomRun) restartAll() {
 	for n := range 3 {
 		p.w.restartAgent(n).StatusCheck(p.w.now, StatusCheckResult{Answered: true, Instance: p.w.server(n).instance})
 	}
@@ -99,12 +99,12 @@
 }
 
 // heartbeat sends the server's next heartbeat.
-func (p *play) heartbeat(n int) {
+func (p *randomRun) heartbeat(n int) {
 	p.w.heartbeat(n, p.w.server(n).sequence+1, p.draining[n])
 }
 
 // crash replaces a server by a new instance, which is ready.
-func (p *play) crash(n int) {
+func (p *randomRun) crash(n int) {
 	p.started++
 	v := p.w.server(n)
 	v.instance = fmt.Sprintf("i-new-%d", p.started)
@@ -114,8 +114,8 @@
 	p.w.heartbeat(n, 1, false)
 }
 
-// use sends a request on an open flow.
-func (p *play) use(via netip.AddrPort) {
+// request sends a request on an open flow.
+func (p *randomRun) request(via netip.AddrPort) {
 	if len(p.callers) == 0 {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // counts returns the number of packets that each server has received.
-func (p *play) counts() [3]int {
+func (p *randomRun) counts() [3]int {
 	var c [3]int
 	for n := range c {
 		c[n] = len(p.w.server(n).received)
@@ -134,7 +134,7 @@
 	return c
 }
 
-func (p *play) check(before [3]int) {
+func (p *randomRun) check(before [3]int) {
 	for n := range before {
 		v := p.w.server(n)
 		for _, s := range v.received[min(before[n], len(v.received)):] {
@@ -157,7 +157,7 @@
 
 // checkEnd advances the time by a second without packets, within which every lookup
 // ends.
-func (p *play) checkEnd() {
+func (p *randomRun) checkEnd() {
 	p.w.advance(time.Second)
 	for _, d := range p.w.balancers {
 		if n := d.lookupRetries.len(); n > 0 {
@@ -166,4 +166,4 @@
 	}
 }
 
-func (p *play) openAt(n int, k Key) bool { return p.w.server(n).flows[k] != nil }
+func (p *randomRun) openAt(n int, k Key) bool { return p.w.server(n).flows[k] != nil }
--- a/flow/query.go
+++ b/flow/query.go
@@ -41,11 +41,11 @@
 
 // lookupRef refers to a lookup that may have ended since.
 type lookupRef struct {
-	k      *lookup
+	lookup *lookup
 	serial uint64
 }
 
-func (r lookupRef) ended() bool { return r.k.serial != r.serial }
+func (r lookupRef) ended() bool { return r.lookup.serial != r.serial }
 
 // outbox holds the lookups that one agent is queried for next.
 type outbox struct {
@@ -113,7 +113,7 @@
 }
 
 // add queues the query of an agent for a flow.
-func (q *queries) add(agent netip.AddrPort, k *lookup) {
+func (q *queries) add(agent netip.AddrPort, l *lookup) {
 	box := q.outboxes[agent]
 	if box == nil {
 		box = &outbox{agent: agent}
@@ -122,7 +122,7 @@
 	if len(box.flows) == 0 {
 		q.nonEmpty.push(box)
 	}
-	box.flows = append(box.flows, lookupRef{k, k.serial})
+	box.flows = append(box.flows, lookupRef{l, l.serial})
 }
 
 // take appends the lookups of the next message to an agent.
@@ -189,9 +189,9 @@
 	start := len(d.queries.arena)
 	b := binary.LittleEndian.AppendUint64(d.queries.arena, v.number)
 	for _, ref := range v.flows {
-		ref.k.target(box.agent).queryPending = false
-		b = ref.k.segment.Key.Append(b)
-		b = binary.LittleEndian.AppendUint32(b, ref.k.segment.Ack)
+		ref.lookup.target(box.agent).queryPending = false
+		b = ref.lookup.segment.Key.Append(b)
+		b = binary.LittleEndian.AppendUint32(b, ref.lookup.segment.Ack)
 	}
 	d.queries.arena = b
 	if len(v.flows) == 0 {
@@ -209,9 +209,9 @@
 	if p.ref.ended() || d.fleetRecentlyStarted {
 		return 0
 	}
-	p.ref.k.target(p.agent).queryPending = false
-	d.sendRequest(p.agent, Message{Kind: Lookup}, p.ref.k.packet)
-	return len(p.ref.k.packet)
+	p.ref.lookup.target(p.agent).queryPending = false
+	d.sendRequest(p.agent, Message{Kind: Lookup}, p.ref.lookup.packet)
+	return len(p.ref.lookup.packet)
 }
 
 // onQueryAnswer handles an agent's answer to a Query.
@@ -227,35 +227,35 @@
 	delete(d.queries.sent, number)
 	for _, ref := range v.flows {
 		if !ref.ended() {
-			d.onLookupResult(now, from, ref.k, resultFor(ref.k.segment.Key, b[numberSize:]))
+			d.onLookupResult(now, from, ref.lookup, resultFor(ref.lookup.segment.Key, b[numberSize:]))
 		}
 	}
 }
 
 // onLookupResult handles an agent's result for one flow.
-func (d *Director) onLookupResult(now time.Time, from netip.AddrPort, k *lookup, f LookupResult) {
-	e := d.flows[k.segment.Key]
-	if e == nil || e.lookup != k {
+func (d *Director) onLookupResult(now time.Time, from netip.AddrPort, l *lookup, result LookupResult) {
+	e := d.flows[l.segment.Key]
+	if e == nil || e.lookup != l {
 		return
 	}
-	if f == FlowNeedsPacket || f == FlowUnknown {
+	if result == FlowNeedsPacket || result == FlowUnknown {
 		if d.fleetRecentlyStarted {
-			f = FlowNotHeld
+			result = FlowNotHeld
 		}
-		if q := k.target(from); q != nil {
+		if q := l.target(from); q != nil {
 			q.uncertain = true
-			d.blockLookup(k)
+			d.blockLookup(l)
 		}
 	}
-	switch f {
+	switch result {
 	case FlowHeld:
 		d.completeLookup(now, e, from, true)
 	case FlowLost:
-		d.endFlow(now, e, &k.segment, ReasonLost)
+		d.endFlow(now, e, &l.segment, ReasonLost)
 	case FlowNeedsPacket:
-		if p := k.target(from); p != nil && !p.queryPending {
+		if p := l.target(from); p != nil && !p.queryPending {
 			p.queryPending = true
-			d.queries.packets.push(packetDue{lookupRef{k, k.serial}, from})
+			d.queries.packets.push(packetDue{lookupRef{l, l.serial}, from})
 		}
 	case FlowNotHeld:
 		d.recordNotHeld(now, e, from)
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -120,7 +120,7 @@
 
 // resetTimeout is the deadline of an agent's answer to ReserveCapacity.
 type resetTimeout struct {
-	r      *pendingReset
+	reset  *pendingReset
 	serial uint64 // of the wait; if the reset's differs, another wait has begun
 	at     time.Time
 }
@@ -143,20 +143,20 @@
 func (d *Director) expireReserves(now time.Time) {
 	for d.reserveTimeouts.len() > 0 && !d.reserveTimeouts.first().at.After(now) {
 		w := d.reserveTimeouts.pop()
-		e := d.flows[w.r.key]
-		if e == nil || e.reset != w.r || w.r.serial != w.serial {
+		e := d.flows[w.reset.key]
+		if e == nil || e.reset != w.reset || w.reset.serial != w.serial {
 			continue
 		}
 		d.reserveCapacity(now, e)
 	}
 	for d.queuedResets.len() > 0 && !d.queuedResets.first().at.After(now) {
 		w := d.queuedResets.pop()
-		e := d.flows[w.r.key]
-		if e == nil || e.reset != w.r || w.r.serial != w.serial {
+		e := d.flows[w.reset.key]
+		if e == nil || e.reset != w.reset || w.reset.serial != w.serial {
 			continue
 		}
-		if now.Before(w.r.until.Add(2 * d.cfg.OpenTimeout)) {
-			d.queuedResets.push(resetTimeout{w.r, w.serial, now.Add(resetCheckInterval)})
+		if now.Before(w.reset.until.Add(2 * d.cfg.OpenTimeout)) {
+			d.queuedResets.push(resetTimeout{w.reset, w.serial, now.Add(resetCheckInterval)})
 			continue
 		}
 		d.sendPendingReset(now, e)
--- a/flow/restored.go
+++ b/flow/restored.go
@@ -27,45 +27,45 @@
 }
 
 // update applies the change from one set of orders in force to another.
-func (l *unconfirmedZones) update(now time.Time, before, after *Orders) {
-	if before.Number < l.restored.first && after.Number >= l.restored.first {
+func (z *unconfirmedZones) update(now time.Time, before, after *Orders) {
+	if before.Number < z.restored.first && after.Number >= z.restored.first {
 		for zone := range before.Evacuated {
-			l.add(now, zone)
+			z.add(now, zone)
 		}
 	}
 	for zone := range after.Evacuated {
-		delete(l.zones, zone)
+		delete(z.zones, zone)
 	}
 }
 
 // add excludes a zone from new flows until the rewrite window ends. It returns false if
 // the window has ended.
-func (l *unconfirmedZones) add(now time.Time, zone uint32) bool {
-	if !now.Before(l.restored.until) {
+func (z *unconfirmedZones) add(now time.Time, zone uint32) bool {
+	if !now.Before(z.restored.until) {
 		return false
 	}
-	if l.zones == nil {
-		l.zones = make(map[uint32]struct{})
+	if z.zones == nil {
+		z.zones = make(map[uint32]struct{})
 	}
-	l.zones[zone] = struct{}{}
+	z.zones[zone] = struct{}{}
 	return true
 }
 
 // has reports whether a zone is excluded from new flows for this reason.
-func (l *unconfirmedZones) has(zone uint32) bool {
-	_, ok := l.zones[zone]
+func (z *unconfirmedZones) has(zone uint32) bool {
+	_, ok := z.zones[zone]
 	return ok
 }
 
-func (l *unconfirmedZones) none() bool { return len(l.zones) == 0 }
+func (z *unconfirmedZones) none() bool { return len(z.zones) == 0 }
 
 // expire removes the zones once the rewrite window has ended, and reports whether there
 // were any.
-func (l *unconfirmedZones) expire(now time.Time) bool {
-	if l.none() || now.Before(l.restored.until) {
+func (z *unconfirmedZones) expire(now time.Time) bool {
+	if z.none() || now.Before(z.restored.until) {
 		return false
 	}
-	l.zones = nil
+	z.zones = nil
 	return true
 }
 
