--- a/flow/director.go
+++ b/flow/director.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// HelloEvery is the shortest interval between two hello messages to an agent.
-	HelloEvery = time.Second
+	// MinHelloInterval is the shortest interval between two hello messages to an agent.
+	MinHelloInterval = time.Second
 	// maxBusyRefusals is the number of agents that may refuse a flow as busy. They are
 	// the least loaded ones, so a fourth would refuse it too.
 	maxBusyRefusals = 3
--- a/flow/director_config.go
+++ b/flow/director_config.go
@@ -39,7 +39,7 @@
 	// quarter of the time after which a caller repeats its first packet.
 	DefaultOpenTimeout = 50 * time.Millisecond
 	// DefaultAgentTimeout is three reports at the shortest interval.
-	DefaultAgentTimeout = missedReports * ReportEvery
+	DefaultAgentTimeout = missedReports * MinReportInterval
 	// DefaultAgentExpiry is above the time in which a killed agent has restarted.
 	DefaultAgentExpiry = 6 * time.Second
 	// DefaultDiscoveryTime is more than two report intervals: agents continue to report
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -56,7 +56,7 @@
 		t.Fatalf("%d agents ready while the network is down", n)
 	}
 	w.drops = nil
-	w.advance(2 * HelloEvery)
+	w.advance(2 * MinHelloInterval)
 	if n := w.balancers[balancerA].Stats().Ready; n != 1 {
 		t.Fatalf("%d agents ready after the network came back", n)
 	}
@@ -120,11 +120,11 @@
 	a, b := w.balancers[balancerA], w.balancers[balancerB]
 	a.StoreRead(w.now)
 	a.SetRoutes(testRoutes(5))
-	w.advance(HelloEvery + ReportEvery)
+	w.advance(MinHelloInterval + MinReportInterval)
 	if !b.Behind() {
 		t.Fatal("the other balancer does not know of the newer revision")
 	}
-	if age := w.now.Sub(b.ReadAt()); age > 2*HelloEvery {
+	if age := w.now.Sub(b.ReadAt()); age > 2*MinHelloInterval {
 		t.Fatalf("the read is %v old for the other balancer", age)
 	}
 }
@@ -213,7 +213,7 @@
 	w.agents[agentAddr(2)] = a
 	w.heartbeat(2, 1, false)
 	a.gate.AddBalancer(w.now, balancerA)
-	w.advance(2 * HelloEvery)
+	w.advance(2 * MinHelloInterval)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
 	c.request(balancerB)
@@ -250,7 +250,7 @@
 	w.advance(maxDiscoveryTime)
 	d := w.addBalancer(balancerA)
 	d.AddAgent(w.now, agentAddr(0), listing, "a")
-	w.advance(2 * HelloEvery)
+	w.advance(2 * MinHelloInterval)
 	a := &worldAgent{
 		gate:   NewGate(w.now, GateConfig{Zone: "a", Incarnation: 9, Service: records}, nil),
 		server: &worldServer{instance: "i-9", seq: 99 << 20, flows: map[Key]*serverFlow{}},
@@ -258,7 +258,7 @@
 	w.agents[agentAddr(2)] = a
 	w.heartbeat(2, 1, false)
 	a.gate.AddBalancer(w.now, balancerA)
-	w.advance(2 * HelloEvery)
+	w.advance(2 * MinHelloInterval)
 	c := w.caller(1000, recordsPort)
 	c.open(balancerA, 0)
 	c.request(balancerB)
@@ -336,7 +336,7 @@
 	for _, c := range []struct {
 		agents int
 		every  time.Duration
-	}{{11, ReportEvery}, {59, 786 * time.Millisecond}, {120, 1600 * time.Millisecond}, {1000, maxReportEvery}} {
+	}{{11, MinReportInterval}, {59, 786 * time.Millisecond}, {120, 1600 * time.Millisecond}, {1000, maxReportInterval}} {
 		now := time.Unix(1000, 0)
 		d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 		for i := range c.agents {
@@ -355,7 +355,7 @@
 func TestAgentReportsAsAsked(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
-	for _, every := range []time.Duration{ReportEvery, time.Second} {
+	for _, every := range []time.Duration{MinReportInterval, time.Second} {
 		g.FromBalancer(w.now, balancerA, &Message{Kind: Hello, Wait: every}, nil, nil)
 		g.Effects()
 		reports := 0
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -203,7 +203,7 @@
 	b := g.subscribe(now, from)
 	g.receiveOrders(now, m)
 	if m.Kind == Hello {
-		b.reportInterval = max(m.Wait, ReportEvery)
+		b.reportInterval = max(m.Wait, MinReportInterval)
 		g.reply(now, from, Message{Kind: Report}, nil)
 		if m.Reason == ReasonState {
 			g.sendBalancers(now, from)
@@ -240,7 +240,7 @@
 func (g *Gate) subscribe(now time.Time, from netip.AddrPort) *subscriber {
 	b := g.balancers[from]
 	if b == nil {
-		b = &subscriber{reportInterval: ReportEvery}
+		b = &subscriber{reportInterval: MinReportInterval}
 		if len(g.balancers) >= maxBalancers {
 			return b // its messages are answered, but it gets no reports
 		}
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -201,7 +201,7 @@
 	w.drops = func(from, to netip.AddrPort) bool {
 		return from == agentAddr(1) && to == balancerB || from == balancerB && to == agentAddr(1)
 	}
-	w.advance(DefaultAgentTimeout + ReportEvery)
+	w.advance(DefaultAgentTimeout + MinReportInterval)
 	g.Heartbeat(w.now, Heartbeat{Instance: "i-new", Sequence: 1, Service: records, Slots: 5})
 	w.server(1).instance, w.server(1).sequence = "i-new", 1
 	w.deliver()
--- a/flow/members.go
+++ b/flow/members.go
@@ -241,7 +241,7 @@
 			a.state = ServerUnknown
 			d.rebuildTables(a.service)
 		}
-		a.recordPeerContact(receivedAt, last&memberHoldsNoFlows != 0, 2*d.reportEvery())
+		a.recordPeerContact(receivedAt, last&memberHoldsNoFlows != 0, 2*d.reportInterval())
 	}
 }
 
--- a/flow/peers.go
+++ b/flow/peers.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// ReportEvery is the shortest interval between two reports of an agent to a
+	// MinReportInterval is the shortest interval between two reports of an agent to a
 	// balancer.
-	ReportEvery = 250 * time.Millisecond
-	// maxReportEvery is the longest interval. Three of them pass before an agent that
+	MinReportInterval = 250 * time.Millisecond
+	// maxReportInterval is the longest interval. Three of them pass before an agent that
 	// sends nothing counts as unresponsive, and it must not expire before.
-	maxReportEvery = 1900 * time.Millisecond
+	maxReportInterval = 1900 * time.Millisecond
 	// reportsPerSecond is the rate of reports that a balancer receives from all agents:
 	// 82 bytes each with their headers, 6 KB/s of the 8 KB/s that control traffic may
 	// take.
@@ -27,13 +27,13 @@
 	missedReports = 3
 )
 
-// reportEvery is the report interval that the balancer requests from agents, so that
+// reportInterval is the report interval that the balancer requests from agents, so that
 // the bytes it receives do not grow with their number. New flows don't depend on it: an
 // agent that does not answer an offer is excluded after OpenTimeout, a change of a
 // server's state is reported at once, and every answer carries the agent's load.
-func (d *Director) reportEvery() time.Duration {
+func (d *Director) reportInterval() time.Duration {
 	every := time.Duration(len(d.agents)) * time.Second / reportsPerSecond
-	return min(max(every, ReportEvery), maxReportEvery)
+	return min(max(every, MinReportInterval), maxReportInterval)
 }
 
 // hashAddr returns a hash of an address.
@@ -257,8 +257,8 @@
 // checkAgent sends an agent a hello message if that is due, and checks its timeouts.
 func (d *Director) checkAgent(now time.Time, a *agent) {
 	if !now.Before(a.nextHelloAt) {
-		a.nextHelloAt = now.Add(max(HelloEvery, reportsPerHello*d.reportEvery()))
-		hello := Message{Kind: Hello, Wait: d.reportEvery(), Service: a.service}
+		a.nextHelloAt = now.Add(max(MinHelloInterval, reportsPerHello*d.reportInterval()))
+		hello := Message{Kind: Hello, Wait: d.reportInterval(), Service: a.service}
 		if !d.memberListKnown && now.Sub(d.started) < maxDiscoveryTime {
 			hello.Reason = ReasonState
 		}
@@ -284,14 +284,14 @@
 		}
 		return
 	}
-	if sinceMessage >= max(d.cfg.AgentTimeout, missedReports*d.reportEvery()) || a.ignoresQueries(now) {
+	if sinceMessage >= max(d.cfg.AgentTimeout, missedReports*d.reportInterval()) || a.ignoresQueries(now) {
 		d.setUnresponsive(now, a.addr)
 	}
 }
 
 // NextTick returns the latest time at which Tick has something to do.
 func (d *Director) NextTick(now time.Time) time.Time {
-	next := now.Add(ReportEvery)
+	next := now.Add(MinReportInterval)
 	if !d.memberListKnown && len(d.balancers) > 0 && now.Sub(d.started) < maxDiscoveryTime && d.nextMemberListRequest.Before(next) {
 		next = d.nextMemberListRequest
 	}
--- a/flow/restored_test.go
+++ b/flow/restored_test.go
@@ -41,7 +41,7 @@
 	g.Effects()
 	const first = 1 << 44
 	g.StoreRestored(now, first)
-	now = now.Add(ReportEvery)
+	now = now.Add(MinReportInterval)
 	g.Tick(now)
 	if !slices.ContainsFunc(g.Effects(), func(e Effect) bool { return e.Message.Kind == Report && e.Message.Revision == first }) {
 		t.Error("no report carries the number of the first orders after it")
--- a/flow/server.go
+++ b/flow/server.go
@@ -229,13 +229,13 @@
 
 // report sends a report to the balancers for which one is due, or to all.
 func (g *Gate) report(now time.Time, all bool) {
-	g.reportAt = now.Add(ReportEvery)
+	g.reportAt = now.Add(MinReportInterval)
 	for to, b := range g.balancers {
 		if !all && now.Before(b.reportAt) {
 			continue
 		}
 		// The next report may be half a tick early rather than one tick late.
-		b.reportAt = now.Add(b.reportInterval - ReportEvery/2)
+		b.reportAt = now.Add(b.reportInterval - MinReportInterval/2)
 		g.reply(now, to, Message{Kind: Report}, nil)
 	}
 }
