--- a/flow/answer_time_test.go
+++ b/flow/answer_time_test.go
@@ -17,7 +17,7 @@
 // Guards against a server that answers every request with an error within a millisecond
 // and draws most of its service's flows. Such a server reports that it is ready and
 // always looks idle, so the load alone would prefer it.
-func TestHastyAnswersCountAsLoad(t *testing.T) {
+func TestImplausiblyFastAnswersCountAsLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
 	answerAll(g, &now, 100, 40*time.Millisecond)
@@ -33,7 +33,7 @@
 // recovers. If the slow answers raised the mean so far that every usual answer counted
 // as implausibly fast, and implausibly fast answers were left out of the mean, the mean
 // would never recover.
-func TestHangDoesNotMakeUsualAnswersHasty(t *testing.T) {
+func TestHangDoesNotMakeUsualAnswersImplausiblyFast(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
 	answerAll(g, &now, 100, 40*time.Millisecond)
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -27,7 +27,7 @@
 // Guards against new flows that wait for their callers' next copy while an agent is
 // down. An agent loses power, the balancer offers it a flow, and no answer or error
 // arrives.
-func TestDeadAgentCostsOneTimeout(t *testing.T) {
+func TestFailedAgentCostsOneTimeout(t *testing.T) {
 	w := newWorld(t, 2)
 	w.drops = func(_, to netip.AddrPort) bool { return to == agentAddr(0) }
 	w.advance(100 * time.Millisecond)
@@ -48,7 +48,7 @@
 // Guards against an agent that was unresponsive for a moment and gets no flows for
 // good. A network failure between balancer and agent ends; an agent that is offered
 // nothing has to become responsive without an offer.
-func TestSilentAgentIsUsedAgain(t *testing.T) {
+func TestUnresponsiveAgentIsUsedAgain(t *testing.T) {
 	w := newWorld(t, 1)
 	w.drops = func(netip.AddrPort, netip.AddrPort) bool { return true }
 	w.advance(2 * time.Second)
@@ -65,7 +65,7 @@
 // Guards against a balancer that excludes all agents at once after its own VM was
 // paused for seconds: no message arrived in that time because the balancer itself was
 // paused.
-func TestOwnPauseIsNotOthersSilence(t *testing.T) {
+func TestOwnPauseDoesNotExcludeAgents(t *testing.T) {
 	w := newWorld(t, 3)
 	w.now = w.now.Add(20 * time.Second)
 	w.balancers[balancerA].Tick(w.now)
@@ -115,7 +115,7 @@
 // because its own watch of the store delivers nothing, like a watch without changes. A
 // process that has read the store reports the age of the read and its revision to all
 // others through the agents.
-func TestReadsOfOthersAreHeardOf(t *testing.T) {
+func TestReadsOfOtherProcessesCount(t *testing.T) {
 	w := newWorld(t, 1)
 	a, b := w.balancers[balancerA], w.balancers[balancerB]
 	a.StoreRead(w.now)
@@ -197,7 +197,7 @@
 // then arrives at another that has run for long. If balancers learned of agents only
 // from the store and from the agents themselves, the other one would not know this
 // agent.
-func TestBalancersTellOfNewAgents(t *testing.T) {
+func TestBalancersAnnounceNewAgents(t *testing.T) {
 	w := newWorld(t, 2)
 	for b, d := range w.balancers {
 		for other := range w.balancers {
@@ -225,7 +225,7 @@
 // Guards against the reset of a flow that its server holds (soak, seed 2). A balancer
 // starts while the store lists no process; one agent reports to it, the flow's agent
 // not yet. That the balancer knows no other balancer does not mean that there is none.
-func TestStartedBalancerWithoutOthersIsNotSure(t *testing.T) {
+func TestStartedBalancerWithoutPeersDoesNotReset(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
@@ -245,7 +245,7 @@
 // and knows this balancer alone; its flow then arrives at a balancer that has run for
 // long. Unless agents list balancers to each other, the first balancer can't announce
 // the agent to the second.
-func TestAgentsTellBalancersOfEachOther(t *testing.T) {
+func TestAgentsListBalancersToEachOther(t *testing.T) {
 	w := newWorld(t, 2)
 	w.advance(maxDiscoveryTime)
 	d := w.addBalancer(balancerA)
@@ -315,7 +315,7 @@
 // packets that it can't forward. It gets the configuration and the agents from the
 // store, but no agent answers. Agents that never sent a message count as reachable only
 // for a short time.
-func TestBalancerThatHearsNobodyIsNotReady(t *testing.T) {
+func TestBalancerWithoutReachableAgentIsNotReady(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
@@ -352,7 +352,7 @@
 
 // An agent reports at the requested interval, and reports a change of its server's
 // state at once.
-func TestAgentReportsAsAsked(t *testing.T) {
+func TestAgentReportsAtRequestedInterval(t *testing.T) {
 	w := newWorld(t, 1)
 	g := w.gate(0)
 	for _, every := range []time.Duration{MinReportInterval, time.Second} {
--- a/flow/fleet_start_test.go
+++ b/flow/fleet_start_test.go
@@ -46,7 +46,7 @@
 // first few heartbeats of its server. Such an agent does not know whether its server
 // holds a flow, so without the detection of a fleet start every flow has to be tried at
 // every server.
-func TestStartOfEverythingIsSeen(t *testing.T) {
+func TestFleetStartIsDetected(t *testing.T) {
 	w := newWorld(t, 20)
 	var callers []*testCaller
 	for port := range uint16(40) {
@@ -81,7 +81,7 @@
 // one balancer restarts, receives messages from some of the agents and no member list;
 // the flow is at another agent. Agents that have all recently started are not
 // necessarily all agents.
-func TestBalancerThatStartsAloneIsNotSure(t *testing.T) {
+func TestBalancerThatRestartsAloneDoesNotReset(t *testing.T) {
 	w := newWorld(t, 2)
 	w.startAll(3)
 	w.advance(time.Second)
@@ -106,7 +106,7 @@
 // Guards against the reset of an open flow when all processes are killed and restart
 // while the servers keep running: recently started processes do not mean recently
 // started servers.
-func TestStartOfAllProcessesIsNoStartOfServers(t *testing.T) {
+func TestProcessRestartIsNotFleetStart(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
@@ -137,7 +137,7 @@
 // it; then its process ends. If the agent were removed with its server, others would
 // add it again as an agent that another balancer receives messages from and that has to
 // be waited for.
-func TestAgentOfGoneServerHoldsNothingUp(t *testing.T) {
+func TestAgentOfEndedServerDoesNotBlockLookups(t *testing.T) {
 	w := newWorld(t, 3)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
@@ -158,7 +158,7 @@
 // later. A flow is looked up while the store lists an agent that does not exist, and no
 // further packet arrives. The lookup has to be checked again when the agent's answer is
 // no longer required.
-func TestSearchEndsWhenAnAgentCountsAsAbsent(t *testing.T) {
+func TestLookupEndsWhenAgentNeverAnswers(t *testing.T) {
 	w := newWorld(t, 2)
 	w.advance(fleetStartWindow)
 	w.balancers[balancerA].AddAgent(w.now, agentAddr(9), listing, "a")
@@ -177,7 +177,7 @@
 // whole fleet one balancer restarts and gets no member list; an agent that the store
 // lists is paused for most of a second, and a flow of its server arrives. The agent has
 // to be waited for as long as usual even if all others have recently started.
-func TestAgentThatStandsStillAfterAStartIsWaitedFor(t *testing.T) {
+func TestPausedAgentIsWaitedForAfterFleetStart(t *testing.T) {
 	w := newWorld(t, 3)
 	w.startAll(3)
 	w.advance(time.Second)
@@ -207,7 +207,7 @@
 // balancers start together; one receives the first messages of some agents and
 // announces them before the other has requested a member list. An announcement of a few
 // agents must not count as the member list of a balancer that knows all.
-func TestNewsOfAgentsIsNoRoster(t *testing.T) {
+func TestAnnouncementIsNotMemberList(t *testing.T) {
 	w := newWorld(t, 3)
 	a, b := w.addBalancer(balancerA), w.addBalancer(balancerB)
 	a.AddBalancer(balancerB)
@@ -237,7 +237,7 @@
 // balancer that starts a little later than the others after a power loss of the whole
 // fleet. The others have detected the fleet start and answer with their complete member
 // lists. The late one must not wait 0.6 s because of that.
-func TestLateBalancerSeesStartOfEverything(t *testing.T) {
+func TestLateBalancerDetectsFleetStart(t *testing.T) {
 	w := newWorld(t, 20)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
@@ -261,7 +261,7 @@
 // starts shortly after an agent has failed. The agent's server held no flows, the agent
 // fails without deregistering, and another balancer lists it to the new one with a
 // recent message. An agent without flows need not be waited for as long as others.
-func TestVanishedEmptyAgentThatOthersNameHoldsNothingUp(t *testing.T) {
+func TestListedFailedAgentWithoutFlowsDoesNotBlockLookups(t *testing.T) {
 	w := newWorld(t, 3)
 	w.restartAgent(2)
 	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
@@ -288,7 +288,7 @@
 // deregistration and goes on listing the agent; the others request its member list
 // before they reset a flow. A list whose last message from the agent is older than the
 // deregistration must not bring the agent back.
-func TestRosterFromBeforeFarewellBringsNobodyBack(t *testing.T) {
+func TestOldMemberListDoesNotRestoreDeregisteredAgent(t *testing.T) {
 	w := newWorld(t, 3)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -64,7 +64,7 @@
 // flows are late. Routers send it a download that it does not know. If each packet of
 // the caller started a lookup, every packet would go to every agent of the service
 // until the first answer.
-func TestSoughtFlowIsSoughtOnce(t *testing.T) {
+func TestUnknownFlowIsLookedUpOnce(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
@@ -104,7 +104,7 @@
 // an agent from the balancers for longer than AgentExpiry and ends; a packet of its
 // flow arrives before its next report. The flows of an expired agent must not count as
 // lost.
-func TestAgentBehindCutKeepsItsFlows(t *testing.T) {
+func TestPartitionedAgentKeepsItsFlows(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
@@ -130,7 +130,7 @@
 // balancer, and the announcement to the others is lost. A flow is opened at the agent
 // and then arrives at another balancer, which once knew all agents and must not assume
 // that it still does.
-func TestAgentThatOthersKnowIsAsked(t *testing.T) {
+func TestAgentKnownToOtherBalancersIsQueried(t *testing.T) {
 	w := newWorld(t, 2)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
@@ -170,7 +170,7 @@
 // deadlines for a minute after a VM was removed. The server of an agent ends, the agent
 // reports it, then the VM fails without deregistering. No flow is reset while a failed
 // agent may hold it, but this agent's server held none.
-func TestEmptyAgentThatVanishesHoldsNothingUp(t *testing.T) {
+func TestFailedAgentWithoutFlowsDoesNotBlockLookups(t *testing.T) {
 	w := newWorld(t, 3)
 	w.restartAgent(2)
 	w.gate(2).StatusCheck(w.now, StatusCheckResult{Absent: true})
@@ -190,7 +190,7 @@
 // off from one balancer; its server becomes ready and accepts a flow through another
 // balancer, and the flow arrives at the one that is cut off. What the agent reported
 // before the network failure may no longer hold.
-func TestEmptyAgentBehindCutMayHoldFlowsNow(t *testing.T) {
+func TestPartitionedAgentMayHoldNewFlows(t *testing.T) {
 	w := newWorld(t, 1)
 	w.balancers[balancerA].AddBalancer(balancerB)
 	w.balancers[balancerB].AddBalancer(balancerA)
@@ -221,7 +221,7 @@
 // balancer's link carries 10 Mbit/s. An immediate lookup for each, with the caller's
 // packet to every agent and an answer from each, leaves neither link nor processor for
 // offers.
-func TestSearchesLeaveRoomForNewFlows(t *testing.T) {
+func TestLookupsLeaveCapacityForNewFlows(t *testing.T) {
 	const agents, flows, link = 47, 300, 1.25e6
 	const firstRepeat = 200 * time.Millisecond // of a caller's packet
 	d, now := benchDirector(agents)
@@ -295,7 +295,7 @@
 // another, whose member list still names the agent. What counts is when that other one
 // last received a message: it does not show that the agent, whose server held no flows,
 // may hold flows now.
-func TestRosterOfTheSameSilenceHoldsNothingUp(t *testing.T) {
+func TestOldContactInMemberListDoesNotBlockLookups(t *testing.T) {
 	w := newWorld(t, 3)
 	w.advance(fleetStartWindow)
 	w.balancers[balancerA].AddBalancer(balancerB)
@@ -324,7 +324,7 @@
 // has not sent this balancer a message yet. A flow is opened there through another
 // balancer and then arrives at this one. The member list of the other balancer names
 // the new agent, so it has to be queried.
-func TestNewServerAfterOneThatIsGoneIsAsked(t *testing.T) {
+func TestNewServerAfterEndedOneIsQueried(t *testing.T) {
 	w := newWorld(t, 2)
 	w.advance(fleetStartWindow)
 	w.balancers[balancerA].AddBalancer(balancerB)
@@ -365,7 +365,7 @@
 // second. An agent whose server held no flows fails without deregistering, and reports
 // are less frequent the more agents there are, so waiting for three missing reports
 // takes long.
-func TestSilenceIsNoticedInASecondAtAnySize(t *testing.T) {
+func TestFailedAgentIsDetectedInASecondAtAnyFleetSize(t *testing.T) {
 	for _, agents := range []int{3, 150} {
 		w := newWorld(t, agents)
 		w.restartAgent(2)
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -84,7 +84,7 @@
 // a packet of an ended flow may be a repeat of one from before, such repeats arrive
 // first, and more callers wait than can be served. Served in order of arrival, new
 // requests would wait behind the old ones.
-func TestYoungestOfThoseThatMayBeOlderGoesFirst(t *testing.T) {
+func TestNewestPossibleRepeatGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wait := func(onTime time.Duration, older bool) queueEntry {
 		return queueEntry{onTimeUntil: now.Add(onTime), expiresAt: now.Add(onTime + time.Second), mayBeOlder: older}
@@ -100,7 +100,7 @@
 
 // Guards against a caller that waits until its deadline because it waits for capacity
 // at an agent that is killed, and only a message of that agent would end the wait.
-func TestCallerIsToldWhenItsAgentIsGone(t *testing.T) {
+func TestCallerIsNotifiedWhenItsAgentFails(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
@@ -133,7 +133,7 @@
 // A VM whose server had deregistered starts once more, reports that its server holds no
 // flows, and is removed. Its answer must not be waited for as long as that of an agent
 // with flows.
-func TestEmptyAgentThatAnswersNothing(t *testing.T) {
+func TestAgentWithoutFlowsIsNotWaitedFor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{}, nil)
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Report, State: ServerUnknown, Reason: ReasonNotHeld, Service: listing}, nil, nil)
@@ -153,7 +153,7 @@
 // Guards against balancers that look up hundreds of flows per second at every agent,
 // without a result, for many seconds after a power loss. Callers close flows that have
 // ended with their servers; without a reset they repeat the close.
-func TestCallerThatClosesDeadFlowIsTold(t *testing.T) {
+func TestCallerThatClosesEndedFlowIsReset(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetRoutes(testRoutes(1))
--- a/flow/orders_test.go
+++ b/flow/orders_test.go
@@ -23,7 +23,7 @@
 // taken out of service, so that new requests run where the power is about to be
 // switched off. One balancer knows of the evacuation, another has older orders and goes
 // on offering flows to the zone's agents, so balancers alone can't enforce it.
-func TestAgentOfEvacuatedZoneRefusesWhoeverOffers(t *testing.T) {
+func TestAgentOfEvacuatedZoneRefusesEveryBalancer(t *testing.T) {
 	w := newWorld(t, 2)
 	w.setOrders(balancerA, 5, "a")
 	if m := w.offerTo(0, listing, 1000); m.Kind != Refused || m.Reason != ReasonEvacuated {
@@ -43,7 +43,7 @@
 // Guards against new flows in an evacuated zone for some seconds after an agent's
 // restart. A balancer that learned of the agent from other balancers does not know its
 // zone, and must not assume that it is in service.
-func TestAgentOfUnknownZoneGetsNothingWhileAZoneIsEvacuated(t *testing.T) {
+func TestAgentOfUnknownZoneGetsNoFlowsDuringEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	d.SetOrders(now, ordered(3, "b"))
@@ -188,7 +188,7 @@
 
 // A zone that is put back into service is offered flows again as soon as one of its own
 // balancers knows, and elsewhere with the next hello message.
-func TestZoneGivenBack(t *testing.T) {
+func TestZonePutBackIntoService(t *testing.T) {
 	w := newWorld(t, 1)
 	w.setOrders(balancerA, 5, "a")
 	w.setOrders(balancerB, 5, "a")
--- a/flow/restored_test.go
+++ b/flow/restored_test.go
@@ -9,7 +9,7 @@
 
 // Guards against agents that learn only with their next hello message, seconds later,
 // that the store came back from an older copy, and check for their keys that late.
-func TestAgentsAreGreetedOnceTheStoreCameBack(t *testing.T) {
+func TestAgentsGetHelloAfterStoreRestore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirector(now, DirectorConfig{Zone: "a"}, nil)
 	near, far := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
@@ -34,7 +34,7 @@
 
 // Guards against a store restore that only an agent knows of: in an idle fleet, no
 // balancer may call the store for a second.
-func TestAgentTellsThatTheStoreCameBack(t *testing.T) {
+func TestAgentReportsStoreRestore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{}, nil)
 	g.AddBalancer(now, netip.MustParseAddrPort("10.0.0.9:1"))
@@ -51,7 +51,7 @@
 // Guards against new flows to an agent that has started in an evacuated zone. Of two
 // balancers one knows of the evacuation that the store lost, the other has started
 // since, and both send orders of the same number.
-func TestStartedAgentKeepsToTheEvacuationThatTheStoreLost(t *testing.T) {
+func TestStartedAgentKeepsEvacuationLostByStore(t *testing.T) {
 	const first, number = 100, 107
 	knows := netip.MustParseAddrPort("10.0.0.8:1")
 	started := netip.MustParseAddrPort("10.0.0.9:1")
@@ -86,7 +86,7 @@
 // Guards against a zone that stays out of service although the operator does not write
 // its evacuation again, and against a recently started balancer that puts an evacuated
 // zone into service.
-func TestBalancerKeepsEvacuationsUntilTheOperatorHasHadItsTime(t *testing.T) {
+func TestBalancerKeepsEvacuationsDuringRewriteWindow(t *testing.T) {
 	const first, number = 100, 107
 	zone := ZoneID("b")
 	for _, c := range []struct {
