--- a/flow/property_test.go
+++ b/flow/property_test.go
@@ -40,7 +40,7 @@
 	n := rapid.IntRange(0, 2).Draw(p.t, "agent")
 	via := []netip.AddrPort{balancerA, balancerB}[rapid.IntRange(0, 1).Draw(p.t, "balancer")]
 	before := p.counts()
-	switch rapid.SampledFrom([]string{"open", "open", "use", "use", "use", "drain", "crash", "restart agent", "restart balancer", "restart all processes", "isolate agent", "restore network", "advance time"}).Draw(p.t, "action") {
+	switch rapid.SampledFrom([]string{"open", "open", "use", "use", "use", "drain", "crash", "restart agent", "restart balancer", "restart all processes", "cut", "heal", "pass"}).Draw(p.t, "action") {
 	case "open":
 		p.port++
 		c := p.w.caller(p.port, listingPort)
@@ -67,12 +67,12 @@
 		}
 	case "restart all processes":
 		p.restartAll()
-	case "isolate agent":
+	case "cut":
 		a := agentAddr(n)
 		p.w.drops = func(from, to netip.AddrPort) bool { return from == a || to == a }
-	case "restore network":
+	case "heal":
 		p.w.drops = nil
-	case "advance time":
+	case "pass":
 		p.w.advance(time.Duration(rapid.IntRange(1, 30).Draw(p.t, "time")) * 100 * time.Millisecond)
 	}
 	p.check(before)
