--- a/flow/director_config.go
+++ b/flow/director_config.go
@@ -17,8 +17,8 @@
 	// flows.
 	AgentTimeout time.Duration
 	// AgentExpiry is the time without a message after which an agent is removed and no
-	// longer queried for flows. For MaxAge after that, flows are not reported as lost,
-	// because the agent may still hold them.
+	// longer queried for flows. For MaxAge after that, no flow counts as not held by any
+	// agent, because the removed agent may still hold it.
 	AgentExpiry time.Duration
 	// DiscoveryTime is the time from the start until the balancer has received a
 	// message from every live agent. Before, no flow counts as not held by any agent.
@@ -45,8 +45,8 @@
 	// DefaultDiscoveryTime is more than two report intervals: agents continue to report
 	// to a balancer that has restarted.
 	DefaultDiscoveryTime = 600 * time.Millisecond
-	// DefaultMaxFlows is four times a balancer's share of the target load, in about 10
-	// MB.
+	// DefaultMaxFlows is four times a balancer's share of the target load. The table
+	// takes about 10 MB.
 	DefaultMaxFlows = 1 << 16
 	// DefaultMaxOpening bounds the offers in progress, 200 bytes each.
 	DefaultMaxOpening = 1 << 12
--- a/flow/message.go
+++ b/flow/message.go
@@ -98,7 +98,7 @@
 // Revision is used in all kinds.
 type Message struct {
 	Kind         MessageKind
-	Reason       Reason              // Refused, NotHeld; ReasonState in Hello, MemberList: the sender has recently started; in Report, ReasonNotHeld: the server holds no flows and gets none, ReasonStarted: server and sender have recently started
+	Reason       Reason              // Refused, NotHeld; ReasonState in Hello, MemberList: the sender has recently started; in Report, ReasonNotHeld: the server holds no flows and gets none, ReasonStarted: server and sender have recently started; in ReserveCapacity, ReasonStarted: the caller's packet may be a repeat of an old one
 	State        ServerState         // sent by agents
 	Priority     uint8               // Open, ReserveCapacity: of the route, 0 is the most urgent; MemberList: number of messages of the list that follow
 	OnTime       time.Duration       // Open, ReserveCapacity: how long the flow may wait for its request to be answered within the latency objective
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -45,8 +45,8 @@
 // Guards against new requests on long flows being late after a power loss while
 // requests that are late already are served: callers of ended flows waited for 0.7 s
 // and were then notified all at once. The server is full; a late flow waits, and then
-// the caller of an ended flow whose request can be in time. Not every waiting flow may
-// go before such a caller.
+// the caller of an ended flow whose request can be in time. The late flow must not go
+// before that caller.
 func TestCallerThatCanBeInTimeGoesBeforeLateFlow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := fullGate(now)
--- a/flow/trace.go
+++ b/flow/trace.go
@@ -19,7 +19,8 @@
 	Abandoned(now time.Time, id ID, route Route, reason Reason, offers int, after time.Duration, reset bool)
 	// Reset: the caller is sent a reset because the flow is not open.
 	Reset(now time.Time, key Key, reason Reason)
-	// LookupStarted: an unknown flow is looked up at the given number of agents.
+	// LookupStarted: an unknown flow is looked up at the given number of agents; all
+	// reports whether these are all agents of the fleet.
 	LookupStarted(now time.Time, key Key, agents int, all bool)
 	// Ended: no server holds the flow any more. Its caller is notified when an agent
 	// has reserved capacity for its next flow, within atMost.
