--- a/flow/director.go
+++ b/flow/director.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// HelloEvery is the shortest interval between two hello messages to an agent.
-	HelloEvery = time.Second
+	// MinHelloInterval is the shortest interval between two hello messages to an agent.
+	MinHelloInterval = time.Second
 	// maxBusyRefusals is the number of agents that may refuse a flow as busy. They are
 	// the least loaded ones, so a fourth would refuse it too.
 	maxBusyRefusals = 3
@@ -171,10 +171,10 @@
 }
 
 // target returns the entry of an agent, nil if it was not queried.
-func (k *lookup) target(agent netip.AddrPort) *lookupTarget {
-	for i := range k.targets {
-		if k.targets[i].agent == agent {
-			return &k.targets[i]
+func (l *lookup) target(agent netip.AddrPort) *lookupTarget {
+	for i := range l.targets {
+		if l.targets[i].agent == agent {
+			return &l.targets[i]
 		}
 	}
 	return nil
