--- a/cmd/hemlock-agent/platform.go
+++ b/cmd/hemlock-agent/platform.go
@@ -28,8 +28,8 @@
 		Settings:    p.Settings,
 		Codec:       platform.Packets{},
 		Store:       p.Store,
-		Control:     platform.ControlPages,
-		Readiness:   platform.ReadinessPage,
+		Control:     platform.ControlHandler,
+		Readiness:   platform.ReadinessHandler,
 		CheckServer: platform.CheckServer,
 		Traces:      p.Daemon.Traces,
 	}, p.Daemon.Log, p.Daemon.Registry)
--- a/cmd/hemlock-balancer/platform.go
+++ b/cmd/hemlock-balancer/platform.go
@@ -31,7 +31,7 @@
 		Store:       p.Store,
 		Orders:      platform.OrderKeys(),
 		ParseConfig: platform.ParseConfig,
-		Readiness:   platform.ReadinessPage,
+		Readiness:   platform.ReadinessHandler,
 		Traces:      p.Daemon.Traces,
 	}, p.Daemon.Log, p.Daemon.Registry)
 	if err != nil {
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -241,8 +241,8 @@
 	a.log.Warn("heartbeat of no server", zap.Error(err))
 }
 
-// Leave implements node.ServerEvents.
-func (a *Agent) Leave(instance string, born int64) {
+// Deregister implements node.ServerEvents.
+func (a *Agent) Deregister(instance string, born int64) {
 	a.event(func(now time.Time) { a.gate.Deregister(now, instance, born) })
 }
 
--- a/internal/flowagent/relay_bench_test.go
+++ b/internal/flowagent/relay_bench_test.go
@@ -63,8 +63,8 @@
 	a, err := New(Config{
 		Settings:  node.Settings{Zone: "a", IP: loopback.Addr(), Packets: loopback, Readiness: loopback, Control: loopback, FromServer: loopback, Server: server, Service: "listing", MaxFlowAge: time.Hour},
 		Codec:     platform.Packets{},
-		Control:   platform.ControlPages,
-		Readiness: platform.ReadinessPage,
+		Control:   platform.ControlHandler,
+		Readiness: platform.ReadinessHandler,
 	}, zap.NewNop(), prometheus.NewRegistry())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/flowbalancer/relay_bench_test.go
+++ b/internal/flowbalancer/relay_bench_test.go
@@ -66,7 +66,7 @@
 	l, err := New(Config{
 		Settings:  node.Settings{Zone: "a", IP: loopback.Addr(), Packets: loopback, Readiness: loopback, MaxFlowAge: time.Hour},
 		Codec:     platform.Packets{},
-		Readiness: platform.ReadinessPage,
+		Readiness: platform.ReadinessHandler,
 	}, zap.NewNop(), prometheus.NewRegistry())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,9 +18,9 @@
 	// InvalidHeartbeat records a heartbeat that can't have come from a backend server,
 	// with the fault found in it.
 	InvalidHeartbeat(error)
-	// Leave records that an instance of the server ends. born is its start time, as in
+	// Deregister records that an instance of the server ends. born is its start time, as in
 	// flow.Heartbeat.
-	Leave(instance string, born int64)
+	Deregister(instance string, born int64)
 }
 
 // PacketCodec reads and writes the platform's packets.
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -84,7 +84,7 @@
 // distinguish "evacuation ended" from "not read yet", and would keep a zone out of service
 // or put it into service by mistake.
 type OrdersSource struct {
-	Store store.Prefixed
+	Store store.PrefixWatcher
 	Keys  OrderKeys
 
 	mu            sync.Mutex
@@ -122,7 +122,7 @@
 		return s.Read(ctx, known)
 	}
 	changes, upTo, err := s.Store.Changes(ctx, s.Keys.Prefix, s.watchFrom(known.Version))
-	var long *store.TooLongError
+	var long *store.ResponseTooLargeError
 	if errors.As(err, &long) {
 		// The list holds several changes of a large configuration, of which only the last counts.
 		return s.Read(ctx, known)
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -20,8 +20,8 @@
 // Store is the part of the platform's store that the processes use.
 type Store interface {
 	store.Interface
-	store.Lister
-	store.Prefixed
+	store.Registry
+	store.PrefixWatcher
 }
 
 // Role is the role of a process.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -48,7 +48,7 @@
 	return &Process{
 		Daemon:   d,
 		Settings: settings,
-		Store:    platform.NewStore(platform.StoreConfig{Address: settings.Store, Called: calls.Record}),
+		Store:    platform.NewStore(platform.StoreConfig{Address: settings.Store, CallDone: calls.Record}),
 		file:     file,
 	}, nil
 }
--- a/internal/standin/store/server_test.go
+++ b/internal/standin/store/server_test.go
@@ -57,7 +57,7 @@
 	if w := swap(t, c, "a", 0, ""); w <= v {
 		t.Fatalf("version %d again after %d", w, v)
 	}
-	var large *store.TooLargeError
+	var large *store.ValueTooLargeError
 	if _, err := c.CompareAndSwap(ctx, "b", 0, make([]byte, store.MaxValue+1), ""); !errors.As(err, &large) {
 		t.Fatalf("large value: %v", err)
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -114,7 +114,7 @@
 // CompareAndSwap implements Interface.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease LeaseID) (uint64, error) {
 	if len(data) > MaxValue {
-		return 0, &TooLargeError{Key: key, Size: len(data)}
+		return 0, &ValueTooLargeError{Key: key, Size: len(data)}
 	}
 	var body VersionBody
 	err := c.do(ctx, call{
@@ -236,7 +236,7 @@
 	case CodeLeaseExpired:
 		return &LeaseExpiredError{Lease: k.lease}
 	case CodeTooLarge:
-		return &TooLargeError{Key: k.key}
+		return &ValueTooLargeError{Key: k.key}
 	case CodeTimeout:
 		return &WatchTimeoutError{Key: k.key, After: k.after}
 	case CodeNotRun, CodeInvalid:
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -61,24 +61,24 @@
 	return fmt.Sprintf("store: lease %q has ended; stop acting as its holder, grant a new lease and compete again", e.Lease)
 }
 
-// TooLargeError reports a value over MaxValue.
-type TooLargeError struct {
+// ValueTooLargeError reports a value over MaxValue.
+type ValueTooLargeError struct {
 	Key  string
 	Size int
 }
 
-func (e *TooLargeError) Error() string {
+func (e *ValueTooLargeError) Error() string {
 	return fmt.Sprintf("store: value of %d bytes for key %q is over the limit of %d bytes; split it over several keys", e.Size, e.Key, MaxValue)
 }
 
-// TooLongError reports an answer that is longer than is taken. A watch's answer holds every
+// ResponseTooLargeError reports an answer that is longer than is taken. A watch's answer holds every
 // change that was made meanwhile, each with its whole value.
-type TooLongError struct {
+type ResponseTooLargeError struct {
 	Op    string
 	Limit int64 // in bytes
 }
 
-func (e *TooLongError) Error() string {
+func (e *ResponseTooLargeError) Error() string {
 	return fmt.Sprintf("store: the answer to %s is over the limit of %d bytes; read the keys as they are now", e.Op, e.Limit)
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,7 +31,7 @@
 	// CompareAndSwap writes data if the key is at version expect, where 0
 	// means that it must not exist. A value under a lease is removed when the
 	// lease ends. Errors: *ConflictError, *LeaseExpiredError,
-	// *TooLargeError and *UnknownOutcomeError. The call is sent at most once.
+	// *ValueTooLargeError and *UnknownOutcomeError. The call is sent at most once.
 	CompareAndSwap(ctx context.Context, key string, expect uint64, data []byte, lease LeaseID) (uint64, error)
 	// Delete removes a key that is at version expect, or at any version if
 	// expect is 0. Errors: *NotFoundError, *ConflictError and
@@ -68,22 +68,22 @@
 	Removed bool // the key holds nothing any more
 }
 
-// Prefixed is what a store offers beyond Interface to those who follow several keys as
+// PrefixWatcher is what a store offers beyond Interface to those who follow several keys as
 // one.
-type Prefixed interface {
+type PrefixWatcher interface {
 	// Snapshot reads the items whose keys begin with prefix, all at the same revision.
 	Snapshot(ctx context.Context, prefix string) (Snapshot, error)
 	// Changes waits for changes below prefix after a version and returns them in the
 	// order in which they were made, with the version up to which there are no others.
 	// The list is empty if there was none in the time that the store waits. Errors:
 	// *HistoryLostError, also if the store has come back from an older copy, and
-	// *TooLongError if the changes together are longer than the largest value.
+	// *ResponseTooLargeError if the changes together are longer than the largest value.
 	Changes(ctx context.Context, prefix string, after uint64) (list []Change, upTo uint64, err error)
 }
 
-// Lister is what a store offers beyond Interface, for keys that introduce
+// Registry is what a store offers beyond Interface, for keys that introduce
 // processes to each other.
-type Lister interface {
+type Registry interface {
 	// List returns the items whose keys begin with prefix. stale allows an
 	// answer that may be seconds old.
 	List(ctx context.Context, prefix string, stale bool) ([]Item, error)
