--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -181,6 +181,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := start(t, 2, "listing", "listing")
+			d.await("every key is in the store", func() bool { return len(d.store.Keys("hemlock/nodes/")) == 4 })
 			d.store.SetFault(func(netip.Addr) platform.Fault { return c.fault })
 			d.store.Remove("hemlock/nodes/")
 			d.serve(2, 5, "listing")
