--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -233,7 +233,7 @@
 		g.FromServer(now, Segment{Key: key, Seq: 10, Ack: 70, HasAck: true, Data: 68}, packet)
 		g.removeFlow(key)
 		g.unanswered.pop()
-		g.unconfirmed.pop()
+		g.unconfirmedFlows.pop()
 		g.Effects()
 	}
 	for range 100 {
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -27,8 +27,8 @@
 	return c
 }
 
-// beat sends a heartbeat of a server that stays cold for the given time.
-func (c *coldGate) beat(coldFor time.Duration) {
+// heartbeat sends a heartbeat of a server that stays cold for the given time.
+func (c *coldGate) heartbeat(coldFor time.Duration) {
 	c.beats++
 	c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: c.beats, Service: c.service, Slots: 5, ColdFor: coldFor})
 	c.collect()
@@ -90,11 +90,11 @@
 // can process, and only its slots limit what it receives.
 func TestColdServerGetsWhatItBears(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(10 * time.Second)
+	c.heartbeat(10 * time.Second)
 	for ms := range 4000 {
 		c.now = c.now.Add(time.Millisecond)
 		if ms%700 == 0 {
-			c.beat(10*time.Second - time.Duration(ms)*time.Millisecond)
+			c.heartbeat(10*time.Second - time.Duration(ms)*time.Millisecond)
 		}
 		if ms%3 == 0 {
 			c.offer(0, 2)
@@ -115,7 +115,7 @@
 // check, which does not show whether the server is cold, comes before the next heartbeat.
 func TestRestartedAgentKeepsColdLimit(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(10 * time.Second)
+	c.heartbeat(10 * time.Second)
 	for range 3 * coldLimit {
 		c.offer(0, 2)
 		c.finish()
@@ -142,7 +142,7 @@
 // previous heartbeat is out of date.
 func TestServerOfReturnedZoneCountsAsCold(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(0)
+	c.heartbeat(0)
 	sendOrder := func(number uint64, o ZoneOrder) {
 		c.FromBalancer(c.now, balancerA, &Message{Kind: Hello, Service: listing, Revision: number, ZoneOrder: o, ColdRate: c.rate}, nil, nil)
 	}
@@ -155,7 +155,7 @@
 	if most := c.most(); most != coldLimit {
 		t.Errorf("%d requests in a second before the next heartbeat, want %d", most, coldLimit)
 	}
-	c.beat(0)
+	c.heartbeat(0)
 	for range 3 * coldLimit {
 		c.offer(0, 2)
 		c.finish()
@@ -170,7 +170,7 @@
 // while they may wait, and the queue is as long as for a warm server.
 func TestColdServerQueueIsLimited(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(10 * time.Second)
+	c.heartbeat(10 * time.Second)
 	const wait = time.Second
 	refused := 0
 	for range 10 * coldLimit {
@@ -194,7 +194,7 @@
 // their limit is that of a warm server.
 func TestColdServerWaitingCallersAreLimited(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(10 * time.Second)
+	c.heartbeat(10 * time.Second)
 	c.offer(0, 2)
 	const wait = 2 * time.Second
 	for port := range uint16(20 * coldLimit) {
@@ -216,7 +216,7 @@
 // slots.
 func TestUsedLimitShowsAsLoad(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
-	c.beat(10 * time.Second)
+	c.heartbeat(10 * time.Second)
 	idle := c.occupancy(c.now)
 	for range coldLimit {
 		c.offer(0, 2)
@@ -240,7 +240,7 @@
 func TestColdLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newColdGate(time.Unix(1000, 0))
-		c.beat(30 * time.Second)
+		c.heartbeat(30 * time.Second)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			c.now = c.now.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"offer", "offer", "offer", "copy", "beat", "late beat", "tick", "finish", "restart", "order"}).Draw(t, "step") {
@@ -249,7 +249,7 @@
 			case "copy":
 				c.send(Segment{Key: Key{CallerPort: c.port}, Seq: 7, Ack: 1, Syn: true}, 0, 2)
 			case "beat":
-				c.beat(30 * time.Second)
+				c.heartbeat(30 * time.Second)
 			case "late beat":
 				c.Heartbeat(c.now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5, ColdFor: 30 * time.Second})
 			case "tick":
--- a/flow/director.go
+++ b/flow/director.go
@@ -70,7 +70,7 @@
 	addedAt           time.Time
 	confirmedByPeer   bool      // named by a balancer that had received messages from it
 	peerReceivedAt    time.Time // when other balancers last received a message from it, as they reported
-	receivedAt        time.Time // last message from it; zero: none yet
+	lastReceivedAt    time.Time // last message from it; zero: none yet
 	unresponsive      bool      // gets no new flows until it answers again
 	holdsNoFlows      bool      // at its last message its server held no flow and got none
 	recentlyStarted   bool      // it and its server had recently started when they first made contact
@@ -110,13 +110,13 @@
 
 // entry is one flow in a balancer's table.
 type entry struct {
-	state  entryState
-	agent  netip.AddrPort // the agent that the flow is offered to, or that holds it
-	opener uint32         // sequence number of the first packet, if this balancer saw it
-	opened time.Time
-	used   time.Time
-	open   *opening // set in entryOpening
-	lookup *lookup  // set in entryLookup
+	state        entryState
+	agent        netip.AddrPort // the agent that the flow is offered to, or that holds it
+	opener       uint32         // sequence number of the first packet, if this balancer saw it
+	createdAt    time.Time
+	lastPacketAt time.Time
+	open         *opening // set in entryOpening
+	lookup       *lookup  // set in entryLookup
 
 	reset *pendingReset // set in entryResetPending
 }
@@ -156,7 +156,7 @@
 	lastAttemptAt time.Time // when the packet that is sent with the queries arrived
 	segment       Segment
 	packet        []byte
-	unconfirmed   bool     // listed in Director.unconfirmed
+	undecided     bool     // listed in Director.undecidedLookups
 	blocked       bool     // listed in Director.blockedLookups
 	retries       int      // number of times that agents were queried again
 	buffered      [][]byte // packets that arrived during the lookup
@@ -211,27 +211,27 @@
 	announcements            []byte                       // agents to announce to other balancers, encoded as in MemberList
 	announceAt               time.Time                    // when they are sent
 
-	load            *placement.Load
-	flows           map[Key]*entry
-	free            freeLists
-	queries         queries            // queries of lookups
-	serial          uint64             // of the latest wait or lookup
-	offerTimeouts   fifo[offerTimeout] // flows being offered, ordered by time
-	queueTimeouts   fifo[offerTimeout] // flows that wait for capacity at an agent, ordered by time
-	reserveTimeouts fifo[resetTimeout] // callers whose agent was asked to reserve capacity, ordered by time
-	queuedResets    fifo[resetTimeout] // callers that wait for capacity at an agent, ordered by time
-	lookupRetries   fifo[lookupRetry]  // lookups whose agents are queried again, ordered by time
-	targetScratch   []netip.AddrPort   // scratch: agents to query next
-	unconfirmed     []*lookup          // lookups that found no holder before all agents were known
-	blockedLookups  []lookupRef        // lookups that wait for some agent's answer
-	recheckBlocked  bool               // some agent's answer is no longer required: blocked lookups are checked again
-	started         time.Time
-	now             time.Time // time of the running call
-	tickAt          time.Time // last tick
-	sweptAt         time.Time
-	stats           DirectorStats
-	out             []Effect
-	trace           Tracer
+	load             *placement.Load
+	flows            map[Key]*entry
+	free             freeLists
+	queries          queries            // queries of lookups
+	serial           uint64             // of the latest wait or lookup
+	offerTimeouts    fifo[offerTimeout] // flows being offered, ordered by time
+	queueTimeouts    fifo[offerTimeout] // flows that wait for capacity at an agent, ordered by time
+	reserveTimeouts  fifo[resetTimeout] // callers whose agent was asked to reserve capacity, ordered by time
+	queuedResets     fifo[resetTimeout] // callers that wait for capacity at an agent, ordered by time
+	lookupRetries    fifo[lookupRetry]  // lookups whose agents are queried again, ordered by time
+	targetScratch    []netip.AddrPort   // scratch: agents to query next
+	undecidedLookups []*lookup          // lookups that found no holder before all agents were known
+	blockedLookups   []lookupRef        // lookups that wait for some agent's answer
+	recheckBlocked   bool               // some agent's answer is no longer required: blocked lookups are checked again
+	started          time.Time
+	now              time.Time // time of the running call
+	lastTickAt       time.Time
+	lastSweepAt      time.Time
+	stats            DirectorStats
+	out              []Effect
+	trace            Tracer
 }
 
 // NewDirector returns a Director without routes and agents.
@@ -253,8 +253,8 @@
 		flows:        make(map[Key]*entry),
 		queries:      newQueries(cfg.Link),
 		started:      now,
-		tickAt:       now,
-		sweptAt:      now,
+		lastTickAt:   now,
+		lastSweepAt:  now,
 		trace:        tr,
 	}
 }
@@ -348,7 +348,7 @@
 		d.onUnknownFlow(now, &s, packet)
 		return
 	}
-	e.used = now
+	e.lastPacketAt = now
 	switch e.state {
 	case entryLookup:
 		d.continueLookup(now, e, &s, packet)
@@ -428,7 +428,7 @@
 		return nil
 	}
 	e := d.free.entry()
-	e.opened, e.used = now, now
+	e.createdAt, e.lastPacketAt = now, now
 	d.flows[key] = e
 	return e
 }
--- a/flow/fleet_start.go
+++ b/flow/fleet_start.go
@@ -37,7 +37,7 @@
 	reported, notReported := 0, 0
 	for _, a := range d.agents {
 		switch {
-		case a.receivedAt.IsZero():
+		case a.lastReceivedAt.IsZero():
 			notReported++
 		case a.recentlyStarted || a.holdsNoFlows || a.ended():
 			reported++
@@ -54,7 +54,7 @@
 		return
 	}
 	for _, a := range d.agents {
-		if a.receivedAt.IsZero() && !d.answerOptional(now, a) {
+		if a.lastReceivedAt.IsZero() && !d.answerOptional(now, a) {
 			return
 		}
 	}
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -130,33 +130,33 @@
 
 // Gate is the state machine of an agent.
 type Gate struct {
-	cfg             GateConfig
-	started         time.Time
-	newestOrders    uint64    // number of the newest orders that any process has reported
-	readAt          time.Time // time of the latest known read of the orders in the store
-	orders          receivedOrders
-	restored        storeRestore
-	server          server
-	flows           map[Key]*gateFlow
-	freeFlows       []*gateFlow       // removed flows, kept for reuse
-	requests        int               // in progress
-	requestTimes    fifo[time.Time]   // start times of the requests within coldWindow, oldest first
-	unanswered      fifo[pendingFlow] // flows whose first packet the server has not answered
-	unconfirmed     fifo[pendingFlow] // flows that the server has answered and the caller not confirmed
-	queue           []queueEntry      // offered flows that wait for capacity
-	waitingCallers  []queueEntry      // callers waiting to be notified that their flow ended; entries without packets
-	reservations    fifo[time.Time]   // expiry times of the capacity reserved for notified callers
-	balancers       map[netip.AddrPort]*subscriber
-	reportAt        time.Time
-	lastTickAt      time.Time
-	lastSweepAt     time.Time
-	meter           placement.Meter
-	meanAnswerTime  time.Duration // mean time from a request to the server's answer
-	answerTimeCount int           // answers in that mean, up to minAnswerTimeCount
-	queryAnswer     []byte        // buffer for the answer to the current query
-	stats           GateStats
-	out             []Effect
-	trace           GateTracer
+	cfg              GateConfig
+	started          time.Time
+	newestOrders     uint64    // number of the newest orders that any process has reported
+	readAt           time.Time // time of the latest known read of the orders in the store
+	orders           receivedOrders
+	restored         storeRestore
+	server           server
+	flows            map[Key]*gateFlow
+	freeFlows        []*gateFlow       // removed flows, kept for reuse
+	requests         int               // in progress
+	requestTimes     fifo[time.Time]   // start times of the requests within coldWindow, oldest first
+	unanswered       fifo[pendingFlow] // flows whose first packet the server has not answered
+	unconfirmedFlows fifo[pendingFlow] // flows that the server has answered and the caller not confirmed
+	queue            []queueEntry      // offered flows that wait for capacity
+	waitingCallers   []queueEntry      // callers waiting to be notified that their flow ended; entries without packets
+	reservations     fifo[time.Time]   // expiry times of the capacity reserved for notified callers
+	balancers        map[netip.AddrPort]*subscriber
+	reportAt         time.Time
+	lastTickAt       time.Time
+	lastSweepAt      time.Time
+	meter            placement.Meter
+	meanAnswerTime   time.Duration // mean time from a request to the server's answer
+	answerTimeCount  int           // answers in that mean, up to minAnswerTimeCount
+	queryAnswer      []byte        // buffer for the answer to the current query
+	stats            GateStats
+	out              []Effect
+	trace            GateTracer
 }
 
 // NewGate returns a Gate that does not know the state of its server yet.
--- a/flow/held.go
+++ b/flow/held.go
@@ -153,7 +153,7 @@
 		}
 		if f.state == gateOffered {
 			f.state = gateAnswered
-			g.unconfirmed.push(pendingFlow{s.Key, now})
+			g.unconfirmedFlows.push(pendingFlow{s.Key, now})
 			g.stats.Taken++
 			g.trace.Answered(now, ID{s.Key, f.opener}, now.Sub(f.createdAt), g.requests)
 		}
@@ -292,8 +292,8 @@
 // expireUnconfirmed ends the requests counted for flows that their callers have not
 // confirmed in time.
 func (g *Gate) expireUnconfirmed(now time.Time) {
-	for g.unconfirmed.len() > 0 && now.Sub(g.unconfirmed.first().since) >= confirmTimeout {
-		f := g.flows[g.unconfirmed.pop().key]
+	for g.unconfirmedFlows.len() > 0 && now.Sub(g.unconfirmedFlows.first().since) >= confirmTimeout {
+		f := g.flows[g.unconfirmedFlows.pop().key]
 		if f != nil && f.state == gateAnswered {
 			g.endRequest(f)
 		}
@@ -308,8 +308,8 @@
 			next = at
 		}
 	}
-	if g.unconfirmed.len() > 0 && len(g.queue) > 0 {
-		if at := g.unconfirmed.first().since.Add(confirmTimeout); at.Before(next) {
+	if g.unconfirmedFlows.len() > 0 && len(g.queue) > 0 {
+		if at := g.unconfirmedFlows.first().since.Add(confirmTimeout); at.Before(next) {
 			next = at
 		}
 	}
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -303,9 +303,9 @@
 		return
 	}
 	if !d.knowsAllAgents(now) || !d.membersConfirmed(now, l) {
-		if !l.unconfirmed {
-			l.unconfirmed = true
-			d.unconfirmed = append(d.unconfirmed, l)
+		if !l.undecided {
+			l.undecided = true
+			d.undecidedLookups = append(d.undecidedLookups, l)
 		}
 		return
 	}
@@ -320,18 +320,18 @@
 	return d.discoveryDone(now) && len(d.failedAgents) == 0
 }
 
-// resumeUnconfirmed continues the lookups that found no holder while this balancer had
+// resumeUndecided continues the lookups that found no holder while this balancer had
 // recently started, some agents had failed, or other balancers had not confirmed its
 // member list. Waiting for the callers' next packets, which come at growing intervals,
 // would take seconds.
-func (d *Director) resumeUnconfirmed(now time.Time) {
-	if len(d.unconfirmed) == 0 || !d.knowsAllAgents(now) {
+func (d *Director) resumeUndecided(now time.Time) {
+	if len(d.undecidedLookups) == 0 || !d.knowsAllAgents(now) {
 		return
 	}
-	lookups := d.unconfirmed
-	d.unconfirmed = nil
+	lookups := d.undecidedLookups
+	d.undecidedLookups = nil
 	for _, l := range lookups {
-		l.unconfirmed = false
+		l.undecided = false
 		if e := d.flows[l.segment.Key]; e != nil && e.lookup == l {
 			d.conclude(now, l)
 		}
@@ -353,7 +353,7 @@
 		// removed; if they were waited for as long as others, each would hold up all
 		// lookups for half a second.
 		return true
-	case !a.receivedAt.IsZero():
+	case !a.lastReceivedAt.IsZero():
 		return false
 	case a.holdsNoFlows && a.ignoresQueries(now):
 		return true
--- a/flow/member_check.go
+++ b/flow/member_check.go
@@ -48,7 +48,7 @@
 		return
 	}
 	c.confirmedAt, c.tries = c.requestedAt, 0
-	d.resumeUnconfirmed(now)
+	d.resumeUndecided(now)
 }
 
 // sendToPeers sends a message to some of the other balancers.
--- a/flow/members.go
+++ b/flow/members.go
@@ -158,7 +158,7 @@
 	}
 	var contacted []*agent
 	for _, a := range d.agents {
-		if !a.receivedAt.IsZero() && !a.ended() {
+		if !a.lastReceivedAt.IsZero() && !a.ended() {
 			contacted = append(contacted, a)
 		}
 	}
@@ -180,7 +180,7 @@
 	b = append(b, ip[:]...)
 	b = binary.LittleEndian.AppendUint16(b, a.addr.Port())
 	b = binary.LittleEndian.AppendUint64(b, uint64(a.service))
-	last := byte(min(now.Sub(a.receivedAt)/memberAgeUnit, maxMemberAge))
+	last := byte(min(now.Sub(a.lastReceivedAt)/memberAgeUnit, maxMemberAge))
 	if a.holdsNoFlows {
 		last |= memberHoldsNoFlows
 	}
@@ -234,7 +234,7 @@
 		a.confirmedByPeer = true
 		last := members[memberSize-1]
 		receivedAt := now.Add(-time.Duration(last&maxMemberAge) * memberAgeUnit)
-		if a.ended() && receivedAt.After(a.receivedAt.Add(memberAgeSlack)) {
+		if a.ended() && receivedAt.After(a.lastReceivedAt.Add(memberAgeSlack)) {
 			// The other balancer has received a message from a new agent at that
 			// address, beside a new server, which may hold the flow that is being
 			// looked up.
@@ -250,7 +250,7 @@
 // is later than this balancer's own last message by more than slack: of a failed agent
 // other balancers have received at most one further report, and ages are rounded.
 func (a *agent) recordPeerContact(receivedAt time.Time, holdsNoFlows bool, slack time.Duration) {
-	if !receivedAt.After(a.peerReceivedAt) || !a.receivedAt.IsZero() && !receivedAt.After(a.receivedAt.Add(slack)) {
+	if !receivedAt.After(a.peerReceivedAt) || !a.lastReceivedAt.IsZero() && !receivedAt.After(a.lastReceivedAt.Add(slack)) {
 		return
 	}
 	a.peerReceivedAt = receivedAt
--- a/flow/offer.go
+++ b/flow/offer.go
@@ -14,7 +14,7 @@
 	}
 	// Callers reuse their ports: another sequence number means a new flow.
 	if e != nil && (e.state == entryOpening || e.state == entryPlaced) && e.opener == s.Seq {
-		e.used = now
+		e.lastPacketAt = now
 		if e.state == entryOpening {
 			e.open.copies = max(e.open.copies, s.Ack)
 			return // the offer in progress continues at its timeout
@@ -215,7 +215,7 @@
 		return
 	}
 	if e.state == entryResetPending {
-		d.reserveCapacity(now, e)
+		d.reserveOrReset(now, e)
 		return
 	}
 	if e.state == entryPlaced {
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -109,18 +109,18 @@
 	e := d.addEntry(now, c)
 	d.endFlow(now, e, &Segment{Key: c, Ack: 5, HasAck: true, Data: 9}, ReasonLost)
 	d.FromAgent(now, agentAddr(0), &Message{Kind: Queued, Key: c, State: ServerReady, Service: listing}, nil, nil)
-	until := e.reset.until
-	if wait := until.Sub(now); wait > 1200*time.Millisecond/resetWaitPart {
+	notifyBy := e.reset.notifyBy
+	if wait := notifyBy.Sub(now); wait > 1200*time.Millisecond/resetWaitPart {
 		t.Fatalf("may wait for %v of a deadline of 1.2 s", wait)
 	}
 	d.Effects()
-	for !now.After(until.Add(2*DefaultOpenTimeout + 2*resetCheckInterval)) {
+	for !now.After(notifyBy.Add(2*DefaultOpenTimeout + 2*resetCheckInterval)) {
 		now = now.Add(10 * time.Millisecond)
 		d.Tick(now)
 		for _, e := range d.Effects() {
 			if e.Kind == SendReset {
-				if now.Before(until) {
-					t.Errorf("notified %v too early", until.Sub(now))
+				if now.Before(notifyBy) {
+					t.Errorf("notified %v too early", notifyBy.Sub(now))
 				}
 				return
 			}
--- a/flow/peers.go
+++ b/flow/peers.go
@@ -102,7 +102,7 @@
 	}
 	before := *a
 	delete(d.failedAgents, from)
-	a.receivedAt = now
+	a.lastReceivedAt = now
 	a.unansweredQueries = 0
 	d.agentReached = true
 	a.unresponsive = a.unresponsive && !a.answers(now, m)
@@ -125,7 +125,7 @@
 		d.trace.Agent(now, from, a.service, a.state, "reported")
 	}
 	d.recheckBlocked = d.recheckBlocked || a.ended() && !before.ended()
-	if before.receivedAt.IsZero() && !a.ended() {
+	if before.lastReceivedAt.IsZero() && !a.ended() {
 		d.queueAnnouncement(now, a)
 	}
 }
@@ -198,10 +198,10 @@
 // messages, flows that ended.
 func (d *Director) Tick(now time.Time) {
 	d.now = now
-	if now.Sub(d.tickAt) >= pauseThreshold {
+	if now.Sub(d.lastTickAt) >= pauseThreshold {
 		d.restartAgentTimeouts(now)
 	}
-	d.tickAt = now
+	d.lastTickAt = now
 	d.detectFleetStart(now)
 	d.expireUnconfirmedZones(now)
 	d.expireOffers(now)
@@ -210,12 +210,12 @@
 	d.retryLookups(now)
 	d.sendQueries(now)
 	d.sendAnnouncements(now)
-	d.resumeUnconfirmed(now)
+	d.resumeUndecided(now)
 	for _, a := range d.agents {
 		d.checkAgent(now, a)
 	}
 	d.resumeBlocked(now)
-	if now.Sub(d.sweptAt) >= sweepInterval {
+	if now.Sub(d.lastSweepAt) >= sweepInterval {
 		d.sweep(now)
 	}
 }
@@ -246,8 +246,8 @@
 // paused.
 func (d *Director) restartAgentTimeouts(now time.Time) {
 	for _, a := range d.agents {
-		if !a.receivedAt.IsZero() {
-			a.receivedAt = now
+		if !a.lastReceivedAt.IsZero() {
+			a.lastReceivedAt = now
 		}
 		a.unansweredQueries = 0
 		a.nextHelloAt = now
@@ -273,10 +273,10 @@
 // checkAgentTimeout excludes an agent from new flows, or removes it, when it has sent
 // no message for too long.
 func (d *Director) checkAgentTimeout(now time.Time, a *agent) {
-	if a.receivedAt.IsZero() {
+	if a.lastReceivedAt.IsZero() {
 		return
 	}
-	sinceMessage := now.Sub(a.receivedAt)
+	sinceMessage := now.Sub(a.lastReceivedAt)
 	if sinceMessage >= d.cfg.AgentExpiry {
 		d.removeAgent(now, a, "forgotten")
 		if !a.holdsNoFlows && !a.ended() {
@@ -325,7 +325,7 @@
 
 // sweep removes flows that are too old or were idle for too long.
 func (d *Director) sweep(now time.Time) {
-	d.sweptAt = now
+	d.lastSweepAt = now
 	for addr, since := range d.failedAgents {
 		if now.Sub(since) >= d.cfg.MaxAge {
 			delete(d.failedAgents, addr) // its flows have reached their greatest age
@@ -336,7 +336,7 @@
 		if e.state == entryOpening {
 			continue
 		}
-		if now.Sub(e.used) >= idle || now.Sub(e.opened) >= d.cfg.MaxAge+idle {
+		if now.Sub(e.lastPacketAt) >= idle || now.Sub(e.createdAt) >= d.cfg.MaxAge+idle {
 			d.stats.Evicted++
 			d.removeEntry(key)
 		}
@@ -360,7 +360,7 @@
 // the first time.
 func (d *Director) reachesAnyAgent() bool {
 	for _, a := range d.agents {
-		if !a.receivedAt.IsZero() && !a.unresponsive {
+		if !a.lastReceivedAt.IsZero() && !a.unresponsive {
 			return true
 		}
 	}
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -9,8 +9,7 @@
 // a slot processes that many in about two and a half seconds, which is how long callers
 // wait in total. A caller refused because the queue is full retries at once as a new flow,
 // takes the place of one that could be answered in time, and has used up its attempts
-// after 30 ms. With 40, the credit in the second two seconds after a power loss was 0.864
-// instead of 0.909 (flow/lab, ten seeds).
+// after 30 ms.
 const queuePerSlot = 100
 
 // queueEntry is a flow, or a caller to be notified, that waits for capacity at the server.
@@ -42,7 +41,6 @@
 )
 
 // timeliness returns whether the entry's request can still be answered in time at now.
-
 func (q *queueEntry) timeliness(now time.Time) timeliness {
 	switch {
 	case !q.onTimeUntil.After(now):
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -30,9 +30,9 @@
 	key         Key
 	ack         uint32    // what the caller last acknowledged
 	reason      Reason    // why the flow has ended
-	until       time.Time // when the caller is notified in any case
-	onTime      time.Time // until when its request can be answered in time
-	mayBeRepeat bool      // the packet may be a repeat of one from before this process started
+	notifyBy    time.Time // when the caller is notified in any case
+	onTimeUntil time.Time // until when its request can be answered in time
+	mayBeOlder  bool      // the packet may be a repeat of one from before this process started
 	tries       int
 	tried       [maxReserveTries]netip.AddrPort
 	service     ServiceID
@@ -45,8 +45,7 @@
 // closes the flow needs no capacity and is notified at once: without an answer it
 // repeats the close for seconds, and each repeat is looked up at every agent. After a
 // power loss those were 600 lookups per second; without them a day's bytes between
-// zones fell from 0.129 to 0.075 GB and the processor time from 69 to 47 s (58 VMs, one
-// run each).
+// zones fell from 0.129 to 0.075 GB and the processor time from 69 to 47 s on 58 VMs.
 //
 // After a power loss every caller has such flows. If all were notified at once, they
 // would all retry within the same 0.1 s at cold servers, be refused as busy, and have
@@ -62,13 +61,13 @@
 	d.free.release(e)
 	e.state = entryResetPending
 	e.reset = r
-	d.reserveCapacity(now, e)
+	d.reserveOrReset(now, e)
 }
 
 // newPendingReset determines how long the notification of a caller may be delayed.
 func (d *Director) newPendingReset(now time.Time, e *entry, s *Segment, reason Reason) *pendingReset {
 	r := take(&d.free.resets)
-	*r = pendingReset{key: s.Key, ack: s.Ack, reason: reason, until: now, onTime: now}
+	*r = pendingReset{key: s.Key, ack: s.Ack, reason: reason, notifyBy: now, onTimeUntil: now}
 	var route Route
 	if d.orders.Routes != nil {
 		route, _ = d.orders.Routes.Lookup(s.Key.ServiceAddr())
@@ -79,20 +78,20 @@
 		requestedAt = e.lookup.startedAt
 	}
 	left := route.Timeout - now.Sub(requestedAt) - 2*reopenTime
-	r.until = now.Add(min(maxResetWait, route.Timeout/resetWaitPart, max(0, left)))
-	r.onTime = requestedAt.Add(route.Target - reopenTime)
+	r.notifyBy = now.Add(min(maxResetWait, route.Timeout/resetWaitPart, max(0, left)))
+	r.onTimeUntil = requestedAt.Add(route.Target - reopenTime)
 	// Until all callers have repeated their packets once, a packet may be a repeat of
 	// one sent before this process started.
-	r.mayBeRepeat = now.Sub(d.started) < maxRetransmissionPause
+	r.mayBeOlder = now.Sub(d.started) < maxRetransmissionPause
 	return r
 }
 
-// reserveCapacity asks the least loaded agent to reserve capacity for a caller. If no
+// reserveOrReset asks the least loaded agent to reserve capacity for a caller. If no
 // agent is left to ask, the caller is notified at once.
-func (d *Director) reserveCapacity(now time.Time, e *entry) {
+func (d *Director) reserveOrReset(now time.Time, e *entry) {
 	r := e.reset
 	v := d.services[r.service]
-	if v == nil || r.tries == maxReserveTries || !now.Before(r.until) {
+	if v == nil || r.tries == maxReserveTries || !now.Before(r.notifyBy) {
 		d.sendPendingReset(now, e)
 		return
 	}
@@ -107,14 +106,14 @@
 	e.agent = to.Addr
 	r.serial = d.nextSerial()
 	d.reserveTimeouts.push(resetTimeout{r, r.serial, now.Add(d.cfg.OpenTimeout)})
-	d.trace.Ended(now, r.key, r.reason, to.Addr, r.until.Sub(now))
+	d.trace.Ended(now, r.key, r.reason, to.Addr, r.notifyBy.Sub(now))
 	reason := ReasonNone
-	if r.mayBeRepeat {
+	if r.mayBeOlder {
 		reason = ReasonStarted
 	}
 	d.send(to.Addr, Message{
 		Kind: ReserveCapacity, Reason: reason, Key: r.key, Service: r.service, Priority: r.priority,
-		OnTime: max(0, r.onTime.Sub(now)), Wait: r.until.Sub(now),
+		OnTime: max(0, r.onTimeUntil.Sub(now)), Wait: r.notifyBy.Sub(now),
 	}, nil)
 }
 
@@ -147,7 +146,7 @@
 		if e == nil || e.reset != w.reset || w.reset.serial != w.serial {
 			continue
 		}
-		d.reserveCapacity(now, e)
+		d.reserveOrReset(now, e)
 	}
 	for d.queuedResets.len() > 0 && !d.queuedResets.first().at.After(now) {
 		w := d.queuedResets.pop()
@@ -155,7 +154,7 @@
 		if e == nil || e.reset != w.reset || w.reset.serial != w.serial {
 			continue
 		}
-		if now.Before(w.reset.until.Add(2 * d.cfg.OpenTimeout)) {
+		if now.Before(w.reset.notifyBy.Add(2 * d.cfg.OpenTimeout)) {
 			d.queuedResets.push(resetTimeout{w.reset, w.serial, now.Add(resetCheckInterval)})
 			continue
 		}
--- a/flow/routes.go
+++ b/flow/routes.go
@@ -24,8 +24,7 @@
 	// requestTime is the time of a request with the round trips before it, until half
 	// of the requests are answered at a cold server. A waiting flow counts as late from
 	// that long before its latency objective. With 100 ms a request with an objective
-	// of 120 ms was late after a wait of 20 ms, before a slot became free. The gain of
-	// 60 ms is 0.001 of a day's score, four runs each, less than single runs differ by.
+	// of 120 ms was late after a wait of 20 ms, before a slot became free.
 	requestTime = 60 * time.Millisecond
 	// firstRetransmission and secondRetransmission are the times after which a caller
 	// repeats a first packet.
--- a/flow/server.go
+++ b/flow/server.go
@@ -201,8 +201,8 @@
 
 // Deregister records that the instance has deregistered because it ends. Deregistrations
 // of an earlier start under the same identity are ignored.
-func (g *Gate) Deregister(now time.Time, instance string, born int64) {
-	if !g.server.currentStart().matches(&Heartbeat{Instance: instance, StartTimeMs: born}) {
+func (g *Gate) Deregister(now time.Time, instance string, startTimeMs int64) {
+	if !g.server.currentStart().matches(&Heartbeat{Instance: instance, StartTimeMs: startTimeMs}) {
 		return
 	}
 	before := g.State(now)
--- a/flow/snapshot.go
+++ b/flow/snapshot.go
@@ -46,7 +46,7 @@
 		b.Revision, b.Routes = r.Revision, r.Len()
 	}
 	for _, a := range d.agents {
-		b.Agents = append(b.Agents, AgentSnapshot{Addr: a.addr, Service: a.service, State: a.state.String(), Unresponsive: a.unresponsive, Age: ageSince(now, a.receivedAt)})
+		b.Agents = append(b.Agents, AgentSnapshot{Addr: a.addr, Service: a.service, State: a.state.String(), Unresponsive: a.unresponsive, Age: ageSince(now, a.lastReceivedAt)})
 	}
 	for addr := range d.failedAgents {
 		b.Failed = append(b.Failed, addr)
