--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -47,45 +47,45 @@
 }
 
 const (
-	// quietBeforeEnd is the time without a caller's packet after which a
+	// drainQuietTime is the time without a caller's packet after which a
 	// balancer that stops has been left by the routers.
-	quietBeforeEnd = 400 * time.Millisecond
-	// leastLinger is the time that routers need to notice that a balancer is
+	drainQuietTime = 400 * time.Millisecond
+	// minDrainTime is the time that routers need to notice that a balancer is
 	// not ready: two questions half a second apart, and one more.
-	leastLinger = 1500 * time.Millisecond
+	minDrainTime = 1500 * time.Millisecond
 	// readHeaderTimeout bounds how long a caller of the readiness page may take.
 	readHeaderTimeout = 5 * time.Second
 )
 
 // Balancer is one balancer process.
 type Balancer struct {
-	cfg        Config
-	log        *zap.Logger
-	callers    *udp.Conn
-	internal   *udp.Conn
-	pages      net.Listener
-	shared     net.Listener // where other balancers ask for the configuration
-	follower   *node.Follower
-	introducer *node.Registrar
-	inForce    node.Orders // used by the follower alone, one call at a time
-	readiness  *node.Readiness
-	tracer     *tracer // used under mu
-	wrongKeys  prometheus.Counter
+	cfg               Config
+	log               *zap.Logger
+	callers           *udp.Conn
+	internal          *udp.Conn
+	readinessListener net.Listener
+	ordersListener    net.Listener // where other balancers ask for the configuration
+	follower          *node.Follower
+	registrar         *node.Registrar
+	inForce           node.Orders // used by the follower alone, one call at a time
+	readiness         *node.Readiness
+	tracer            *tracer // used under mu
+	invalidKeys       prometheus.Counter
 
-	mu       sync.Mutex
-	era      store.Era // of the store, by the orders in force
-	director *flow.Director
-	plan     *propagation.Node // how the configuration gets here and on to others
+	mu         sync.Mutex
+	era        store.Era // of the store, by the orders in force
+	director   *flow.Director
+	propagator *propagation.Node // how the configuration gets here and on to others
 
-	stopping   atomic.Bool
-	saidReady  atomic.Bool   // what the readiness page said last
-	watches    atomic.Bool   // whether this process watched the store for all when that was logged
-	callerAt   atomic.Int64  // node.Now of the last caller's packet, in ns
-	due        chan struct{} // the follower may have something to do
-	kick       chan struct{}
-	sleepUntil atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
-	ctx        context.Context
-	cancel     context.CancelFunc
+	stopping         atomic.Bool
+	loggedReady      atomic.Bool   // what the readiness page said last
+	loggedWatcher    atomic.Bool   // whether this process watched the store for all when that was logged
+	lastCallerPacket atomic.Int64  // node.Now of the last caller's packet, in ns
+	followerDue      chan struct{} // the follower may have something to do
+	wakeup           chan struct{}
+	sleepUntil       atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
 // New opens the sockets of a balancer.
@@ -94,16 +94,16 @@
 	cfg.Director.Regions = cfg.Settings.Zones
 	cfg.Director.MaxAge = cfg.Settings.MaxFlowAge
 	cfg.Director.Link = cfg.Settings.LinkRate
-	b := &Balancer{cfg: cfg, log: log, due: make(chan struct{}, 1), kick: make(chan struct{}, 1)}
+	b := &Balancer{cfg: cfg, log: log, followerDue: make(chan struct{}, 1), wakeup: make(chan struct{}, 1)}
 	spans, err := node.NewSpans(cfg.Traces)
 	if err != nil {
 		return nil, err
 	}
-	b.plan = propagation.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	b.propagator = propagation.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	b.tracer = newTracer(log, b.addr(), spans, reg)
 	b.director = flow.NewDirector(node.Now(), cfg.Director, b.tracer)
 	b.readiness = node.NewReadiness(reg)
-	b.introduceSeeds(cfg.Settings.Seeds)
+	b.addSeeds(cfg.Settings.Seeds)
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	if b.callers, err = udp.Listen(cfg.Settings.Packets); err != nil {
 		return nil, err
@@ -111,15 +111,15 @@
 	if b.internal, err = udp.Listen(b.addr()); err != nil {
 		return nil, err
 	}
-	if b.shared, err = net.Listen("tcp4", b.addr().String()); err != nil {
+	if b.ordersListener, err = net.Listen("tcp4", b.addr().String()); err != nil {
 		return nil, err
 	}
-	if b.pages, err = net.Listen("tcp4", cfg.Settings.Readiness.String()); err != nil {
+	if b.readinessListener, err = net.Listen("tcp4", cfg.Settings.Readiness.String()); err != nil {
 		return nil, err
 	}
 	b.follower = b.newFollower()
-	b.wrongKeys = node.NewInvalidKeys(reg)
-	b.introducer = b.newIntroducer()
+	b.invalidKeys = node.NewInvalidKeys(reg)
+	b.registrar = b.newRegistrar()
 	registerMetrics(reg, b)
 	return b, nil
 }
@@ -136,7 +136,7 @@
 	b.mu.Lock()
 	ready, known := b.director.Ready(), b.director.Stats()
 	b.mu.Unlock()
-	if b.saidReady.Swap(ready) != ready {
+	if b.loggedReady.Swap(ready) != ready {
 		b.log.Info("readiness", zap.Bool("ready", ready), zap.Int("agents", known.Agents), zap.Int("agents_ready", known.Ready))
 	}
 	return ready
@@ -146,12 +146,12 @@
 func (b *Balancer) Run() error {
 	var g run.Group
 	g.Add(b.readCallers, func(error) { b.callers.Close() })
-	g.Add(b.readAgents, func(error) { b.internal.Close() })
+	g.Add(b.readInternal, func(error) { b.internal.Close() })
 	g.Add(b.tick, func(error) { b.cancel() })
 	b.addFollower(&g)
-	b.addIntroducer(&g)
-	b.addShared(&g)
-	b.addPages(&g)
+	b.addRegistrar(&g)
+	b.addOrdersServer(&g)
+	b.addReadinessServer(&g)
 	return g.Run()
 }
 
@@ -161,7 +161,7 @@
 	defer b.mu.Unlock()
 	b.director.SetMaxAge(s.MaxFlowAge)
 	b.director.SetRegions(s.Zones)
-	b.introduceSeeds(s.Seeds)
+	b.addSeeds(s.Seeds)
 }
 
 // Beliefs implements process.Part.
@@ -172,9 +172,9 @@
 	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
 }
 
-// introduceSeeds makes the balancers known that the settings name, with b.mu
+// addSeeds makes the balancers known that the settings name, with b.mu
 // held.
-func (b *Balancer) introduceSeeds(seeds []netip.Addr) {
+func (b *Balancer) addSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		if seed != b.cfg.Settings.IP {
 			b.director.AddBalancer(netip.AddrPortFrom(seed, b.cfg.Settings.InternalPort))
@@ -190,7 +190,7 @@
 func (b *Balancer) Drain(ctx context.Context) {
 	b.stopping.Store(true)
 	start := node.Now()
-	t := time.NewTicker(quietBeforeEnd / 4)
+	t := time.NewTicker(drainQuietTime / 4)
 	defer t.Stop()
 	for {
 		select {
@@ -199,8 +199,8 @@
 		case <-t.C:
 		}
 		now := node.Now()
-		quiet := now.Sub(time.Unix(0, b.callerAt.Load()))
-		if now.Sub(start) >= leastLinger && quiet >= quietBeforeEnd {
+		quiet := now.Sub(time.Unix(0, b.lastCallerPacket.Load()))
+		if now.Sub(start) >= minDrainTime && quiet >= drainQuietTime {
 			return
 		}
 	}
@@ -210,8 +210,8 @@
 	return node.NewOutput(b.internal, b.cfg.Codec, b.cfg.Settings.Packets.Port(), netip.AddrPort{})
 }
 
-// decide runs f on the Director and copies what it decided to out.
-func (b *Balancer) decide(out *node.Output, f func(d *flow.Director, now time.Time)) {
+// update runs f on the Director and copies what it decided to out.
+func (b *Balancer) update(out *node.Output, f func(d *flow.Director, now time.Time)) {
 	now := node.Now()
 	b.mu.Lock()
 	f(b.director, now)
@@ -226,7 +226,7 @@
 // wake has the ticking duty look at once what is due.
 func (b *Balancer) wake() {
 	select {
-	case b.kick <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -235,20 +235,20 @@
 func (b *Balancer) readCallers() error {
 	r, out := udp.NewReader(b.callers), b.output()
 	for {
-		if _, err := b.callersBatch(r, out); err != nil {
+		if _, err := b.receiveCallerBatch(r, out); err != nil {
 			return udp.IgnoreClosed(err)
 		}
 	}
 }
 
-// callersBatch takes what one read brings and returns the number of packets.
-func (b *Balancer) callersBatch(r *udp.Reader, out *node.Output) (int, error) {
+// receiveCallerBatch takes what one read brings and returns the number of packets.
+func (b *Balancer) receiveCallerBatch(r *udp.Reader, out *node.Output) (int, error) {
 	n, err := r.Read()
 	if err != nil {
 		return 0, err
 	}
-	b.decide(out, func(d *flow.Director, now time.Time) {
-		b.callerAt.Store(now.UnixNano())
+	b.update(out, func(d *flow.Director, now time.Time) {
+		b.lastCallerPacket.Store(now.UnixNano())
 		for i := range n {
 			packet := r.Datagram(i)
 			if s, ok := b.cfg.Codec.FromCaller(packet); ok && !r.Truncated(i) {
@@ -261,17 +261,17 @@
 	return n, nil
 }
 
-// readAgents is the duty that takes agents' messages.
-func (b *Balancer) readAgents() error {
+// readInternal is the duty that takes agents' messages.
+func (b *Balancer) readInternal() error {
 	r, out := udp.NewReader(b.internal), b.output()
 	for {
 		n, err := r.Read()
 		if err != nil {
 			return udp.IgnoreClosed(err)
 		}
-		b.decide(out, func(d *flow.Director, now time.Time) {
+		b.update(out, func(d *flow.Director, now time.Time) {
 			for i := range n {
-				b.fromAgent(d, now, r.Source(i), r.Datagram(i), out)
+				b.receiveMessage(d, now, r.Source(i), r.Datagram(i), out)
 				out.Add(d.Effects())
 			}
 		})
@@ -280,7 +280,7 @@
 	}
 }
 
-func (b *Balancer) fromAgent(d *flow.Director, now time.Time, from netip.AddrPort, datagram []byte, out *node.Output) {
+func (b *Balancer) receiveMessage(d *flow.Director, now time.Time, from netip.AddrPort, datagram []byte, out *node.Output) {
 	m, packet, ok := flowframe.Decode(datagram)
 	if !ok {
 		return
@@ -288,7 +288,7 @@
 	if m.Kind.BetweenBalancers() {
 		d.FromBalancer(now, from, &m, packet)
 		if m.Kind == flow.Configured {
-			b.onDigest(now, from, &m, packet, out)
+			b.receiveDigest(now, from, &m, packet, out)
 		}
 		return
 	}
@@ -306,7 +306,7 @@
 	out := b.output()
 	for {
 		var next time.Time
-		b.decide(out, func(d *flow.Director, now time.Time) {
+		b.update(out, func(d *flow.Director, now time.Time) {
 			d.Tick(now)
 			b.tracer.flush(now)
 			next = d.NextTick(now)
@@ -317,18 +317,18 @@
 		select {
 		case <-b.ctx.Done():
 			return nil
-		case <-b.kick:
+		case <-b.wakeup:
 		case <-time.After(next.Sub(node.Now())):
 		}
 	}
 }
 
-func (b *Balancer) newIntroducer() *node.Registrar {
+func (b *Balancer) newRegistrar() *node.Registrar {
 	return &node.Registrar{
 		Self:        node.Peer{Role: node.RoleBalancer, Addr: b.addr(), Zone: b.cfg.Settings.Zone},
 		Store:       b.cfg.Store,
-		PeersListed: b.introduce,
-		InvalidKeys: b.wrongKeys,
+		PeersListed: b.addPeers,
+		InvalidKeys: b.invalidKeys,
 		Log:         b.log,
 
 		StoreRestored: b.storeRestored,
@@ -340,17 +340,17 @@
 func (b *Balancer) storeRestored(version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.plan.ObserveRevision(node.Now(), version)
+	b.propagator.ObserveRevision(node.Now(), version)
 }
 
-func (b *Balancer) addIntroducer(g *run.Group) {
-	g.Add(func() error { return b.introducer.Run(b.ctx) }, func(error) { b.cancel() })
+func (b *Balancer) addRegistrar(g *run.Group) {
+	g.Add(func() error { return b.registrar.Run(b.ctx) }, func(error) { b.cancel() })
 }
 
-// introduce makes the agents known that the store names, and greets new ones.
-func (b *Balancer) introduce(peers []node.Peer) {
+// addPeers makes the agents known that the store names, and greets new ones.
+func (b *Balancer) addPeers(peers []node.Peer) {
 	out := b.output()
-	b.decide(out, func(d *flow.Director, now time.Time) {
+	b.update(out, func(d *flow.Director, now time.Time) {
 		for _, p := range peers {
 			switch p.Role {
 			case node.RoleAgent:
@@ -366,7 +366,7 @@
 	b.propagate(out) // there may be somebody to ask only now
 }
 
-func (b *Balancer) addPages(g *run.Group) {
+func (b *Balancer) addReadinessServer(g *run.Group) {
 	s := &http.Server{Handler: b.cfg.Readiness(b.Ready), ReadHeaderTimeout: readHeaderTimeout}
-	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.pages)) }, func(error) { s.Close() })
+	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.readinessListener)) }, func(error) { s.Close() })
 }
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -22,17 +22,17 @@
 func (b *Balancer) propagate(out *node.Output) {
 	now := node.Now()
 	b.mu.Lock()
-	b.plan.ObserveRevision(now, b.director.NewestOrders())
-	b.director.StoreRead(b.plan.ReadAt())
-	digest, send := b.plan.NextDigest(now)
+	b.propagator.ObserveRevision(now, b.director.NewestOrders())
+	b.director.StoreRead(b.propagator.ReadAt())
+	digest, send := b.propagator.NextDigest(now)
 	var to []netip.AddrPort
 	if send {
 		to = b.director.SampleBalancers(now, propagation.Fanout)
 	}
-	due := b.plan.Due(now)
-	watches := b.plan.IsWatcher()
+	due := b.propagator.Due(now)
+	watches := b.propagator.IsWatcher()
 	b.mu.Unlock()
-	if b.watches.Swap(watches) != watches {
+	if b.loggedWatcher.Swap(watches) != watches {
 		b.log.Info("watch of the store", zap.Bool("for_all", watches), zap.Uint64("read", digest.Read.Number))
 	}
 	for _, addr := range to {
@@ -43,7 +43,7 @@
 		return
 	}
 	select {
-	case b.due <- struct{}{}:
+	case b.followerDue <- struct{}{}:
 	default:
 	}
 }
@@ -52,59 +52,59 @@
 func digestMessage(to netip.AddrPort, d propagation.Digest, now time.Time) flow.Effect {
 	return flow.Effect{Kind: flow.SendMessage, To: to, Message: flow.Message{
 		Kind: flow.Configured, Revision: d.Revision, ReadAge: flow.AgeOf(now, d.Read.At), Incarnation: d.Read.Reader,
-	}, Packet: appendNumbers(nil, d)}
+	}, Packet: appendDigestNumbers(nil, d)}
 }
 
-// numbersSize is the length of what follows the message, in bytes: the number of the read,
+// digestNumbersSize is the length of what follows the message, in bytes: the number of the read,
 // and that of the configuration.
-const numbersSize = 16
+const digestNumbersSize = 16
 
-func appendNumbers(b []byte, d propagation.Digest) []byte {
+func appendDigestNumbers(b []byte, d propagation.Digest) []byte {
 	b = binary.LittleEndian.AppendUint64(b, d.Read.Number)
 	return binary.LittleEndian.AppendUint64(b, d.Content)
 }
 
-// onDigest takes another balancer's digest of the operator's orders, with b.mu held, and
+// receiveDigest takes another balancer's digest of the operator's orders, with b.mu held, and
 // adds the answer to out. A message without its numbers is not one of this system.
-func (b *Balancer) onDigest(now time.Time, from netip.AddrPort, m *flow.Message, numbers []byte, out *node.Output) {
-	if len(numbers) != numbersSize {
+func (b *Balancer) receiveDigest(now time.Time, from netip.AddrPort, m *flow.Message, numbers []byte, out *node.Output) {
+	if len(numbers) != digestNumbersSize {
 		return
 	}
 	read := propagation.ReadMark{Number: binary.LittleEndian.Uint64(numbers), At: flow.ReadAt(now, m.ReadAge), Reader: m.Incarnation}
 	d := propagation.Digest{Revision: m.Revision, Content: binary.LittleEndian.Uint64(numbers[8:]), Read: read}
-	if answer, ok := b.plan.Receive(now, from, d); ok {
+	if answer, ok := b.propagator.Receive(now, from, d); ok {
 		out.Add([]flow.Effect{digestMessage(from, answer, now)})
 	}
 }
 
-// plan lets the follower ask what to do.
-type plan struct{ b *Balancer }
+// followerPlan lets the follower ask what to do.
+type followerPlan struct{ b *Balancer }
 
 // StoreCall implements node.Plan.
-func (p plan) StoreCall() propagation.Call {
+func (p followerPlan) StoreCall() propagation.Call {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
 	now := node.Now()
-	c := p.b.plan.StoreCall(now)
+	c := p.b.propagator.StoreCall(now)
 	if c != propagation.None {
-		p.b.plan.CallStarted(now, c)
+		p.b.propagator.CallStarted(now, c)
 	}
 	return c
 }
 
 // StoreCalled implements node.Plan.
-func (p plan) StoreCalled(c propagation.Call, begun time.Time, o propagation.Outcome) {
+func (p followerPlan) StoreCalled(c propagation.Call, begun time.Time, o propagation.Outcome) {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	p.b.plan.CallDone(node.Now(), c, begun, o)
+	p.b.propagator.CallDone(node.Now(), c, begun, o)
 }
 
 // Fetch implements node.Plan.
-func (p plan) Fetch() (from []netip.AddrPort, ok bool) {
+func (p followerPlan) Fetch() (from []netip.AddrPort, ok bool) {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
 	now := node.Now()
-	source, ok := p.b.plan.Fetch(now)
+	source, ok := p.b.propagator.Fetch(now)
 	if !ok {
 		return nil, false
 	}
@@ -115,62 +115,62 @@
 	if len(to) == 0 {
 		return nil, false // nobody is known yet
 	}
-	p.b.plan.FetchStarted(now)
+	p.b.propagator.FetchStarted(now)
 	return to, true
 }
 
 // Receiving implements node.Plan.
-func (p plan) Receiving() {
+func (p followerPlan) Receiving() {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	p.b.plan.FetchReceiving()
+	p.b.propagator.FetchReceiving()
 }
 
 // Fetched implements node.Plan.
-func (p plan) Fetched() {
+func (p followerPlan) Fetched() {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	p.b.plan.FetchDone()
+	p.b.propagator.FetchDone()
 }
 
 // newFollower returns what follows the operator's orders.
 func (b *Balancer) newFollower() *node.Follower {
 	source := &node.OrdersSource{Store: b.cfg.Store, Keys: b.cfg.Orders}
-	return &node.Follower{Source: source, Plan: plan{b}, Changed: b.takeOrders, Due: b.due, Log: b.log}
+	return &node.Follower{Source: source, Plan: followerPlan{b}, Changed: b.applyOrders, Due: b.followerDue, Log: b.log}
 }
 
 func (b *Balancer) addFollower(g *run.Group) {
 	g.Add(func() error { return b.follower.Run(b.ctx) }, func(error) { b.cancel() })
 }
 
-// addShared serves the operator's orders to other balancers.
-func (b *Balancer) addShared(g *run.Group) {
+// addOrdersServer serves the operator's orders to other balancers.
+func (b *Balancer) addOrdersServer(g *run.Group) {
 	s := &http.Server{Handler: node.ValueHandler(b.follower), ReadHeaderTimeout: readHeaderTimeout}
-	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.shared)) }, func(error) { s.Close() })
+	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.ordersListener)) }, func(error) { s.Close() })
 }
 
-// takeOrders puts the operator's orders in force and reports whether they could be read.
-func (b *Balancer) takeOrders(v store.Value) bool {
+// applyOrders puts the operator's orders in force and reports whether they could be read.
+func (b *Balancer) applyOrders(v store.Value) bool {
 	start := node.Now()
-	b.introducer.ObserveVersion(v.Version)
+	b.registrar.ObserveVersion(v.Version)
 	o, err := node.DecodeOrders(v.Data)
 	if err != nil {
 		b.log.Error("orders refused", zap.Error(err))
 		return false
 	}
-	routes := b.routesOf(o.Configuration)
+	routes := b.parseRoutes(o.Configuration)
 	b.mu.Lock()
 	configured := b.director.Routes()
-	restored := b.noteEra(start, v.Version)
+	restored := b.observeEra(start, v.Version)
 	taken := b.director.SetOrders(start, flow.NewOrders(v.Version, routes, o.Evacuated))
 	if taken {
-		b.plan.Applied(node.Now(), v.Version)
+		b.propagator.Applied(node.Now(), v.Version)
 	}
 	if routes == nil {
 		routes = b.director.Routes()
 	}
 	if routes != nil {
-		b.plan.ContentApplied(node.Now(), routes.Revision)
+		b.propagator.ContentApplied(node.Now(), routes.Revision)
 	}
 	b.mu.Unlock()
 	if restored {
@@ -190,10 +190,10 @@
 	return true
 }
 
-// noteEra takes the version of the orders that are being put in force, with b.mu held. It
+// observeEra takes the version of the orders that are being put in force, with b.mu held. It
 // reports whether they are the first that were read after the store came back from an older
 // copy.
-func (b *Balancer) noteEra(now time.Time, version uint64) bool {
+func (b *Balancer) observeEra(now time.Time, version uint64) bool {
 	era := store.EraOf(version)
 	if era <= b.era {
 		return false
@@ -203,9 +203,9 @@
 	return true
 }
 
-// routesOf reads a configuration. It returns nil for the one that was read last, and for
+// parseRoutes reads a configuration. It returns nil for the one that was read last, and for
 // one that can't be read: the routes in force stay.
-func (b *Balancer) routesOf(configuration []byte) *flow.Routes {
+func (b *Balancer) parseRoutes(configuration []byte) *flow.Routes {
 	if bytes.Equal(configuration, b.inForce.Configuration) {
 		return nil
 	}
--- a/internal/flowbalancer/relay_bench_test.go
+++ b/internal/flowbalancer/relay_bench_test.go
@@ -42,14 +42,14 @@
 	for i := range relayFlows {
 		h := standin.Header{Src: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)), Dst: relayService}
 		h.Flags = standin.FlagSyn
-		l.open(b, agent, h.Encode())
+		l.openFlow(b, agent, h.Encode())
 		h.Flags = standin.FlagAck
 		h.Data = make([]byte, size-platform.HeaderSize)
 		packets = append(packets, h.Encode())
 	}
 	r, out := udp.NewReader(l.callers), l.output()
 	whole := &relay.Relay{To: l.callers.LocalAddr(), Step: func() int {
-		n, err := l.callersBatch(r, out)
+		n, err := l.receiveCallerBatch(r, out)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -74,16 +74,16 @@
 	b.Cleanup(func() {
 		l.callers.Close()
 		l.internal.Close()
-		l.pages.Close()
-		l.shared.Close()
+		l.readinessListener.Close()
+		l.ordersListener.Close()
 	})
 	l.director.SetRoutes(flow.NewRoutes(1, 0, map[netip.AddrPort]flow.Route{relayService: {Service: flow.IDOf("listing")}}))
 	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Report, State: flow.ServerReady, Service: flow.IDOf("listing")}, nil, nil)
 	return benchBalancer{l}
 }
 
-// open has the agent take the flow that the packet opens.
-func (l benchBalancer) open(b *testing.B, agent netip.AddrPort, packet []byte) {
+// openFlow has the agent take the flow that the packet opens.
+func (l benchBalancer) openFlow(b *testing.B, agent netip.AddrPort, packet []byte) {
 	b.Helper()
 	s, ok := l.cfg.Codec.FromCaller(packet)
 	if !ok {
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -16,24 +16,24 @@
 
 // tracer writes a log line for each decision, and records times and spans.
 type tracer struct {
-	log   *zap.Logger
-	self  netip.AddrPort // of this balancer
-	spans *node.Spans
-	open  prometheus.Histogram
+	log       *zap.Logger
+	self      netip.AddrPort // of this balancer
+	spans     *node.Spans
+	takenTime prometheus.Histogram
 
-	changes map[agentChange]*agentBundle // of agents, not written yet
+	changes map[agentChange]*changedAgents // of agents, not written yet
 }
 
 func newTracer(log *zap.Logger, self netip.AddrPort, spans *node.Spans, reg prometheus.Registerer) *tracer {
 	return &tracer{
-		log: log, self: self, spans: spans, changes: make(map[agentChange]*agentBundle),
-		open: node.NewLatency(reg, "hemlock_flow_taken_seconds", "time from a flow's first packet until an agent took it"),
+		log: log, self: self, spans: spans, changes: make(map[agentChange]*changedAgents),
+		takenTime: node.NewLatency(reg, "hemlock_flow_taken_seconds", "time from a flow's first packet until an agent took it"),
 	}
 }
 
 // Taken implements flow.Tracer.
 func (t *tracer) Taken(_ time.Time, id flow.ID, route flow.Route, agent netip.AddrPort, offers int, after time.Duration) {
-	t.open.Observe(after.Seconds())
+	t.takenTime.Observe(after.Seconds())
 	t.log.Info("flow taken", node.FlowField(id.Key), zap.String("route", route.Name), zap.Stringer("agent", agent), zap.Int("offers", offers), zap.Duration("after", after))
 	t.spans.Balancer(id, t.self, after, "", attribute.String("route", route.Name), attribute.Stringer("agent", agent), attribute.Int("offers", offers))
 }
@@ -76,8 +76,8 @@
 	why     string
 }
 
-// agentBundle is the agents that changed alike since the last flush.
-type agentBundle struct {
+// changedAgents is the agents that changed alike since the last flush.
+type changedAgents struct {
 	since  time.Time
 	agents []string
 }
@@ -89,7 +89,7 @@
 	kind := agentChange{service, state, why}
 	b := t.changes[kind]
 	if b == nil {
-		b = &agentBundle{since: now}
+		b = &changedAgents{since: now}
 		t.changes[kind] = b
 	}
 	b.agents = append(b.agents, agent.String())
@@ -116,24 +116,24 @@
 type collector struct{ b *Balancer }
 
 var (
-	descFlows    = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
-	descOpening  = prometheus.NewDesc("hemlock_flows_opening", "flows being offered to agents", nil, nil)
-	descReturns  = prometheus.NewDesc("hemlock_callers_waiting", "callers of flows that have ended who are told when there is room for them", nil, nil)
-	descAgents   = prometheus.NewDesc("hemlock_agents", "agents known", nil, nil)
-	descReady    = prometheus.NewDesc("hemlock_agents_ready", "agents that take new flows", nil, nil)
-	descRevision = prometheus.NewDesc("hemlock_config_revision", "configuration in force", nil, nil)
-	descOrders   = prometheus.NewDesc("hemlock_orders_number", "revision of the store at which the operator's orders in force were read", nil, nil)
-	descEra      = prometheus.NewDesc("hemlock_store_era", "times that the store has come back from an older copy, by the operator's orders in force", nil, nil)
-	descZones    = prometheus.NewDesc("hemlock_zones_evacuated", "availability zones that get no new flows", nil, nil)
-	descReadAge  = prometheus.NewDesc("hemlock_config_read_age_seconds", "time since some process last read the configuration in the store, as far as this one has heard; -1 if never", nil, nil)
-	descOffered  = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered to agents", nil, nil)
-	descTaken    = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that an agent took", nil, nil)
-	descRefused  = prometheus.NewDesc("hemlock_offers_refused_total", "offers that an agent refused or left unanswered", []string{"reason"}, nil)
-	descResets   = prometheus.NewDesc("hemlock_flows_reset_total", "flows reset at their caller", []string{"reason"}, nil)
-	descDropped  = prometheus.NewDesc("hemlock_packets_dropped_total", "callers' packets dropped", []string{"reason"}, nil)
-	descSought   = prometheus.NewDesc("hemlock_flows_sought_total", "flows looked for at all agents", nil, nil)
-	descFound    = prometheus.NewDesc("hemlock_flows_found_total", "flows found so", nil, nil)
-	descEvicted  = prometheus.NewDesc("hemlock_flows_evicted_total", "flows forgotten for want of use", nil, nil)
+	descFlows         = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
+	descOpening       = prometheus.NewDesc("hemlock_flows_opening", "flows being offered to agents", nil, nil)
+	descPendingResets = prometheus.NewDesc("hemlock_callers_waiting", "callers of flows that have ended who are told when there is room for them", nil, nil)
+	descAgents        = prometheus.NewDesc("hemlock_agents", "agents known", nil, nil)
+	descReady         = prometheus.NewDesc("hemlock_agents_ready", "agents that take new flows", nil, nil)
+	descRevision      = prometheus.NewDesc("hemlock_config_revision", "configuration in force", nil, nil)
+	descOrders        = prometheus.NewDesc("hemlock_orders_number", "revision of the store at which the operator's orders in force were read", nil, nil)
+	descEra           = prometheus.NewDesc("hemlock_store_era", "times that the store has come back from an older copy, by the operator's orders in force", nil, nil)
+	descZones         = prometheus.NewDesc("hemlock_zones_evacuated", "availability zones that get no new flows", nil, nil)
+	descReadAge       = prometheus.NewDesc("hemlock_config_read_age_seconds", "time since some process last read the configuration in the store, as far as this one has heard; -1 if never", nil, nil)
+	descOffered       = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered to agents", nil, nil)
+	descTaken         = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that an agent took", nil, nil)
+	descRefused       = prometheus.NewDesc("hemlock_offers_refused_total", "offers that an agent refused or left unanswered", []string{"reason"}, nil)
+	descResets        = prometheus.NewDesc("hemlock_flows_reset_total", "flows reset at their caller", []string{"reason"}, nil)
+	descDropped       = prometheus.NewDesc("hemlock_packets_dropped_total", "callers' packets dropped", []string{"reason"}, nil)
+	descLookups       = prometheus.NewDesc("hemlock_flows_sought_total", "flows looked for at all agents", nil, nil)
+	descFound         = prometheus.NewDesc("hemlock_flows_found_total", "flows found so", nil, nil)
+	descEvicted       = prometheus.NewDesc("hemlock_flows_evicted_total", "flows forgotten for want of use", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
@@ -147,7 +147,7 @@
 	s := c.b.director.Stats()
 	orders := c.b.director.Orders()
 	revision, age := uint64(0), -1.0
-	if at := c.b.plan.ReadAt(); !at.IsZero() {
+	if at := c.b.propagator.ReadAt(); !at.IsZero() {
 		age = node.Now().Sub(at).Seconds()
 	}
 	if r := orders.Routes; r != nil {
@@ -162,7 +162,7 @@
 	}
 	gauge(descFlows, s.Flows)
 	gauge(descOpening, s.Opening)
-	gauge(descReturns, s.PendingResets)
+	gauge(descPendingResets, s.PendingResets)
 	gauge(descAgents, s.Agents)
 	gauge(descReady, s.Ready)
 	gauge(descRevision, int(revision))
@@ -172,7 +172,7 @@
 	ch <- prometheus.MustNewConstMetric(descReadAge, prometheus.GaugeValue, age)
 	count(descOffered, s.Offered)
 	count(descTaken, s.Taken)
-	count(descSought, s.Lookups)
+	count(descLookups, s.Lookups)
 	count(descFound, s.Found)
 	count(descEvicted, s.Evicted)
 	for r := range flow.Reasons {
