--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -48,42 +48,42 @@
 	// checkTimeout bounds the status check at the start: a server that answers
 	// later will have sent a heartbeat.
 	checkTimeout = 500 * time.Millisecond
-	// checkAfter leaves a server that starts together with its agent the time
+	// checkDelay leaves a server that starts together with its agent the time
 	// for its first heartbeat, which makes the check needless.
-	checkAfter = 10 * time.Millisecond
-	// restMargin is how much earlier than the end of an address's rest the
+	checkDelay = 10 * time.Millisecond
+	// reuseMargin is how much earlier than the end of an address's rest the
 	// server counts as unknown.
-	restMargin = 100 * time.Millisecond
-	// wrongLogEvery is the time between two log lines on wrong heartbeats.
-	wrongLogEvery = time.Second
+	reuseMargin = 100 * time.Millisecond
+	// invalidLogInterval is the time between two log lines on wrong heartbeats.
+	invalidLogInterval = time.Second
 	// readHeaderTimeout bounds how long a caller of a page may take.
 	readHeaderTimeout = 5 * time.Second
 )
 
 // Agent is one agent process.
 type Agent struct {
-	cfg      Config
-	log      *zap.Logger
-	messages *udp.Conn
-	server   *udp.Conn
-	control  net.Listener
-	pages    net.Listener
+	cfg               Config
+	log               *zap.Logger
+	messages          *udp.Conn
+	server            *udp.Conn
+	controlListener   net.Listener
+	readinessListener net.Listener
 
 	mu   sync.Mutex // guards gate and era
 	gate *flow.Gate
 	era  store.Era // of the store, as far as balancers have told
 
-	introducer *node.Registrar
-	heartbeat  prometheus.Histogram
-	wrongBeats prometheus.Counter
-
-	beats      *node.Output // used under beatMu
-	wrongAt    time.Time    // when a wrong heartbeat was logged last; used under beatMu
-	beatMu     sync.Mutex
-	kick       chan struct{}
-	sleepUntil atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
-	ctx        context.Context
-	cancel     context.CancelFunc
+	registrar         *node.Registrar
+	heartbeatTime     prometheus.Histogram
+	invalidHeartbeats prometheus.Counter
+
+	eventOutput     *node.Output // used under beatMu
+	invalidLoggedAt time.Time    // when a wrong heartbeat was logged last; used under beatMu
+	eventMu         sync.Mutex
+	wakeup          chan struct{}
+	sleepUntil      atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
 // New opens the sockets of an agent.
@@ -94,19 +94,19 @@
 	cfg.Gate.Service = flow.IDOf(s.Service)
 	cfg.Gate.Server = s.Server
 	cfg.Gate.MaxAge = s.MaxFlowAge
-	cfg.Gate.HeartbeatTTL = fresh(s)
-	a := &Agent{cfg: cfg, log: log, kick: make(chan struct{}, 1)}
+	cfg.Gate.HeartbeatTTL = heartbeatTTL(s)
+	a := &Agent{cfg: cfg, log: log, wakeup: make(chan struct{}, 1)}
 	spans, err := node.NewSpans(cfg.Traces)
 	if err != nil {
 		return nil, err
 	}
 	a.gate = flow.NewGate(node.Now(), cfg.Gate, newTracer(log, spans, reg))
-	a.heartbeat = node.NewLatency(reg, "hemlock_heartbeat_answer_seconds", "time in which a heartbeat of the server is answered")
-	a.wrongBeats = prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_heartbeats_wrong_total", Help: "heartbeats that no backend server sends: fields missing or of another type, an unknown state"})
-	reg.MustRegister(a.wrongBeats)
-	a.introduceSeeds(s.Seeds)
+	a.heartbeatTime = node.NewLatency(reg, "hemlock_heartbeat_answer_seconds", "time in which a heartbeat of the server is answered")
+	a.invalidHeartbeats = prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_heartbeats_wrong_total", Help: "heartbeats that no backend server sends: fields missing or of another type, an unknown state"})
+	reg.MustRegister(a.invalidHeartbeats)
+	a.addSeeds(s.Seeds)
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	if a.control, err = net.Listen("tcp4", s.Control.String()); err != nil {
+	if a.controlListener, err = net.Listen("tcp4", s.Control.String()); err != nil {
 		return nil, err
 	}
 	if a.messages, err = udp.Listen(s.Packets); err != nil {
@@ -115,14 +115,14 @@
 	if a.server, err = udp.Listen(s.FromServer); err != nil {
 		return nil, err
 	}
-	if a.pages, err = net.Listen("tcp4", s.Readiness.String()); err != nil {
+	if a.readinessListener, err = net.Listen("tcp4", s.Readiness.String()); err != nil {
 		return nil, err
 	}
-	a.beats = a.output()
-	a.introducer = &node.Registrar{
+	a.eventOutput = a.output()
+	a.registrar = &node.Registrar{
 		Self:        node.Peer{Role: node.RoleAgent, Addr: s.Packets, Zone: s.Zone, Service: s.Service},
 		Store:       cfg.Store,
-		PeersListed: a.introduce,
+		PeersListed: a.addPeers,
 		InvalidKeys: node.NewInvalidKeys(reg),
 		Log:         log,
 
@@ -132,13 +132,13 @@
 	return a, nil
 }
 
-// fresh returns how long the server counts as ready after a heartbeat, 0 for the
+// heartbeatTTL returns how long the server counts as ready after a heartbeat, 0 for the
 // default.
-func fresh(s *node.Settings) time.Duration { return max(s.AddressReuseDelay-restMargin, 0) }
+func heartbeatTTL(s *node.Settings) time.Duration { return max(s.AddressReuseDelay-reuseMargin, 0) }
 
-// introduceSeeds reports to the balancers that the settings name, with a.mu held.
+// addSeeds reports to the balancers that the settings name, with a.mu held.
 // They have the agent in their rosters then, whatever the store does.
-func (a *Agent) introduceSeeds(seeds []netip.Addr) {
+func (a *Agent) addSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		a.gate.AddBalancer(node.Now(), netip.AddrPortFrom(seed, a.cfg.Settings.InternalPort))
 	}
@@ -148,8 +148,8 @@
 func (a *Agent) Apply(s node.Settings) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.SetLimits(s.MaxFlowAge, fresh(&s))
-	a.introduceSeeds(s.Seeds)
+	a.gate.SetLimits(s.MaxFlowAge, heartbeatTTL(&s))
+	a.addSeeds(s.Seeds)
 }
 
 // Beliefs implements process.Part.
@@ -173,9 +173,9 @@
 	g.Add(a.readBalancers, func(error) { a.messages.Close() })
 	g.Add(a.readServer, func(error) { a.server.Close() })
 	g.Add(a.tick, func(error) { a.cancel() })
-	a.addPages(&g)
-	a.addIntroducer(&g)
-	a.addCheck(&g)
+	a.addHTTPServers(&g)
+	a.addRegistrar(&g)
+	a.addStatusCheck(&g)
 	return g.Run()
 }
 
@@ -187,16 +187,16 @@
 // in the store. A key that stayed for its lease held up the searches of every
 // balancer that started within 45 s, since the agent never answered.
 func (a *Agent) Drain(ctx context.Context) {
-	a.event(func(now time.Time) { a.gate.Close(now) })
-	a.introducer.Deregister(ctx)
+	a.handleEvent(func(now time.Time) { a.gate.Close(now) })
+	a.registrar.Deregister(ctx)
 }
 
 func (a *Agent) output() *node.Output {
 	return node.NewOutput(a.messages, a.cfg.Codec, a.cfg.Settings.Packets.Port(), a.cfg.Settings.Server)
 }
 
-// decide runs f on the Gate and copies what it decided to out.
-func (a *Agent) decide(out *node.Output, f func(g *flow.Gate, now time.Time)) {
+// update runs f on the Gate and copies what it decided to out.
+func (a *Agent) update(out *node.Output, f func(g *flow.Gate, now time.Time)) {
 	now := node.Now()
 	a.mu.Lock()
 	f(a.gate, now)
@@ -205,66 +205,66 @@
 	a.mu.Unlock()
 	if next.UnixNano() < a.sleepUntil.Load() {
 		select {
-		case a.kick <- struct{}{}:
+		case a.wakeup <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// event runs f for a call of the server, outside the packet duties.
-func (a *Agent) event(f func(now time.Time)) {
-	a.beatMu.Lock()
-	defer a.beatMu.Unlock()
-	a.decide(a.beats, func(_ *flow.Gate, now time.Time) { f(now) })
-	a.beats.Flush()
+// handleEvent runs f for a call of the server, outside the packet duties.
+func (a *Agent) handleEvent(f func(now time.Time)) {
+	a.eventMu.Lock()
+	defer a.eventMu.Unlock()
+	a.update(a.eventOutput, func(_ *flow.Gate, now time.Time) { f(now) })
+	a.eventOutput.Flush()
 }
 
 // Heartbeat implements node.ServerEvents.
 func (a *Agent) Heartbeat(b flow.Heartbeat) (taken bool) {
 	start := time.Now()
-	defer func() { a.heartbeat.Observe(time.Since(start).Seconds()) }()
-	a.event(func(now time.Time) { taken = a.gate.Heartbeat(now, b) })
+	defer func() { a.heartbeatTime.Observe(time.Since(start).Seconds()) }()
+	a.handleEvent(func(now time.Time) { taken = a.gate.Heartbeat(now, b) })
 	return taken
 }
 
 // InvalidHeartbeat implements node.ServerEvents. Whoever sends such heartbeats may
 // send many: one line a second says so, the counter tells how many there are.
 func (a *Agent) InvalidHeartbeat(err error) {
-	a.wrongBeats.Inc()
-	a.beatMu.Lock()
-	defer a.beatMu.Unlock()
+	a.invalidHeartbeats.Inc()
+	a.eventMu.Lock()
+	defer a.eventMu.Unlock()
 	now := node.Now()
-	if now.Sub(a.wrongAt) < wrongLogEvery {
+	if now.Sub(a.invalidLoggedAt) < invalidLogInterval {
 		return
 	}
-	a.wrongAt = now
+	a.invalidLoggedAt = now
 	a.log.Warn("heartbeat of no server", zap.Error(err))
 }
 
 // Deregister implements node.ServerEvents.
 func (a *Agent) Deregister(instance string, born int64) {
-	a.event(func(now time.Time) { a.gate.Deregister(now, instance, born) })
+	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, born) })
 }
 
 // readBalancers is the duty that takes balancers' messages.
 func (a *Agent) readBalancers() error {
 	r, out := udp.NewReader(a.messages), a.output()
 	for {
-		if _, err := a.balancersBatch(r, out); err != nil {
+		if _, err := a.receiveBalancerBatch(r, out); err != nil {
 			return udp.IgnoreClosed(err)
 		}
 	}
 }
 
-// balancersBatch takes what one read brings and returns the number of messages.
-func (a *Agent) balancersBatch(r *udp.Reader, out *node.Output) (int, error) {
+// receiveBalancerBatch takes what one read brings and returns the number of messages.
+func (a *Agent) receiveBalancerBatch(r *udp.Reader, out *node.Output) (int, error) {
 	n, err := r.Read()
 	if err != nil {
 		return 0, err
 	}
-	a.decide(out, func(g *flow.Gate, now time.Time) {
+	a.update(out, func(g *flow.Gate, now time.Time) {
 		for i := range n {
-			a.fromBalancer(g, now, r.Source(i), r.Datagram(i))
+			a.receiveMessage(g, now, r.Source(i), r.Datagram(i))
 			out.Add(g.Effects())
 		}
 	})
@@ -272,12 +272,12 @@
 	return n, nil
 }
 
-func (a *Agent) fromBalancer(g *flow.Gate, now time.Time, from netip.AddrPort, datagram []byte) {
+func (a *Agent) receiveMessage(g *flow.Gate, now time.Time, from netip.AddrPort, datagram []byte) {
 	m, packet, ok := flowframe.Decode(datagram)
 	if !ok {
 		return
 	}
-	a.noteEra(g, now, m.Revision)
+	a.observeEra(g, now, m.Revision)
 	if len(packet) == 0 || !m.Kind.CarriesPacket() {
 		g.FromBalancer(now, from, &m, nil, packet)
 		return
@@ -287,23 +287,23 @@
 	}
 }
 
-// noteEra takes the number of the orders that a message told, with a.mu held. If it is
+// observeEra takes the number of the orders that a message told, with a.mu held. If it is
 // the first one of an era, the store has come back from an older copy: what lies there of
 // this agent, and of the operator, may be missing.
-func (a *Agent) noteEra(g *flow.Gate, now time.Time, number uint64) {
+func (a *Agent) observeEra(g *flow.Gate, now time.Time, number uint64) {
 	era := store.EraOf(number)
 	if era <= a.era {
 		return
 	}
 	a.era = era
 	g.StoreRestored(now, store.VersionAt(era, 0))
-	a.introducer.ObserveVersion(number)
+	a.registrar.ObserveVersion(number)
 }
 
 // storeRestored notes what an answer of the store told this agent itself. Balancers hear of
 // it with the agent's next messages.
 func (a *Agent) storeRestored(version uint64) {
-	a.event(func(now time.Time) { a.noteEra(a.gate, now, version) })
+	a.handleEvent(func(now time.Time) { a.observeEra(a.gate, now, version) })
 }
 
 // readServer is the duty that takes the server's packets.
@@ -314,7 +314,7 @@
 		if err != nil {
 			return udp.IgnoreClosed(err)
 		}
-		a.decide(out, func(g *flow.Gate, now time.Time) {
+		a.update(out, func(g *flow.Gate, now time.Time) {
 			for i := range n {
 				packet := r.Datagram(i)
 				s, ok := a.cfg.Codec.FromServer(packet)
@@ -337,7 +337,7 @@
 	out := a.output()
 	for {
 		var next time.Time
-		a.decide(out, func(g *flow.Gate, now time.Time) {
+		a.update(out, func(g *flow.Gate, now time.Time) {
 			g.Tick(now)
 			next = g.NextTick(now)
 		})
@@ -346,27 +346,27 @@
 		select {
 		case <-a.ctx.Done():
 			return nil
-		case <-a.kick:
+		case <-a.wakeup:
 		case <-time.After(next.Sub(node.Now())):
 		}
 	}
 }
 
-func (a *Agent) addPages(g *run.Group) {
+func (a *Agent) addHTTPServers(g *run.Group) {
 	control := &http.Server{Handler: a.cfg.Control(a), ReadHeaderTimeout: readHeaderTimeout}
-	g.Add(func() error { return node.IgnoreServerClosed(control.Serve(a.control)) }, func(error) { control.Close() })
+	g.Add(func() error { return node.IgnoreServerClosed(control.Serve(a.controlListener)) }, func(error) { control.Close() })
 	pages := &http.Server{Handler: a.cfg.Readiness(a.Ready), ReadHeaderTimeout: readHeaderTimeout}
-	g.Add(func() error { return node.IgnoreServerClosed(pages.Serve(a.pages)) }, func(error) { pages.Close() })
+	g.Add(func() error { return node.IgnoreServerClosed(pages.Serve(a.readinessListener)) }, func(error) { pages.Close() })
 }
 
-func (a *Agent) addIntroducer(g *run.Group) {
-	g.Add(func() error { return a.introducer.Run(a.ctx) }, func(error) { a.cancel() })
+func (a *Agent) addRegistrar(g *run.Group) {
+	g.Add(func() error { return a.registrar.Run(a.ctx) }, func(error) { a.cancel() })
 }
 
-// introduce makes the balancers known that the store names, and those of the
+// addPeers makes the balancers known that the store names, and those of the
 // settings.
-func (a *Agent) introduce(peers []node.Peer) {
-	a.event(func(now time.Time) {
+func (a *Agent) addPeers(peers []node.Peer) {
+	a.handleEvent(func(now time.Time) {
 		for _, p := range peers {
 			if p.Role == node.RoleBalancer {
 				a.gate.AddBalancer(now, p.Addr)
@@ -375,16 +375,16 @@
 	})
 }
 
-// addCheck asks the server for its status once, if it has not sent a heartbeat
+// addStatusCheck asks the server for its status once, if it has not sent a heartbeat
 // by then: after a restart of the agent alone the next one may be a second away.
-func (a *Agent) addCheck(g *run.Group) {
+func (a *Agent) addStatusCheck(g *run.Group) {
 	g.Add(func() error {
 		select {
 		case <-a.ctx.Done():
 			return nil
-		case <-time.After(checkAfter):
+		case <-time.After(checkDelay):
 		}
-		if a.known() {
+		if a.serverKnown() {
 			<-a.ctx.Done()
 			return nil
 		}
@@ -392,13 +392,13 @@
 		defer cancel()
 		check, err := a.cfg.CheckServer(ctx, a.cfg.Settings.Server)
 		a.log.Info("status check", zap.String("instance", check.Instance), zap.Bool("answered", check.Answered), zap.Bool("absent", check.Absent), zap.Error(err))
-		a.event(func(now time.Time) { a.gate.StatusCheck(now, check) })
+		a.handleEvent(func(now time.Time) { a.gate.StatusCheck(now, check) })
 		<-a.ctx.Done()
 		return nil
 	}, func(error) { a.cancel() })
 }
 
-func (a *Agent) known() bool {
+func (a *Agent) serverKnown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.gate.State(node.Now()) != flow.ServerUnknown
--- a/internal/flowagent/relay_bench_test.go
+++ b/internal/flowagent/relay_bench_test.go
@@ -40,13 +40,13 @@
 	for i := range relayFlows {
 		caller := netip.AddrPortFrom(loopback.Addr(), uint16(1000+i))
 		service := netip.MustParseAddrPort("198.18.0.1:443")
-		a.learn(b, (&standin.Header{Src: service, Dst: caller, Flags: standin.FlagAck}).Encode())
+		a.receiveFromServer(b, (&standin.Header{Src: service, Dst: caller, Flags: standin.FlagAck}).Encode())
 		h := standin.Header{Src: caller, Dst: service, Flags: standin.FlagAck, Data: make([]byte, size-platform.HeaderSize)}
 		packets = append(packets, append(pass[:len(pass):len(pass)], h.Encode()...))
 	}
 	r, out := udp.NewReader(a.messages), a.output()
 	whole := &relay.Relay{To: a.messages.LocalAddr(), Step: func() int {
-		n, err := a.balancersBatch(r, out)
+		n, err := a.receiveBalancerBatch(r, out)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -72,14 +72,14 @@
 	b.Cleanup(func() {
 		a.messages.Close()
 		a.server.Close()
-		a.control.Close()
-		a.pages.Close()
+		a.controlListener.Close()
+		a.readinessListener.Close()
 	})
 	return benchAgent{a}
 }
 
-// learn has the agent see a packet that the server sends on a flow.
-func (a benchAgent) learn(b *testing.B, packet []byte) {
+// receiveFromServer has the agent see a packet that the server sends on a flow.
+func (a benchAgent) receiveFromServer(b *testing.B, packet []byte) {
 	b.Helper()
 	s, ok := a.cfg.Codec.FromServer(packet)
 	if !ok {
--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -13,16 +13,16 @@
 
 // tracer writes a log line for each decision, and records times and spans.
 type tracer struct {
-	log       *zap.Logger
-	spans     *node.Spans
-	answer    prometheus.Histogram
-	readiness *node.Readiness
+	log        *zap.Logger
+	spans      *node.Spans
+	answerTime prometheus.Histogram
+	readiness  *node.Readiness
 }
 
 func newTracer(log *zap.Logger, spans *node.Spans, reg prometheus.Registerer) *tracer {
 	return &tracer{
 		log: log, spans: spans, readiness: node.NewReadiness(reg),
-		answer: node.NewLatency(reg, "hemlock_first_answer_seconds", "time from a flow's first packet at the agent until its server answered"),
+		answerTime: node.NewLatency(reg, "hemlock_first_answer_seconds", "time from a flow's first packet at the agent until its server answered"),
 	}
 }
 
@@ -33,7 +33,7 @@
 
 // Answered implements flow.GateTracer. The line of a flow is that of Opened.
 func (t *tracer) Answered(_ time.Time, _ flow.ID, after time.Duration, _ int) {
-	t.answer.Observe(after.Seconds())
+	t.answerTime.Observe(after.Seconds())
 }
 
 // Opened implements flow.GateTracer.
@@ -75,22 +75,22 @@
 type collector struct{ a *Agent }
 
 var (
-	descFlows         = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
-	descRequests      = prometheus.NewDesc("hemlock_requests", "requests being worked on", nil, nil)
-	descState         = prometheus.NewDesc("hemlock_server_state", "1 for what is believed about the server", []string{"state"}, nil)
-	descHeartbeatAge  = prometheus.NewDesc("hemlock_heartbeat_age_seconds", "time since the server's last heartbeat; -1 if there was none", nil, nil)
-	descBalancers     = prometheus.NewDesc("hemlock_balancers", "balancers reported to", nil, nil)
-	descOffered       = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered by balancers", nil, nil)
-	descTaken         = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that the server answered", nil, nil)
-	descRefused       = prometheus.NewDesc("hemlock_flows_refused_total", "new flows refused", []string{"reason"}, nil)
-	descNotHeld       = prometheus.NewDesc("hemlock_packets_not_held_total", "packets of flows that are not here", nil, nil)
-	descLost          = prometheus.NewDesc("hemlock_packets_lost_flow_total", "packets of flows that the server has lost", nil, nil)
-	descHasty         = prometheus.NewDesc("hemlock_answers_hasty_total", "answers of the server in far less time than usual, taken as failures", nil, nil)
-	descToServer      = prometheus.NewDesc("hemlock_packets_to_server_total", "packets passed to the server", nil, nil)
-	descToCaller      = prometheus.NewDesc("hemlock_packets_to_caller_total", "packets passed to callers", nil, nil)
-	descHeartbeats    = prometheus.NewDesc("hemlock_heartbeats_total", "heartbeats of the server", nil, nil)
-	descOldHeartbeats = prometheus.NewDesc("hemlock_heartbeats_old_total", "heartbeats not acted on because newer is known", nil, nil)
-	descDropped       = prometheus.NewDesc("hemlock_packets_dropped_total", "packets without a place in a bounded table", nil, nil)
+	descFlows           = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
+	descRequests        = prometheus.NewDesc("hemlock_requests", "requests being worked on", nil, nil)
+	descState           = prometheus.NewDesc("hemlock_server_state", "1 for what is believed about the server", []string{"state"}, nil)
+	descHeartbeatAge    = prometheus.NewDesc("hemlock_heartbeat_age_seconds", "time since the server's last heartbeat; -1 if there was none", nil, nil)
+	descBalancers       = prometheus.NewDesc("hemlock_balancers", "balancers reported to", nil, nil)
+	descOffered         = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered by balancers", nil, nil)
+	descTaken           = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that the server answered", nil, nil)
+	descRefused         = prometheus.NewDesc("hemlock_flows_refused_total", "new flows refused", []string{"reason"}, nil)
+	descNotHeld         = prometheus.NewDesc("hemlock_packets_not_held_total", "packets of flows that are not here", nil, nil)
+	descLost            = prometheus.NewDesc("hemlock_packets_lost_flow_total", "packets of flows that the server has lost", nil, nil)
+	descImplausiblyFast = prometheus.NewDesc("hemlock_answers_hasty_total", "answers of the server in far less time than usual, taken as failures", nil, nil)
+	descToServer        = prometheus.NewDesc("hemlock_packets_to_server_total", "packets passed to the server", nil, nil)
+	descToCaller        = prometheus.NewDesc("hemlock_packets_to_caller_total", "packets passed to callers", nil, nil)
+	descHeartbeats      = prometheus.NewDesc("hemlock_heartbeats_total", "heartbeats of the server", nil, nil)
+	descOldHeartbeats   = prometheus.NewDesc("hemlock_heartbeats_old_total", "heartbeats not acted on because newer is known", nil, nil)
+	descDropped         = prometheus.NewDesc("hemlock_packets_dropped_total", "packets without a place in a bounded table", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
@@ -119,7 +119,7 @@
 	count(descTaken, s.Taken)
 	count(descNotHeld, s.NotHeld)
 	count(descLost, s.Lost)
-	count(descHasty, s.ImplausiblyFast)
+	count(descImplausiblyFast, s.ImplausiblyFast)
 	count(descToServer, s.ToServer)
 	count(descToCaller, s.ToCaller)
 	count(descHeartbeats, s.Heartbeats)
