--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -42,19 +42,19 @@
 
 // Balancer is one balancer. Its lifecycle is New, Run, Drain, Close.
 type Balancer struct {
-	cfg      Config
-	log      *zap.Logger
-	public   *udp.Conn
-	internal *udp.Conn
-	data     *dataplane
-	places   *places
-	address  *addresses
-	digest   atomic.Pointer[catalogue.Digest] // of the catalogue in force, nil for none
-	interim  atomic.Bool                      // agents' entries are in force, for want of the catalogue
-	bulk     *bulk.Port
-	metrics  *metrics
-	reg      prometheus.Registerer
-	control  *duty
+	cfg         Config
+	log         *zap.Logger
+	public      *udp.Conn
+	internal    *udp.Conn
+	data        *dataplane
+	placer      *placer
+	addresses   *addresses
+	digest      atomic.Pointer[catalogue.Digest] // of the catalogue in force, nil for none
+	usesInterim atomic.Bool                      // agents' entries are in force, for want of the catalogue
+	bulk        *bulk.Port
+	metrics     *metrics
+	reg         prometheus.Registerer
+	control     *controlLoop
 
 	agentsReady atomic.Int64
 
@@ -76,36 +76,36 @@
 	}
 	cfg.Public, cfg.Internal = public.LocalAddr(), internal.LocalAddr()
 	b := &Balancer{
-		cfg:      cfg,
-		log:      log.With(zap.Stringer("addr", cfg.Internal)),
-		public:   public,
-		internal: internal,
-		places:   newPlaces(cfg.Zone),
-		address:  &addresses{},
-		metrics:  newMetrics(reg),
-		reg:      reg,
+		cfg:       cfg,
+		log:       log.With(zap.Stringer("addr", cfg.Internal)),
+		public:    public,
+		internal:  internal,
+		placer:    newPlacer(cfg.Zone),
+		addresses: &addresses{},
+		metrics:   newMetrics(reg),
+		reg:       reg,
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	if err := b.provision(); err != nil {
+	if err := b.connectParts(); err != nil {
 		b.Close()
 		return nil, err
 	}
 	return b, nil
 }
 
-func (b *Balancer) provision() error {
-	f, err := NewForwarder(b.cfg.Keys, b.address, b.places, b.cfg.Internal)
+func (b *Balancer) connectParts() error {
+	f, err := NewForwarder(b.cfg.Keys, b.addresses, b.placer, b.cfg.Internal)
 	if err != nil {
 		return err
 	}
-	if b.data, err = newDataplane(b.cfg.Keys, b.public, b.internal, f, b.places, b.metrics); err != nil {
+	if b.data, err = newDataplane(b.cfg.Keys, b.public, b.internal, f, b.placer, b.metrics); err != nil {
 		return err
 	}
-	b.data.clock = &b.places.clock
-	if f.traces, err = newFlowTracer(b.cfg.Traces, b.cfg.Keys, b.cfg.Internal, &b.places.clock, b.reg); err != nil {
+	b.data.clock = &b.placer.clock
+	if f.traces, err = newFlowTracer(b.cfg.Traces, b.cfg.Keys, b.cfg.Internal, &b.placer.clock, b.reg); err != nil {
 		return err
 	}
-	if b.control, err = newDuty(b); err != nil {
+	if b.control, err = newControlLoop(b); err != nil {
 		return err
 	}
 	b.bulk, err = bulk.Listen(b.cfg.Keys, bulkAddr(b.cfg.Internal), b.serveBulk)
@@ -128,14 +128,14 @@
 
 // Ready reports whether the balancer knows the catalogue, or at least the
 // entries of agents.
-func (b *Balancer) Ready() bool { return b.digest.Load() != nil || b.interim.Load() }
+func (b *Balancer) Ready() bool { return b.digest.Load() != nil || b.usesInterim.Load() }
 
 // AgentsReady returns how many agents take new flows.
 func (b *Balancer) AgentsReady() int { return int(b.agentsReady.Load()) }
 
-func (b *Balancer) announce(s membership.State) {
+func (b *Balancer) setState(s membership.State) {
 	select {
-	case b.control.states <- s:
+	case b.control.stateChanges <- s:
 	case <-b.ctx.Done():
 	}
 }
@@ -144,8 +144,8 @@
 func (b *Balancer) Run() error {
 	var g run.Group
 	stop := func(error) { b.Close() }
-	g.Add(b.data.inward, stop)
-	g.Add(b.data.outward, stop)
+	g.Add(b.data.receiveFromCallers, stop)
+	g.Add(b.data.receiveFromAgents, stop)
 	g.Add(func() error { b.control.run(b.ctx); return nil }, stop)
 	g.Add(b.bulk.Serve, stop)
 	if t := b.data.forwarder.traces; t != nil {
@@ -157,7 +157,7 @@
 // Drain announces that the balancer leaves and goes on forwarding for
 // Config.Linger, in which the fabric stops handing it packets.
 func (b *Balancer) Drain(ctx context.Context) {
-	b.announce(membership.StateLeaving)
+	b.setState(membership.StateLeaving)
 	select {
 	case <-time.After(b.cfg.Linger):
 	case <-ctx.Done():
--- a/internal/balancer/clock.go
+++ b/internal/balancer/clock.go
@@ -12,8 +12,8 @@
 	nanos atomic.Int64 // since the Unix epoch; 0 before the first batch
 }
 
-// tick reads the system's clock. A duty calls it once for each batch.
-func (c *batchClock) tick() { c.nanos.Store(time.Now().UnixNano()) }
+// update reads the system's clock. A duty calls it once for each batch.
+func (c *batchClock) update() { c.nanos.Store(time.Now().UnixNano()) }
 
 func (c *batchClock) now() time.Time {
 	n := c.nanos.Load()
--- a/internal/balancer/dataplane.go
+++ b/internal/balancer/dataplane.go
@@ -9,11 +9,11 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// controlRing is how many control datagrams may wait for the control duty.
+// controlQueueSize is how many control datagrams may wait for the control duty.
 // When it is full the newest is dropped and counted: every control message is
 // repeated or repaired by its protocol, and blocking would stop the packets
 // of all flows.
-const controlRing = 1024
+const controlQueueSize = 1024
 
 // LoadObserver is told the occupancy that agents report on return datagrams.
 type LoadObserver interface {
@@ -44,31 +44,31 @@
 		forwarder: f,
 		codec:     codec,
 		observer:  o,
-		control:   make(chan control.Datagram, controlRing),
+		control:   make(chan control.Datagram, controlQueueSize),
 		metrics:   m,
 		clock:     &batchClock{},
 	}, nil
 }
 
-// inward is the duty that carries caller packets to agents. It returns when
+// receiveFromCallers is the duty that carries caller packets to agents. It returns when
 // the public socket is closed.
-func (d *dataplane) inward() error {
+func (d *dataplane) receiveFromCallers() error {
 	r := udp.NewReader(d.public)
 	w := udp.NewWriter(d.internal)
 	for {
-		if _, err := d.inwardBatch(r, w); err != nil {
+		if _, err := d.forwardBatch(r, w); err != nil {
 			return udp.IgnoreClosed(err)
 		}
 	}
 }
 
-// inwardBatch carries one batch of caller packets and returns its length.
-func (d *dataplane) inwardBatch(r *udp.Reader, w *udp.Writer) (n int, err error) {
+// forwardBatch carries one batch of caller packets and returns its length.
+func (d *dataplane) forwardBatch(r *udp.Reader, w *udp.Writer) (n int, err error) {
 	n, err = r.Read()
 	if err != nil {
 		return 0, err
 	}
-	d.clock.tick()
+	d.clock.update()
 	for i := range n {
 		d.forward(r, w, i)
 	}
@@ -91,9 +91,9 @@
 	w.Add(b, agent, netip.Addr{})
 }
 
-// outward is the duty that carries agents' packets to callers and passes
+// receiveFromAgents is the duty that carries agents' packets to callers and passes
 // control datagrams on. It returns when the internal socket is closed.
-func (d *dataplane) outward() error {
+func (d *dataplane) receiveFromAgents() error {
 	r := udp.NewReader(d.internal)
 	w := udp.NewWriter(d.public)
 	var h frame.Header
@@ -102,32 +102,32 @@
 		if err != nil {
 			return udp.IgnoreClosed(err)
 		}
-		d.clock.tick()
+		d.clock.update()
 		for i := range n {
-			d.giveBack(r, w, i, &h)
+			d.returnPacket(r, w, i, &h)
 		}
 		d.metrics.sendErrors.Add(float64(w.Flush()))
 	}
 }
 
-func (d *dataplane) giveBack(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
+func (d *dataplane) returnPacket(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
-		d.passControl(r.Source(i), b)
+		d.queueControl(r.Source(i), b)
 		return
 	}
 	if r.Truncated(i) || !d.codec.Get(b, h) || h.Kind != frame.KindReturn || len(b) == frame.Len {
-		d.metrics.strangers.Inc()
+		d.metrics.unknownDatagrams.Inc()
 		return
 	}
 	agent := r.Source(i)
-	d.forwarder.peers.saw(agent, h.Seq)
+	d.forwarder.sequences.record(agent, h.Seq)
 	d.observer.Observe(h.Service, agent, h.Load)
 	d.metrics.returned.Inc()
 	w.Add(b[frame.Len:], h.Caller, h.Address)
 }
 
-func (d *dataplane) passControl(from netip.AddrPort, b []byte) {
+func (d *dataplane) queueControl(from netip.AddrPort, b []byte) {
 	data := append([]byte(nil), b...)
 	select {
 	case d.control <- control.Datagram{From: from, Data: data}:
--- a/internal/balancer/forward.go
+++ b/internal/balancer/forward.go
@@ -55,7 +55,7 @@
 	codec     *frame.Codec
 	addresses Addresses
 	chooser   Chooser
-	peers     *peerTable
+	sequences *sequenceTable
 	via       netip.AddrPort
 	packet    quicwire.Packet
 	header    frame.Header
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Forwarder{ids: ids.Reader(), codec: codec, addresses: addresses, chooser: chooser, peers: newPeerTable(), via: via}, nil
+	return &Forwarder{ids: ids.Reader(), codec: codec, addresses: addresses, chooser: chooser, sequences: newSequenceTable(), via: via}, nil
 }
 
 // Forward decides where a caller's packet goes. b is the packet with frame.Len
@@ -101,7 +101,7 @@
 	h.Caller = caller
 	h.Address = netip.AddrFrom4(address)
 	h.Via = f.via
-	h.Echo = f.peers.echo(agent)
+	h.Echo = f.sequences.newest(agent)
 	f.codec.Put(b, h)
 	return agent, Forwarded
 }
@@ -127,7 +127,7 @@
 		f.header.Alternate = f.choice.Alternate
 		f.header.Load = f.choice.AlternateLoad
 	}
-	if f.traces.note(f.packet.ID, service, f.choice.Primary) {
+	if f.traces.recordFirstPacket(f.packet.ID, service, f.choice.Primary) {
 		f.header.Flags |= frame.FlagSampled
 	}
 	return f.choice.Primary, Forwarded
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -40,7 +40,7 @@
 	ring := benchRing(tb)
 	a := &addresses{}
 	a.table.Store(benchTable(tb))
-	p := newPlaces("zone-a")
+	p := newPlacer("zone-a")
 	p.load = placement.NewLoad(2*len(agents), placement.LoadOptions{})
 	var placed []placement.Agent
 	for _, addr := range agents {
@@ -56,7 +56,7 @@
 		tb.Fatal(err)
 	}
 	for i, addr := range agents {
-		f.peers.saw(addr, uint32(i))
+		f.sequences.record(addr, uint32(i))
 		p.Observe(benchService, addr, byte(i%100))
 	}
 	return f, ring
@@ -152,7 +152,7 @@
 			b.ReportAllocs()
 			for i := uint64(0); b.Loop(); i++ {
 				if i%udp.Batch == 0 {
-					f.chooser.(*places).clock.tick()
+					f.chooser.(*placer).clock.update()
 				}
 				binary.BigEndian.PutUint64(id, i)
 				if _, v := f.Forward(packet, benchCaller, benchAddress); v != Forwarded {
@@ -173,7 +173,7 @@
 	}{{"off", false, 0}, {"share=0.01", true, 0.01}, {"share=1", true, 1}} {
 		b.Run(c.name, func(b *testing.B) {
 			f, ring := benchForwarder(b, benchAgents(7))
-			clock := &f.chooser.(*places).clock
+			clock := &f.chooser.(*placer).clock
 			if c.on {
 				var err error
 				p := tracing.New(tracing.Config{Sample: c.sample}, tracetest.NewNoopExporter(), prometheus.NewRegistry())
@@ -190,7 +190,7 @@
 			b.ReportAllocs()
 			for i := uint64(0); b.Loop(); i++ {
 				if i%udp.Batch == 0 {
-					clock.tick()
+					clock.update()
 				}
 				binary.BigEndian.PutUint64(id, i)
 				if _, v := f.Forward(packet, benchCaller, benchAddress); v != Forwarded {
--- a/internal/balancer/place.go
+++ b/internal/balancer/place.go
@@ -9,8 +9,8 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// loadEntries is how many agents the table of believed occupancies is made for.
-const loadEntries = 4096
+// loadTableSize is how many agents the table of believed occupancies is made for.
+const loadTableSize = 4096
 
 // addresses implements Addresses over the catalogue in force.
 type addresses struct {
@@ -27,25 +27,25 @@
 	return n, n != 0
 }
 
-// places implements Chooser and LoadObserver over the roster.
-type places struct {
-	cfg    placement.Config
-	tables placement.Tables
-	load   *placement.Load
-	clock  batchClock
-	serves map[netip.AddrPort]uint32 // service of each placed agent; of the control duty alone
+// placer implements Chooser and LoadObserver over the roster.
+type placer struct {
+	cfg           placement.Config
+	tables        placement.Tables
+	load          *placement.Load
+	clock         batchClock
+	placedService map[netip.AddrPort]uint32 // service of each placed agent; of the control duty alone
 }
 
-func newPlaces(zone string) *places {
-	return &places{
-		cfg:    placement.Config{Zone: zone},
-		load:   placement.NewLoad(loadEntries, placement.LoadOptions{}),
-		serves: make(map[netip.AddrPort]uint32),
+func newPlacer(zone string) *placer {
+	return &placer{
+		cfg:           placement.Config{Zone: zone},
+		load:          placement.NewLoad(loadTableSize, placement.LoadOptions{}),
+		placedService: make(map[netip.AddrPort]uint32),
 	}
 }
 
 // Choose implements Chooser.
-func (p *places) Choose(service uint32, id []byte, c *Choice) bool {
+func (p *placer) Choose(service uint32, id []byte, c *Choice) bool {
 	t := p.tables.Get(service)
 	if t == nil {
 		return false
@@ -62,7 +62,7 @@
 }
 
 // Observe implements LoadObserver.
-func (p *places) Observe(_ uint32, agent netip.AddrPort, load byte) {
+func (p *placer) Observe(_ uint32, agent netip.AddrPort, load byte) {
 	p.load.Report(agent, placement.Occupancy(load), p.clock.now())
 }
 
@@ -73,8 +73,8 @@
 // and its address given out again. The old service's table would go on sending
 // it new flows, which it drops as foreign, and a share of that service's new
 // callers would get no connection.
-func (p *places) set(r *membership.Record, takesWork bool) error {
-	if old, ok := p.serves[r.Addr]; ok && old != r.Service {
+func (p *placer) set(r *membership.Record, takesWork bool) error {
+	if old, ok := p.placedService[r.Addr]; ok && old != r.Service {
 		if err := p.remove(r.Addr); err != nil {
 			return err
 		}
@@ -82,24 +82,24 @@
 	a := placement.Agent{Addr: r.Addr, Zone: r.Zone}
 	if takesWork {
 		a.Weight = r.Weight
-		p.serves[r.Addr] = r.Service
+		p.placedService[r.Addr] = r.Service
 	} else {
-		delete(p.serves, r.Addr)
+		delete(p.placedService, r.Addr)
 	}
 	return p.put(r.Service, a)
 }
 
 // remove takes whatever agent is placed at an address out.
-func (p *places) remove(addr netip.AddrPort) error {
-	service, ok := p.serves[addr]
+func (p *placer) remove(addr netip.AddrPort) error {
+	service, ok := p.placedService[addr]
 	if !ok {
 		return nil
 	}
-	delete(p.serves, addr)
+	delete(p.placedService, addr)
 	return p.put(service, placement.Agent{Addr: addr})
 }
 
-func (p *places) put(service uint32, a placement.Agent) error {
+func (p *placer) put(service uint32, a placement.Agent) error {
 	t := p.tables.Get(service)
 	if t == nil {
 		t = &placement.Table{}
--- a/internal/balancer/place_test.go
+++ b/internal/balancer/place_test.go
@@ -13,7 +13,7 @@
 // old service's table kept the address.
 func TestAddressTakenOverByAnotherService(t *testing.T) {
 	const records, listing = 1, 2
-	p := newPlaces("zone-a")
+	p := newPlacer("zone-a")
 	shared, own := netip.MustParseAddrPort("10.0.0.1:7700"), netip.MustParseAddrPort("10.0.0.2:7700")
 	place := func(addr netip.AddrPort, service uint32, takesWork bool) {
 		t.Helper()
--- a/internal/balancer/relay_bench_test.go
+++ b/internal/balancer/relay_bench_test.go
@@ -38,13 +38,13 @@
 func balancerRelay(b *testing.B, f *Forwarder) *relay.Relay {
 	public, internal := relay.Listen(b), relay.Listen(b)
 	ring := benchRing(b)
-	d, err := newDataplane(ring, public, internal, f, newPlaces("zone-a"), newMetrics(prometheus.NewRegistry()))
+	d, err := newDataplane(ring, public, internal, f, newPlacer("zone-a"), newMetrics(prometheus.NewRegistry()))
 	if err != nil {
 		b.Fatal(err)
 	}
 	r, w := udp.NewReader(public), udp.NewWriter(internal)
 	return &relay.Relay{To: public.LocalAddr(), Step: func() int {
-		n, err := d.inwardBatch(r, w)
+		n, err := d.forwardBatch(r, w)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/balancer/spread.go
+++ b/internal/balancer/spread.go
@@ -24,23 +24,23 @@
 	// bulkPortOffset is added to the port of the internal address: the bulk
 	// socket of every balancer is found without being announced first.
 	bulkPortOffset = 1
-	// bulkResults is how many finished transfers may wait for the control
+	// maxBulkResults is how many finished transfers may wait for the control
 	// duty; at most one of each kind is under way.
-	bulkResults = 2
+	maxBulkResults = 2
 )
 
-// bulkAnswer is a finished transfer from a peer.
-type bulkAnswer struct {
+// bulkResult is a finished transfer from a peer.
+type bulkResult struct {
 	from      netip.AddrPort
 	kind      bulk.Kind
 	catalogue catalogue.Bulk
-	roster    []membership.Record
+	records   []membership.Record
 	err       error
 }
 
-// bulkQuestion is a peer's request, answered by the control duty, which alone
+// bulkRequest is a peer's request, answered by the control duty, which alone
 // reads the state.
-type bulkQuestion struct {
+type bulkRequest struct {
 	kind    bulk.Kind
 	request []byte
 	reply   chan func(io.Writer) error
@@ -52,9 +52,9 @@
 
 // serveBulk is the handler of the bulk port.
 func (b *Balancer) serveBulk(ctx context.Context, kind bulk.Kind, request []byte, w io.Writer) error {
-	q := bulkQuestion{kind: kind, request: request, reply: make(chan func(io.Writer) error, 1)}
+	q := bulkRequest{kind: kind, request: request, reply: make(chan func(io.Writer) error, 1)}
 	select {
-	case b.control.questions <- q:
+	case b.control.bulkRequests <- q:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-b.ctx.Done():
@@ -68,9 +68,9 @@
 	}
 }
 
-// answerBulk copies the state asked for, to be written by the asker's own
+// replyBulk copies the state asked for, to be written by the asker's own
 // goroutine.
-func (d *duty) answerBulk(q bulkQuestion) {
+func (d *controlLoop) replyBulk(q bulkRequest) {
 	switch q.kind {
 	case bulk.KindCatalogue:
 		var have catalogue.Digest
@@ -93,19 +93,19 @@
 }
 
 // fetchBulk starts the transfers that the state machines ask for.
-func (d *duty) fetchBulk(ctx context.Context) {
+func (d *controlLoop) fetchBulk(ctx context.Context) {
 	if peer, ok := d.replica.BulkSource(); ok {
 		request, err := cbor.Marshal(d.replica.Digest())
 		if err == nil {
-			go d.fetch(ctx, bulkAnswer{from: peer, kind: bulk.KindCatalogue}, request)
+			go d.fetch(ctx, bulkResult{from: peer, kind: bulk.KindCatalogue}, request)
 		}
 	}
 	if peer, ok := d.machine.BulkSource(); ok {
-		go d.fetch(ctx, bulkAnswer{from: peer.Addr, kind: bulk.KindRoster}, nil)
+		go d.fetch(ctx, bulkResult{from: peer.Addr, kind: bulk.KindRoster}, nil)
 	}
 }
 
-func (d *duty) fetch(ctx context.Context, a bulkAnswer, request []byte) {
+func (d *controlLoop) fetch(ctx context.Context, a bulkResult, request []byte) {
 	a.err = d.b.bulk.Fetch(ctx, bulkAddr(a.from), a.kind, request, func(r io.Reader) (err error) {
 		if a.kind == bulk.KindCatalogue {
 			a.catalogue, err = catalogue.ReadBulk(r)
@@ -113,17 +113,17 @@
 		}
 		var all bytes.Buffer
 		if _, err = all.ReadFrom(r); err == nil {
-			a.roster, err = membership.DecodeAll(all.Bytes())
+			a.records, err = membership.DecodeAll(all.Bytes())
 		}
 		return err
 	})
 	select {
-	case d.answers <- a:
+	case d.bulkResults <- a:
 	case <-ctx.Done():
 	}
 }
 
-func (d *duty) takeBulk(now time.Time, a bulkAnswer) {
+func (d *controlLoop) applyBulk(now time.Time, a bulkResult) {
 	if a.err != nil {
 		d.b.log.Warn("bulk transfer failed", zap.Stringer("from", a.from), zap.Error(a.err))
 		if a.kind == bulk.KindCatalogue {
@@ -132,7 +132,7 @@
 		return
 	}
 	if a.kind == bulk.KindRoster {
-		d.machine.MergeAll(now, a.roster)
+		d.machine.MergeAll(now, a.records)
 		return
 	}
 	if err := d.replica.ReceiveBulk(now, a.from, a.catalogue); err != nil {
@@ -141,28 +141,28 @@
 }
 
 // receiveCatalogue takes in a message of another replica or of an agent.
-func (d *duty) receiveCatalogue(now time.Time, from netip.AddrPort, b []byte) {
+func (d *controlLoop) receiveCatalogue(now time.Time, from netip.AddrPort, b []byte) {
 	m, err := catalogue.DecodeMessage(b)
 	if err != nil {
-		d.b.metrics.controlBad.Inc()
+		d.b.metrics.controlRejected.Inc()
 		return
 	}
 	d.replica.Receive(now, from, m)
 	if d.replica.Digest().Revision == 0 && d.interim.Receive(m) {
-		d.b.address.table.Store(d.interim.Table())
-		d.b.interim.Store(true)
+		d.b.addresses.table.Store(d.interim.Table())
+		d.b.usesInterim.Store(true)
 		d.machine.SetState(now, membership.StateReady)
 		d.b.log.Warn("an agent's entry in force, for want of the catalogue", zap.String("service", m.Reply.Service))
 	}
 }
 
-// flushCatalogue sends what the replica wants sent and puts its state in force.
-func (d *duty) flushCatalogue() {
+// updateCatalogue sends what the replica wants sent and puts its state in force.
+func (d *controlLoop) updateCatalogue() {
 	for _, p := range d.replica.Outgoing() {
 		d.link.SendBytes(seal.TopicCatalogue, p.To, p.Message.Encode())
 	}
 	now := time.Now()
-	if now.Sub(d.published) < publishInterval {
+	if now.Sub(d.publishedAt) < publishInterval {
 		return // the next tick publishes
 	}
 	digest := d.replica.Digest()
@@ -173,10 +173,10 @@
 	if digest.Revision == 0 {
 		return
 	}
-	d.published = now
+	d.publishedAt = now
 	d.b.digest.Store(&digest)
 	d.interim = catalogue.Interim{}
-	d.b.address.table.Store(d.replica.Table())
+	d.b.addresses.table.Store(d.replica.Table())
 	d.b.metrics.revision.Set(float64(digest.Revision))
 	d.b.log.Info("catalogue in force", zap.Uint64("revision", digest.Revision), zap.Stringer("checksum", digest.Checksum))
 	if old == nil {
--- a/internal/balancer/storecalls.go
+++ b/internal/balancer/storecalls.go
@@ -7,23 +7,23 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// followResults is above the number of calls of a follower under way, one of
+// maxCallResults is above the number of calls of a follower under way, one of
 // each kind, so that no result waits for the control duty.
-const followResults = 8
+const maxCallResults = 8
 
-// followCalls makes the calls to the platform's store that a
+// catalogueCalls makes the calls to the platform's store that a
 // catalogue.Follower asks for, each in a goroutine of its own, since a watch
 // waits for long.
-type followCalls struct {
+type catalogueCalls struct {
 	store   catalogue.Store
 	results chan catalogue.Result
 }
 
-func newFollowCalls(s store.Interface) *followCalls {
-	return &followCalls{store: store.ForCatalogue(s), results: make(chan catalogue.Result, followResults)}
+func newCatalogueCalls(s store.Interface) *catalogueCalls {
+	return &catalogueCalls{store: store.ForCatalogue(s), results: make(chan catalogue.Result, maxCallResults)}
 }
 
-func (c *followCalls) make(ctx context.Context, calls []catalogue.Call) {
+func (c *catalogueCalls) make(ctx context.Context, calls []catalogue.Call) {
 	for _, call := range calls {
 		go func() {
 			select {
--- a/internal/balancer/tracing.go
+++ b/internal/balancer/tracing.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// traceRing is how many traced first packets and claims may wait for the
+	// traceQueueSize is how many traced first packets and claims may wait for the
 	// tracing duty. When it is full the newest is dropped and counted: a trace
 	// is worth less than the packets behind it.
-	traceRing = 256
-	// claimLimit is how long a span waits for the agent to tell which call's
+	traceQueueSize = 256
+	// claimTimeout is how long a span waits for the agent to tell which call's
 	// trace it belongs to. A handshake and the first request of an ordinary
 	// caller take far less.
-	claimLimit = 10 * time.Second
-	// pendingSpans bounds the spans that wait. More are exported at once,
+	claimTimeout = 10 * time.Second
+	// maxPendingSpans bounds the spans that wait. More are exported at once,
 	// unclaimed.
-	pendingSpans = 4096
-	traceTick    = time.Second
+	maxPendingSpans = 4096
+	exportInterval  = time.Second
 )
 
 // firstPacket is a traced first packet that was forwarded.
@@ -42,14 +42,14 @@
 // The balancer can't read a packet, so it can't know the call's trace. It
 // holds the span back for claimLimit until the agent, which can, claims it.
 type flowTracer struct {
-	spans   *tracing.Provider
-	hash    *tracing.Flows // of the inward duty
-	via     netip.AddrPort
-	clock   *batchClock
-	first   chan firstPacket
-	claims  chan tracing.Claim
-	pending map[trace.SpanID]firstPacket
-	order   []trace.SpanID // of pending, oldest first; claimed ones stay until their turn
+	spans        *tracing.Provider
+	flows        *tracing.Flows // of the inward duty
+	via          netip.AddrPort
+	clock        *batchClock
+	firstPackets chan firstPacket
+	claims       chan tracing.Claim
+	pending      map[trace.SpanID]firstPacket
+	order        []trace.SpanID // of pending, oldest first; claimed ones stay until their turn
 
 	dropped   prometheus.Counter
 	unclaimed prometheus.Counter
@@ -65,38 +65,38 @@
 		return nil, err
 	}
 	t := &flowTracer{
-		spans:     p,
-		hash:      hash,
-		via:       via,
-		clock:     clock,
-		first:     make(chan firstPacket, traceRing),
-		claims:    make(chan tracing.Claim, traceRing),
-		pending:   make(map[trace.SpanID]firstPacket),
-		dropped:   prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_dropped_total", Help: "Traced first packets and claims dropped because the ring was full."}),
-		unclaimed: prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_unclaimed_total", Help: "Spans of first packets that no call claimed."}),
+		spans:        p,
+		flows:        hash,
+		via:          via,
+		clock:        clock,
+		firstPackets: make(chan firstPacket, traceQueueSize),
+		claims:       make(chan tracing.Claim, traceQueueSize),
+		pending:      make(map[trace.SpanID]firstPacket),
+		dropped:      prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_dropped_total", Help: "Traced first packets and claims dropped because the ring was full."}),
+		unclaimed:    prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_unclaimed_total", Help: "Spans of first packets that no call claimed."}),
 	}
 	reg.MustRegister(t.dropped, t.unclaimed)
 	return t, nil
 }
 
-// note takes in a first packet that goes to agent, and reports whether its
+// recordFirstPacket takes in a first packet that goes to agent, and reports whether its
 // flow is traced. The inward duty calls it; t is nil when tracing is off.
-func (t *flowTracer) note(id []byte, service uint32, agent netip.AddrPort) bool {
-	if t == nil || !t.hash.Sampled(id) {
+func (t *flowTracer) recordFirstPacket(id []byte, service uint32, agent netip.AddrPort) bool {
+	if t == nil || !t.flows.Sampled(id) {
 		return false
 	}
-	p := firstPacket{flow: t.hash.Of(id, t.via), service: service, agent: agent, began: t.clock.now(), end: time.Now()}
+	p := firstPacket{flow: t.flows.Of(id, t.via), service: service, agent: agent, began: t.clock.now(), end: time.Now()}
 	select {
-	case t.first <- p:
+	case t.firstPackets <- p:
 	default:
 		t.dropped.Inc()
 	}
 	return true
 }
 
-// claim takes in an agent's encoded claim. ok is false for one that can't be
+// receiveClaim takes in an agent's encoded receiveClaim. ok is false for one that can't be
 // read. A balancer that does not trace passes over it.
-func (t *flowTracer) claim(b []byte) (ok bool) {
+func (t *flowTracer) receiveClaim(b []byte) (ok bool) {
 	if t == nil {
 		return true
 	}
@@ -114,38 +114,38 @@
 
 // run is the tracing duty.
 func (t *flowTracer) run(ctx context.Context) {
-	tick := time.NewTicker(traceTick)
+	tick := time.NewTicker(exportInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case p := <-t.first:
-			t.hold(p)
+		case p := <-t.firstPackets:
+			t.addPending(p)
 		case c := <-t.claims:
-			t.settle(c)
+			t.exportClaimed(c)
 		case now := <-tick.C:
-			t.release(now.Add(-claimLimit), pendingSpans)
+			t.exportUnclaimed(now.Add(-claimTimeout), maxPendingSpans)
 		case <-ctx.Done():
-			t.release(time.Now(), 0)
+			t.exportUnclaimed(time.Now(), 0)
 			return
 		}
 	}
 }
 
-// hold keeps a span until it is claimed. A caller's first flight is several
+// addPending keeps a span until it is claimed. A caller's first flight is several
 // packets with one ID: they are one span.
-func (t *flowTracer) hold(p firstPacket) {
+func (t *flowTracer) addPending(p firstPacket) {
 	if old, ok := t.pending[p.flow.Span]; ok {
 		old.end = p.end
 		t.pending[p.flow.Span] = old
 		return
 	}
-	t.release(time.Time{}, pendingSpans-1)
+	t.exportUnclaimed(time.Time{}, maxPendingSpans-1)
 	t.pending[p.flow.Span] = p
 	t.order = append(t.order, p.flow.Span)
 }
 
-func (t *flowTracer) settle(c tracing.Claim) {
-	t.takeWaiting()
+func (t *flowTracer) exportClaimed(c tracing.Claim) {
+	t.addQueued()
 	p, ok := t.pending[c.Span]
 	if !ok {
 		return
@@ -154,23 +154,23 @@
 	t.export(p, trace.NewSpanContext(trace.SpanContextConfig{TraceID: c.Trace, SpanID: c.Parent, TraceFlags: trace.FlagsSampled, Remote: true}))
 }
 
-// takeWaiting holds the first packets in the ring: a claim may be read before
+// addQueued holds the first packets in the ring: a claim may be read before
 // the packet that it is about.
-func (t *flowTracer) takeWaiting() {
+func (t *flowTracer) addQueued() {
 	for {
 		select {
-		case p := <-t.first:
-			t.hold(p)
+		case p := <-t.firstPackets:
+			t.addPending(p)
 		default:
 			return
 		}
 	}
 }
 
-// release exports spans that nobody claimed: those from before a time, and the
+// exportUnclaimed exports spans that nobody claimed: those from before a time, and the
 // oldest ones while more than keep wait. Each is the root of a trace of its
 // own, which shows handshakes that came to nothing.
-func (t *flowTracer) release(before time.Time, keep int) {
+func (t *flowTracer) exportUnclaimed(before time.Time, keep int) {
 	for len(t.order) > 0 {
 		p, waits := t.pending[t.order[0]]
 		if waits && !p.began.Before(before) && len(t.order) <= keep {
--- a/internal/balancer/tracing_test.go
+++ b/internal/balancer/tracing_test.go
@@ -21,7 +21,7 @@
 func testTracer(t testing.TB) (*flowTracer, func() tracetest.SpanStubs) {
 	t.Helper()
 	e := tracetest.NewInMemoryExporter()
-	p := tracing.New(tracing.Config{Sample: 1}, keeping{e}, prometheus.NewRegistry())
+	p := tracing.New(tracing.Config{Sample: 1}, retainingExporter{e}, prometheus.NewRegistry())
 	tracer, err := newFlowTracer(p, benchRing(t), netip.MustParseAddrPort("10.0.0.9:7700"), &batchClock{}, prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
@@ -32,25 +32,25 @@
 	}
 }
 
-// keeping is an exporter that keeps its spans when it is shut down.
-type keeping struct{ *tracetest.InMemoryExporter }
+// retainingExporter is an exporter that keeps its spans when it is shut down.
+type retainingExporter struct{ *tracetest.InMemoryExporter }
 
-func (keeping) Shutdown(context.Context) error { return nil }
+func (retainingExporter) Shutdown(context.Context) error { return nil }
 
 // TestClaimedSpanJoinsTheCall: the packets of a caller's first flight are one
 // span, of the trace that the agent names.
 func TestClaimedSpanJoinsTheCall(t *testing.T) {
 	tracer, spans := testTracer(t)
 	id := []byte("first-id")
-	tracer.note(id, benchService, testAgent)
-	tracer.note(id, benchService, testAgent)
-	claim := tracing.Claim{Span: tracer.hash.Of(id, tracer.via).Span, Trace: trace.TraceID{1}, Parent: trace.SpanID{2}}
+	tracer.recordFirstPacket(id, benchService, testAgent)
+	tracer.recordFirstPacket(id, benchService, testAgent)
+	claim := tracing.Claim{Span: tracer.flows.Of(id, tracer.via).Span, Trace: trace.TraceID{1}, Parent: trace.SpanID{2}}
 	b, err := cbor.Marshal(claim)
-	if err != nil || !tracer.claim(b) {
+	if err != nil || !tracer.receiveClaim(b) {
 		t.Fatalf("claim not taken: %v", err)
 	}
-	tracer.settle(<-tracer.claims)
-	tracer.release(time.Now(), 0)
+	tracer.exportClaimed(<-tracer.claims)
+	tracer.exportUnclaimed(time.Now(), 0)
 	got := spans()
 	if len(got) != 1 {
 		t.Fatalf("%d spans, want 1", len(got))
@@ -68,18 +68,18 @@
 // waits for a claim; after claimLimit it is exported as the root of a trace.
 func TestUnclaimedSpanIsExported(t *testing.T) {
 	tracer, spans := testTracer(t)
-	tracer.note([]byte("first-id"), benchService, testAgent)
-	tracer.hold(<-tracer.first)
-	tracer.release(time.Now().Add(-claimLimit), pendingSpans)
+	tracer.recordFirstPacket([]byte("first-id"), benchService, testAgent)
+	tracer.addPending(<-tracer.firstPackets)
+	tracer.exportUnclaimed(time.Now().Add(-claimTimeout), maxPendingSpans)
 	if len(tracer.pending) != 1 {
 		t.Error("released before its time")
 	}
-	tracer.release(time.Now(), pendingSpans)
+	tracer.exportUnclaimed(time.Now(), maxPendingSpans)
 	got := spans()
 	if len(got) != 1 || got[0].Parent.IsValid() {
 		t.Errorf("spans %v, want one without a parent", got)
 	}
-	if n := counted(t, tracer.unclaimed); n != 1 {
+	if n := counterValue(t, tracer.unclaimed); n != 1 {
 		t.Errorf("%v counted as unclaimed", n)
 	}
 }
@@ -89,17 +89,17 @@
 func TestTracesAreBounded(t *testing.T) {
 	tracer, spans := testTracer(t)
 	id := func(i int) []byte { return []byte{byte(i), byte(i >> 8), 0, 0, 0, 0, 0, 0} }
-	for i := range traceRing + 3 {
-		tracer.note(id(i), benchService, testAgent)
+	for i := range traceQueueSize + 3 {
+		tracer.recordFirstPacket(id(i), benchService, testAgent)
 	}
-	if n := counted(t, tracer.dropped); n != 3 {
+	if n := counterValue(t, tracer.dropped); n != 3 {
 		t.Errorf("%v dropped, want 3", n)
 	}
-	for i := range pendingSpans + 5 {
-		tracer.hold(firstPacket{flow: tracer.hash.Of(id(i), tracer.via), began: time.Now()})
+	for i := range maxPendingSpans + 5 {
+		tracer.addPending(firstPacket{flow: tracer.flows.Of(id(i), tracer.via), began: time.Now()})
 	}
-	if len(tracer.pending) != pendingSpans || len(tracer.order) != pendingSpans {
-		t.Errorf("%d spans wait in an order of %d, want %d", len(tracer.pending), len(tracer.order), pendingSpans)
+	if len(tracer.pending) != maxPendingSpans || len(tracer.order) != maxPendingSpans {
+		t.Errorf("%d spans wait in an order of %d, want %d", len(tracer.pending), len(tracer.order), maxPendingSpans)
 	}
 	spans()
 }
@@ -109,18 +109,18 @@
 	tracer, spans := testTracer(t)
 	empty, _ := cbor.Marshal(tracing.Claim{})
 	for _, b := range [][]byte{nil, {0xff}, empty} {
-		if tracer.claim(b) {
+		if tracer.receiveClaim(b) {
 			t.Errorf("claim %x taken", b)
 		}
 	}
-	if (*flowTracer)(nil).note([]byte("first-id"), benchService, testAgent) {
+	if (*flowTracer)(nil).recordFirstPacket([]byte("first-id"), benchService, testAgent) {
 		t.Error("traced although off")
 	}
 	spans()
 }
 
-// counted returns the value of a counter.
-func counted(t testing.TB, c prometheus.Counter) float64 {
+// counterValue returns the value of a counter.
+func counterValue(t testing.TB, c prometheus.Counter) float64 {
 	t.Helper()
 	var m dto.Metric
 	if err := c.Write(&m); err != nil {
--- a/internal/balancer/voters.go
+++ b/internal/balancer/voters.go
@@ -17,11 +17,11 @@
 
 // voter is an agent that may vote on idempotency keys.
 type voter struct {
-	addr netip.AddrPort
-	hash uint64
-	gone time.Time // zero while it is live
-	left bool      // it stopped voting before it left
-	work bool      // it takes new flows
+	addr          netip.AddrPort
+	hash          uint64
+	departedAt    time.Time // zero while it is live
+	stoppedVoting bool      // it stopped voting before it left
+	takesFlows    bool      // it takes new flows
 }
 
 // voters keeps the voters of each service, the gone ones for the retention.
@@ -56,14 +56,14 @@
 		list = slices.Insert(list, i, voter{addr: r.Addr, hash: hash})
 	}
 	e := &list[i]
-	e.left = r.State == membership.StateLeaving
-	e.work = !forgotten && r.TakesWork()
-	live := !forgotten && !e.left && r.Verdict != membership.VerdictDead
+	e.stoppedVoting = r.State == membership.StateLeaving
+	e.takesFlows = !forgotten && r.TakesWork()
+	live := !forgotten && !e.stoppedVoting && r.Verdict != membership.VerdictDead
 	switch {
 	case live:
-		e.gone = time.Time{}
-	case e.gone.IsZero():
-		e.gone = now
+		e.departedAt = time.Time{}
+	case e.departedAt.IsZero():
+		e.departedAt = now
 	}
 	v.services[r.Service] = list
 }
@@ -77,27 +77,27 @@
 func (v *voters) answer(q control.RosterRequest, now time.Time) control.RosterAnswer {
 	a := control.RosterAnswer{Seq: q.Seq, Complete: now.Sub(v.started) > v.retention}
 	list := v.services[q.Service]
-	list = slices.DeleteFunc(list, func(e voter) bool { return !e.gone.IsZero() && now.Sub(e.gone) > v.retention })
+	list = slices.DeleteFunc(list, func(e voter) bool { return !e.departedAt.IsZero() && now.Sub(e.departedAt) > v.retention })
 	v.services[q.Service] = list
 	for _, e := range list {
-		if e.work {
+		if e.takesFlows {
 			a.Serving++
 		}
 		switch {
-		case e.gone.IsZero() && len(a.Live) < control.MaxVoters:
+		case e.departedAt.IsZero() && len(a.Live) < control.MaxVoters:
 			a.Live = append(a.Live, e.addr)
-		case !e.gone.IsZero() && len(a.Gone) < control.MaxVoters:
-			a.Gone = append(a.Gone, control.GoneVoter{Addr: e.addr, Age: uint32(now.Sub(e.gone) / time.Second), Left: e.left})
+		case !e.departedAt.IsZero() && len(a.Gone) < control.MaxVoters:
+			a.Gone = append(a.Gone, control.GoneVoter{Addr: e.addr, Age: uint32(now.Sub(e.departedAt) / time.Second), Left: e.stoppedVoting})
 		}
 	}
 	return a
 }
 
-// answerRoster tells an agent who votes on its service's keys.
-func (d *duty) answerRoster(now time.Time, to netip.AddrPort, b []byte) {
+// sendVoters tells an agent who votes on its service's keys.
+func (d *controlLoop) sendVoters(now time.Time, to netip.AddrPort, b []byte) {
 	var q control.RosterRequest
 	if err := cbor.Unmarshal(b, &q); err != nil {
-		d.b.metrics.controlBad.Inc()
+		d.b.metrics.controlRejected.Inc()
 		return
 	}
 	if err := d.link.Send(seal.TopicRosterIs, to, d.voters.answer(q, now)); err != nil {
