--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -1,11 +1,12 @@
-// Package flowbalancer is the balancer of packet flows: it carries out what a
-// flow.Director decides.
+// Package flowbalancer implements the balancer of packet flows. It connects a
+// flow.Director to sockets, the store, logs and metrics.
 //
-// Its duties are goroutines: one reads callers' packets, one reads messages of
-// agents and other balancers, one ticks, one follows the configuration, one tells
-// it to other balancers, one answers the routers and one introduces the process in
-// the store. A mutex guards the Director; what it decides is copied
-// into a duty's own output before the mutex is released.
+// Each loop runs in its own goroutine: one reads callers' packets, one reads messages
+// of agents and other balancers, one runs the Director's timers, one follows the
+// operator's orders, one serves them to other balancers, one answers the routers'
+// readiness checks and one keeps the process registered in the store. A mutex guards the
+// Director; its effects are copied into the output of the calling loop before the mutex
+// is released.
 package flowbalancer
 
 import (
@@ -31,29 +32,29 @@
 	"github.com/hemlockscale/hemlockscale/propagation"
 )
 
-// Config sets up a Balancer.
+// Config holds the settings and dependencies of a Balancer.
 type Config struct {
 	Settings node.Settings
-	Director flow.DirectorConfig // Zone, Regions and MaxAge are filled in
+	Director flow.DirectorConfig // New sets Zone, Regions, MaxAge and Link
 	Codec    node.PacketCodec
 	Store    node.Store
-	// Orders says where the operator's orders lie in the store, and ParseConfig reads
-	// the configuration among them. Parts that can't be read are returned as errors.
+	// Orders holds the store keys of the operator's orders. ParseConfig decodes the
+	// configuration, which is part of them. Parts that can't be decoded are returned as errors.
 	Orders      node.OrderKeys
 	ParseConfig func([]byte) (*flow.Routes, []error)
-	// Readiness builds the page that routers ask.
+	// Readiness returns the handler of the routers' readiness checks.
 	Readiness func(ready func() bool) http.Handler
-	Traces    *tracing.Provider // nil is off
+	Traces    *tracing.Provider // nil turns tracing off
 }
 
 const (
-	// drainQuietTime is the time without a caller's packet after which a
-	// balancer that stops has been left by the routers.
+	// drainQuietTime is the time without a packet from a caller after which a draining
+	// balancer assumes that the routers no longer send it packets.
 	drainQuietTime = 400 * time.Millisecond
-	// minDrainTime is the time that routers need to notice that a balancer is
-	// not ready: two questions half a second apart, and one more.
+	// minDrainTime is the time that routers need to detect that a balancer is not
+	// ready: they check twice, half a second apart, plus one check as a margin.
 	minDrainTime = 1500 * time.Millisecond
-	// readHeaderTimeout bounds how long a caller of the readiness page may take.
+	// readHeaderTimeout bounds the time in which a client must send its request header.
 	readHeaderTimeout = 5 * time.Second
 )
 
@@ -64,31 +65,31 @@
 	callers           *udp.Conn
 	internal          *udp.Conn
 	readinessListener net.Listener
-	ordersListener    net.Listener // where other balancers ask for the configuration
+	ordersListener    net.Listener // on which other balancers fetch the operator's orders
 	follower          *node.Follower
 	registrar         *node.Registrar
-	inForce           node.Orders // used by the follower alone, one call at a time
+	inForce           node.Orders // orders in force; only the follower's goroutine uses it
 	readiness         *node.Readiness
-	tracer            *tracer // used under mu
+	tracer            *tracer // guarded by mu
 	invalidKeys       prometheus.Counter
 
 	mu         sync.Mutex
-	era        store.Era // of the store, by the orders in force
+	era        store.Era // store era of the orders in force
 	director   *flow.Director
-	propagator *propagation.Node // how the configuration gets here and on to others
+	propagator *propagation.Node // decides when the orders are read, fetched and announced
 
 	stopping         atomic.Bool
-	loggedReady      atomic.Bool   // what the readiness page said last
-	loggedWatcher    atomic.Bool   // whether this process watched the store for all when that was logged
-	lastCallerPacket atomic.Int64  // node.Now of the last caller's packet, in ns
-	followerDue      chan struct{} // the follower may have something to do
+	loggedReady      atomic.Bool   // readiness as last logged
+	loggedWatcher    atomic.Bool   // whether this process was the watcher when that was last logged
+	lastCallerPacket atomic.Int64  // node.Now of the latest packet from a caller, in ns
+	followerDue      chan struct{} // signalled when the follower may have a call or fetch to make
 	wakeup           chan struct{}
-	sleepUntil       atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
+	sleepUntil       atomic.Int64 // node.Now until which the timer loop sleeps, in ns
 	ctx              context.Context
 	cancel           context.CancelFunc
 }
 
-// New opens the sockets of a balancer.
+// New returns a balancer with open sockets.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Balancer, error) {
 	cfg.Director.Zone = cfg.Settings.Zone
 	cfg.Director.Regions = cfg.Settings.Zones
@@ -128,16 +129,16 @@
 	return netip.AddrPortFrom(b.cfg.Settings.IP, b.cfg.Settings.InternalPort)
 }
 
-// Ready reports whether the routers should hand packets to this process.
+// Ready reports whether routers should send packets to this process.
 func (b *Balancer) Ready() bool {
 	if b.stopping.Load() {
 		return false
 	}
 	b.mu.Lock()
-	ready, known := b.director.Ready(), b.director.Stats()
+	ready, stats := b.director.Ready(), b.director.Stats()
 	b.mu.Unlock()
 	if b.loggedReady.Swap(ready) != ready {
-		b.log.Info("readiness", zap.Bool("ready", ready), zap.Int("agents", known.Agents), zap.Int("agents_ready", known.Ready))
+		b.log.Info("readiness", zap.Bool("ready", ready), zap.Int("agents", stats.Agents), zap.Int("agents_ready", stats.Ready))
 	}
 	return ready
 }
@@ -168,12 +169,11 @@
 func (b *Balancer) Beliefs() node.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.director.Snapshot(node.Now())
-	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
+	snapshot := b.director.Snapshot(node.Now())
+	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &snapshot}
 }
 
-// addSeeds makes the balancers known that the settings name, with b.mu
-// held.
+// addSeeds adds the balancers named in the settings. The caller holds b.mu, except in New.
 func (b *Balancer) addSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		if seed != b.cfg.Settings.IP {
@@ -185,8 +185,8 @@
 // Close implements daemon.Part.
 func (b *Balancer) Close() { b.cancel() }
 
-// Drain implements daemon.Part: the balancer says at once that it is not ready
-// and forwards until the routers hand it nothing any more.
+// Drain implements daemon.Part. The balancer reports at once that it is not ready, and
+// forwards packets until the routers send it none.
 func (b *Balancer) Drain(ctx context.Context) {
 	b.stopping.Store(true)
 	start := node.Now()
@@ -206,11 +206,13 @@
 	}
 }
 
+// output returns an output for one loop.
 func (b *Balancer) output() *node.Output {
 	return node.NewOutput(b.internal, b.cfg.Codec, b.cfg.Settings.Packets.Port(), netip.AddrPort{})
 }
 
-// update runs f on the Director and copies what it decided to out.
+// update runs f on the Director and copies the Director's effects to out. The timer loop
+// is woken if a timer is now due earlier.
 func (b *Balancer) update(out *node.Output, f func(d *flow.Director, now time.Time)) {
 	now := node.Now()
 	b.mu.Lock()
@@ -223,7 +225,7 @@
 	}
 }
 
-// wake has the ticking duty look at once what is due.
+// wake makes the timer loop run the due timers at once.
 func (b *Balancer) wake() {
 	select {
 	case b.wakeup <- struct{}{}:
@@ -231,7 +233,7 @@
 	}
 }
 
-// readCallers is the duty that takes callers' packets.
+// readCallers is the loop that receives callers' packets.
 func (b *Balancer) readCallers() error {
 	r, out := udp.NewReader(b.callers), b.output()
 	for {
@@ -241,7 +243,7 @@
 	}
 }
 
-// receiveCallerBatch takes what one read brings and returns the number of packets.
+// receiveCallerBatch reads and processes one batch of packets and returns their number.
 func (b *Balancer) receiveCallerBatch(r *udp.Reader, out *node.Output) (int, error) {
 	n, err := r.Read()
 	if err != nil {
@@ -261,7 +263,7 @@
 	return n, nil
 }
 
-// readInternal is the duty that takes agents' messages.
+// readInternal is the loop that receives messages of agents and other balancers.
 func (b *Balancer) readInternal() error {
 	r, out := udp.NewReader(b.internal), b.output()
 	for {
@@ -280,6 +282,8 @@
 	}
 }
 
+// receiveMessage processes one datagram of an agent or another balancer and adds effects to
+// out. The caller holds b.mu.
 func (b *Balancer) receiveMessage(d *flow.Director, now time.Time, from netip.AddrPort, datagram []byte, out *node.Output) {
 	m, packet, ok := flowframe.Decode(datagram)
 	if !ok {
@@ -301,7 +305,7 @@
 	}
 }
 
-// tick is the duty that does what is due by time alone.
+// tick is the timer loop: it runs the Director's timers and writes the bundled log lines.
 func (b *Balancer) tick() error {
 	out := b.output()
 	for {
@@ -335,8 +339,8 @@
 	}
 }
 
-// storeRestored notes what an answer of the store told this balancer beside the operator's
-// orders: there is a newer version of them.
+// storeRestored records that a response of the store to the registrar shows a later store
+// era: there is a version of the operator's orders that is newer than the known one.
 func (b *Balancer) storeRestored(version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -347,7 +351,8 @@
 	g.Add(func() error { return b.registrar.Run(b.ctx) }, func(error) { b.cancel() })
 }
 
-// addPeers makes the agents known that the store names, and greets new ones.
+// addPeers adds the processes registered in the store. The Director sends hello messages to
+// new agents.
 func (b *Balancer) addPeers(peers []node.Peer) {
 	out := b.output()
 	b.update(out, func(d *flow.Director, now time.Time) {
@@ -363,7 +368,7 @@
 		d.Tick(now)
 	})
 	out.Flush()
-	b.propagate(out) // there may be somebody to ask only now
+	b.propagate(out) // a pending fetch may have waited for a first known balancer
 }
 
 func (b *Balancer) addReadinessServer(g *run.Group) {
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -17,8 +17,8 @@
 	"github.com/hemlockscale/hemlockscale/propagation"
 )
 
-// propagate does what is due for the operator's orders: digests are sent, and the follower
-// is woken if it may have something to do.
+// propagate sends a digest of the operator's orders to other balancers if one is due, and
+// wakes the follower if a call or fetch may be due.
 func (b *Balancer) propagate(out *node.Output) {
 	now := node.Now()
 	b.mu.Lock()
@@ -30,10 +30,10 @@
 		to = b.director.SampleBalancers(now, propagation.Fanout)
 	}
 	due := b.propagator.Due(now)
-	watches := b.propagator.IsWatcher()
+	isWatcher := b.propagator.IsWatcher()
 	b.mu.Unlock()
-	if b.loggedWatcher.Swap(watches) != watches {
-		b.log.Info("watch of the store", zap.Bool("for_all", watches), zap.Uint64("read", digest.Read.Number))
+	if b.loggedWatcher.Swap(isWatcher) != isWatcher {
+		b.log.Info("role as watcher of the store changed", zap.Bool("watcher", isWatcher), zap.Uint64("latest_read", digest.Read.Number))
 	}
 	for _, addr := range to {
 		out.Add([]flow.Effect{digestMessage(addr, digest, now)})
@@ -55,8 +55,8 @@
 	}, Packet: appendDigestNumbers(nil, d)}
 }
 
-// digestNumbersSize is the length of what follows the message, in bytes: the number of the read,
-// and that of the configuration.
+// digestNumbersSize is the size in bytes of the data after a digest's message: the number
+// of the read and the number of the configuration, both little-endian.
 const digestNumbersSize = 16
 
 func appendDigestNumbers(b []byte, d propagation.Digest) []byte {
@@ -64,8 +64,9 @@
 	return binary.LittleEndian.AppendUint64(b, d.Content)
 }
 
-// receiveDigest takes another balancer's digest of the operator's orders, with b.mu held, and
-// adds the answer to out. A message without its numbers is not one of this system.
+// receiveDigest processes another balancer's digest of the operator's orders and adds the
+// answer, if any, to out. A message without the two numbers does not come from a balancer
+// and is ignored. The caller holds b.mu.
 func (b *Balancer) receiveDigest(now time.Time, from netip.AddrPort, m *flow.Message, numbers []byte, out *node.Output) {
 	if len(numbers) != digestNumbersSize {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// followerPlan lets the follower ask what to do.
+// followerPlan decides for the follower which calls and fetches are due.
 type followerPlan struct{ b *Balancer }
 
 // StoreCall implements node.Plan.
@@ -113,7 +114,7 @@
 		to = p.b.director.SampleBalancers(now, node.MaxParallelRequests)
 	}
 	if len(to) == 0 {
-		return nil, false // nobody is known yet
+		return nil, false // no other balancer is known yet
 	}
 	p.b.propagator.FetchStarted(now)
 	return to, true
@@ -133,7 +134,7 @@
 	p.b.propagator.FetchDone()
 }
 
-// newFollower returns what follows the operator's orders.
+// newFollower returns the follower that keeps the operator's orders up to date.
 func (b *Balancer) newFollower() *node.Follower {
 	source := &node.OrdersSource{Store: b.cfg.Store, Keys: b.cfg.Orders}
 	return &node.Follower{Source: source, Plan: followerPlan{b}, Changed: b.applyOrders, Due: b.followerDue, Log: b.log}
@@ -149,21 +150,22 @@
 	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.ordersListener)) }, func(error) { s.Close() })
 }
 
-// applyOrders puts the operator's orders in force and reports whether they could be read.
+// applyOrders puts the operator's orders in force. It reports whether they were decoded and
+// this balancer has routes.
 func (b *Balancer) applyOrders(v store.Value) bool {
 	start := node.Now()
 	b.registrar.ObserveVersion(v.Version)
 	o, err := node.DecodeOrders(v.Data)
 	if err != nil {
-		b.log.Error("orders refused", zap.Error(err))
+		b.log.Error("operator's orders can't be decoded; the previous ones stay in force", zap.Error(err))
 		return false
 	}
 	routes := b.parseRoutes(o.Configuration)
 	b.mu.Lock()
-	configured := b.director.Routes()
+	previous := b.director.Routes()
 	restored := b.observeEra(start, v.Version)
-	taken := b.director.SetOrders(start, flow.NewOrders(v.Version, routes, o.Evacuated))
-	if taken {
+	inForce := b.director.SetOrders(start, flow.NewOrders(v.Version, routes, o.Evacuated))
+	if inForce {
 		b.propagator.Applied(node.Now(), v.Version)
 	}
 	if routes == nil {
@@ -182,17 +184,17 @@
 	if after, first := b.readiness.Reached(); first {
 		b.log.Info("ready", zap.Duration("after", after))
 	}
-	if configured == nil || routes.Revision != configured.Revision {
-		b.log.Info("configuration", zap.Uint64("revision", routes.Revision), zap.Bool("in_force", taken), zap.Int("routes", routes.Len()), zap.Int("bytes", len(o.Configuration)), node.VersionField("orders", v.Version), zap.Duration("took", node.Now().Sub(start)))
+	if previous == nil || routes.Revision != previous.Revision {
+		b.log.Info("configuration", zap.Uint64("revision", routes.Revision), zap.Bool("in_force", inForce), zap.Int("routes", routes.Len()), zap.Int("bytes", len(o.Configuration)), node.VersionField("orders", v.Version), zap.Duration("took", node.Now().Sub(start)))
 	}
-	b.logEvacuations(v.Version, taken, o.Evacuated)
+	b.logEvacuations(v.Version, inForce, o.Evacuated)
 	b.inForce = o
 	return true
 }
 
-// observeEra takes the version of the orders that are being put in force, with b.mu held. It
-// reports whether they are the first that were read after the store came back from an older
-// copy.
+// observeEra records the store era of the orders that are being put in force. It reports
+// whether they are the first orders read after the store was restored from an older copy.
+// The caller holds b.mu.
 func (b *Balancer) observeEra(now time.Time, version uint64) bool {
 	era := store.EraOf(version)
 	if era <= b.era {
@@ -203,27 +205,27 @@
 	return true
 }
 
-// parseRoutes reads a configuration. It returns nil for the one that was read last, and for
-// one that can't be read: the routes in force stay.
+// parseRoutes decodes a configuration. It returns nil if the configuration equals the one
+// decoded last or can't be decoded; the routes in force then stay.
 func (b *Balancer) parseRoutes(configuration []byte) *flow.Routes {
 	if bytes.Equal(configuration, b.inForce.Configuration) {
 		return nil
 	}
 	routes, errs := b.cfg.ParseConfig(configuration)
 	for _, err := range errs {
-		b.log.Error("configuration refused in part", zap.Error(err))
+		b.log.Error("configuration or a part of it can't be decoded and is ignored", zap.Error(err))
 	}
 	return routes
 }
 
-// logEvacuations writes a line if other availability zones are evacuated than before. A
-// zone that the settings do not name has no agents: its name may be mistyped, and the
-// operator would wait for nothing.
-func (b *Balancer) logEvacuations(number uint64, taken bool, zones []string) {
+// logEvacuations logs the evacuated availability zones if they have changed, and warns of
+// zones that the settings do not name. Such a zone has no agents: its name may be mistyped,
+// and the operator would wait for an evacuation that never happens.
+func (b *Balancer) logEvacuations(number uint64, inForce bool, zones []string) {
 	if slices.Equal(zones, b.inForce.Evacuated) {
 		return
 	}
-	b.log.Info("evacuated zones", zap.Strings("zones", zones), zap.Strings("before", b.inForce.Evacuated), node.VersionField("orders", number), zap.Bool("in_force", taken))
+	b.log.Info("evacuated zones changed", zap.Strings("zones", zones), zap.Strings("before", b.inForce.Evacuated), node.VersionField("orders", number), zap.Bool("in_force", inForce))
 	known := b.cfg.Settings.Zones
 	for _, zone := range zones {
 		if _, ok := known[zone]; !ok && len(known) > 0 {
--- a/internal/flowbalancer/relay_bench_test.go
+++ b/internal/flowbalancer/relay_bench_test.go
@@ -24,9 +24,9 @@
 	loopback     = netip.MustParseAddrPort("127.0.0.1:0")
 )
 
-// BenchmarkRelay compares the balancer's way of a packet of a known flow (batch
-// read, header, Director, frame, batch write) with a bare loop that writes what
-// it read.
+// BenchmarkRelay compares the balancer's path of a packet of a known flow (batch
+// read, header, Director, frame, batch write) with a bare loop that writes the packets
+// it reads.
 func BenchmarkRelay(b *testing.B) {
 	for _, size := range []int{100, 1200} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchRelay(b, size) })
@@ -60,7 +60,7 @@
 
 type benchBalancer struct{ *Balancer }
 
-// newBenchBalancer returns a balancer that knows one agent.
+// newBenchBalancer returns a balancer with one known agent, which accepts new flows.
 func newBenchBalancer(b *testing.B, agent netip.AddrPort) benchBalancer {
 	b.Helper()
 	l, err := New(Config{
@@ -82,12 +82,12 @@
 	return benchBalancer{l}
 }
 
-// openFlow has the agent take the flow that the packet opens.
+// openFlow processes a flow's first packet and the agent's acceptance of the flow.
 func (l benchBalancer) openFlow(b *testing.B, agent netip.AddrPort, packet []byte) {
 	b.Helper()
 	s, ok := l.cfg.Codec.FromCaller(packet)
 	if !ok {
-		b.Fatal("not a caller's packet")
+		b.Fatal("the codec does not decode the caller's packet")
 	}
 	l.director.FromCaller(node.Now(), s, packet)
 	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Taken, State: flow.ServerReady, Service: flow.IDOf("listing"), Key: s.Key}, nil, nil)
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -14,20 +14,21 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// tracer writes a log line for each decision, and records times and spans.
+// tracer implements flow.Tracer: it logs the Director's decisions and records latencies and
+// spans.
 type tracer struct {
 	log       *zap.Logger
-	self      netip.AddrPort // of this balancer
+	self      netip.AddrPort // this balancer's address
 	spans     *node.Spans
 	takenTime prometheus.Histogram
 
-	changes map[agentChange]*changedAgents // of agents, not written yet
+	changes map[agentChange]*changedAgents // state changes of agents that are not logged yet
 }
 
 func newTracer(log *zap.Logger, self netip.AddrPort, spans *node.Spans, reg prometheus.Registerer) *tracer {
 	return &tracer{
 		log: log, self: self, spans: spans, changes: make(map[agentChange]*changedAgents),
-		takenTime: node.NewLatency(reg, "hemlock_flow_taken_seconds", "time from a flow's first packet until an agent took it"),
+		takenTime: node.NewLatency(reg, "hemlock_flow_taken_seconds", "time from a flow's first packet until an agent accepted the flow"),
 	}
 }
 
@@ -56,12 +57,12 @@
 
 // LookupStarted implements flow.Tracer.
 func (t *tracer) LookupStarted(_ time.Time, key flow.Key, agents int, all bool) {
-	t.log.Info("flow sought", node.FlowField(key), zap.Int("agents", agents), zap.Bool("all", all))
+	t.log.Info("flow lookup started", node.FlowField(key), zap.Int("agents", agents), zap.Bool("all_agents", all))
 }
 
 // Ended implements flow.Tracer.
 func (t *tracer) Ended(_ time.Time, key flow.Key, reason flow.Reason, agent netip.AddrPort, atMost time.Duration) {
-	t.log.Info("flow ended, caller waits for room", node.FlowField(key), zap.Stringer("reason", reason), zap.Stringer("agent", agent), zap.Duration("at_most", atMost))
+	t.log.Info("flow ended, caller waits for capacity", node.FlowField(key), zap.Stringer("reason", reason), zap.Stringer("agent", agent), zap.Duration("at_most", atMost))
 }
 
 // Found implements flow.Tracer.
@@ -69,22 +70,22 @@
 	t.log.Info("flow found", node.FlowField(key), zap.Stringer("agent", agent), zap.Duration("after", after))
 }
 
-// agentChange is a kind of change of what is believed about agents.
+// agentChange identifies state changes of agents that are logged in one line.
 type agentChange struct {
 	service flow.ServiceID
 	state   flow.ServerState
 	why     string
 }
 
-// changedAgents is the agents that changed alike since the last flush.
+// changedAgents lists the agents with the same state change since the last flush.
 type changedAgents struct {
 	since  time.Time
 	agents []string
 }
 
-// Agent implements flow.Tracer. Changes wait for the next flush, which writes one line
-// for all of a kind: when a hundred agents start or fall silent every balancer notes
-// each of them, and a line each was half of all lines of a fleet of hundreds.
+// Agent implements flow.Tracer. Changes are collected until the next flush, which writes
+// one line for all changes of a kind. With a line for each agent, the starts and failures of
+// agents, which every balancer logs, are half of all log lines in a fleet of hundreds.
 func (t *tracer) Agent(now time.Time, agent netip.AddrPort, service flow.ServiceID, state flow.ServerState, why string) {
 	kind := agentChange{service, state, why}
 	b := t.changes[kind]
@@ -95,7 +96,7 @@
 	b.agents = append(b.agents, agent.String())
 }
 
-// flush writes the changes of agents that wait.
+// flush logs the collected state changes of agents.
 func (t *tracer) flush(now time.Time) {
 	for kind, b := range t.changes {
 		fields := []zap.Field{zap.Uint64("service", uint64(kind.service)), zap.Stringer("state", kind.state), zap.String("why", kind.why)}
@@ -108,7 +109,7 @@
 	clear(t.changes)
 }
 
-// registerMetrics serves the Director's counters.
+// registerMetrics registers the Director's gauges and counters with reg.
 func registerMetrics(reg prometheus.Registerer, b *Balancer) {
 	reg.MustRegister(&collector{b: b})
 }
@@ -116,24 +117,24 @@
 type collector struct{ b *Balancer }
 
 var (
-	descFlows         = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
-	descOpening       = prometheus.NewDesc("hemlock_flows_opening", "flows being offered to agents", nil, nil)
-	descPendingResets = prometheus.NewDesc("hemlock_callers_waiting", "callers of flows that have ended who are told when there is room for them", nil, nil)
-	descAgents        = prometheus.NewDesc("hemlock_agents", "agents known", nil, nil)
-	descReady         = prometheus.NewDesc("hemlock_agents_ready", "agents that take new flows", nil, nil)
-	descRevision      = prometheus.NewDesc("hemlock_config_revision", "configuration in force", nil, nil)
+	descFlows         = prometheus.NewDesc("hemlock_flows", "flows in the balancer's flow table", nil, nil)
+	descOpening       = prometheus.NewDesc("hemlock_flows_opening", "new flows that no agent has accepted yet", nil, nil)
+	descPendingResets = prometheus.NewDesc("hemlock_callers_waiting", "callers that are notified of the end of their flow when an agent has capacity for them", nil, nil)
+	descAgents        = prometheus.NewDesc("hemlock_agents", "known agents", nil, nil)
+	descReady         = prometheus.NewDesc("hemlock_agents_ready", "agents that accept new flows", nil, nil)
+	descRevision      = prometheus.NewDesc("hemlock_config_revision", "revision of the configuration in force", nil, nil)
 	descOrders        = prometheus.NewDesc("hemlock_orders_number", "revision of the store at which the operator's orders in force were read", nil, nil)
-	descEra           = prometheus.NewDesc("hemlock_store_era", "times that the store has come back from an older copy, by the operator's orders in force", nil, nil)
-	descZones         = prometheus.NewDesc("hemlock_zones_evacuated", "availability zones that get no new flows", nil, nil)
-	descReadAge       = prometheus.NewDesc("hemlock_config_read_age_seconds", "time since some process last read the configuration in the store, as far as this one has heard; -1 if never", nil, nil)
+	descEra           = prometheus.NewDesc("hemlock_store_era", "number of restores of the store from an older copy, as of the operator's orders in force", nil, nil)
+	descZones         = prometheus.NewDesc("hemlock_zones_evacuated", "evacuated availability zones, which get no new flows", nil, nil)
+	descReadAge       = prometheus.NewDesc("hemlock_config_read_age_seconds", "time since any process last read the configuration from the store, as known to this balancer; -1 if no read is known", nil, nil)
 	descOffered       = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered to agents", nil, nil)
-	descTaken         = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that an agent took", nil, nil)
-	descRefused       = prometheus.NewDesc("hemlock_offers_refused_total", "offers that an agent refused or left unanswered", []string{"reason"}, nil)
-	descResets        = prometheus.NewDesc("hemlock_flows_reset_total", "flows reset at their caller", []string{"reason"}, nil)
-	descDropped       = prometheus.NewDesc("hemlock_packets_dropped_total", "callers' packets dropped", []string{"reason"}, nil)
-	descLookups       = prometheus.NewDesc("hemlock_flows_sought_total", "flows looked for at all agents", nil, nil)
-	descFound         = prometheus.NewDesc("hemlock_flows_found_total", "flows found so", nil, nil)
-	descEvicted       = prometheus.NewDesc("hemlock_flows_evicted_total", "flows forgotten for want of use", nil, nil)
+	descTaken         = prometheus.NewDesc("hemlock_flows_taken_total", "new flows accepted by an agent", nil, nil)
+	descRefused       = prometheus.NewDesc("hemlock_offers_refused_total", "offers that an agent refused or did not answer, by reason", []string{"reason"}, nil)
+	descResets        = prometheus.NewDesc("hemlock_flows_reset_total", "resets sent to callers, by reason", []string{"reason"}, nil)
+	descDropped       = prometheus.NewDesc("hemlock_packets_dropped_total", "packets from callers dropped, by reason", []string{"reason"}, nil)
+	descLookups       = prometheus.NewDesc("hemlock_flows_sought_total", "lookups of unknown flows at agents", nil, nil)
+	descFound         = prometheus.NewDesc("hemlock_flows_found_total", "lookups that found the agent of the flow", nil, nil)
+	descEvicted       = prometheus.NewDesc("hemlock_flows_evicted_total", "flows removed from the flow table because they were idle or too old", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/internal/flowbalancer/trace_test.go
+++ b/internal/flowbalancer/trace_test.go
@@ -13,10 +13,9 @@
 	"github.com/hemlockscale/hemlockscale/flow"
 )
 
-// Symptom: a balancer's log is half about agents, and writing it takes processor time
-// when it is short.
-// Sequence: a hundred agents fall silent or start within a few milliseconds.
-// Cause: one line was written for each.
+// Guards against one log line per agent when a hundred agents start or become
+// unresponsive within a few milliseconds: half of the balancer's log would be about agents,
+// and writing it would take processor time when that is short.
 func TestChangesOfManyAgentsAreOneLine(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
 	tr := newTracer(zap.New(core), netip.AddrPort{}, nil, prometheus.NewRegistry())
@@ -30,7 +29,7 @@
 	tr.flush(now.Add(50 * time.Millisecond))
 	tr.flush(now.Add(100 * time.Millisecond))
 	if n := lines.Len(); n != 2 {
-		t.Fatalf("%d lines, want one for each kind of change", n)
+		t.Fatalf("got %d log lines, want 2, one for each kind of change", n)
 	}
 	named := map[any]bool{}
 	for _, l := range lines.All() {
@@ -44,6 +43,6 @@
 		}
 	}
 	if len(named) != agents+1 {
-		t.Errorf("%d agents are named, want all %d", len(named), agents+1)
+		t.Errorf("the log lines name %d agents, want %d", len(named), agents+1)
 	}
 }
