--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -1,10 +1,10 @@
-// Package flowagent is the agent of packet flows beside a backend server: it
-// carries out what a flow.Gate decides.
+// Package flowagent implements the agent of packet flows, the process beside a backend
+// server. It connects a flow.Gate to sockets, the store, logs and metrics.
 //
-// Its duties are goroutines: one reads balancers' messages, one reads the
-// server's packets, one ticks, one serves the server's heartbeats and one
-// introduces the process in the store. A mutex guards the Gate; what it decides
-// is copied into a duty's own output before the mutex is released.
+// Each loop runs in its own goroutine: one reads balancers' messages, one reads the
+// server's packets, one runs the Gate's timers, one serves the server's heartbeats and one
+// keeps the process registered in the store. A mutex guards the Gate; its effects are
+// copied into the output of the calling loop before the mutex is released.
 package flowagent
 
 import (
@@ -29,34 +29,35 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// Config sets up an Agent.
+// Config holds the settings and dependencies of an Agent.
 type Config struct {
 	Settings node.Settings
-	Gate     flow.GateConfig // Zone, Incarnation and Service are filled in
+	Gate     flow.GateConfig // New sets Zone, Incarnation, Service, Server, MaxAge and HeartbeatTTL
 	Codec    node.PacketCodec
 	Store    node.Store
-	// Control builds the pages that the backend server calls, and Readiness
-	// the page that routers ask.
+	// Control returns the handler of the pages that the backend server calls, Readiness
+	// the handler of readiness checks.
 	Control   func(node.ServerEvents) http.Handler
 	Readiness func(ready func() bool) http.Handler
-	// CheckServer asks the server for its status.
+	// CheckServer requests the server's status.
 	CheckServer func(ctx context.Context, server netip.AddrPort) (flow.StatusCheckResult, error)
-	Traces      *tracing.Provider // nil is off
+	Traces      *tracing.Provider // nil turns tracing off
 }
 
 const (
-	// checkTimeout bounds the status check at the start: a server that answers
-	// later will have sent a heartbeat.
+	// checkTimeout bounds the status check at the start. A server that takes longer to
+	// answer has sent a heartbeat by then.
 	checkTimeout = 500 * time.Millisecond
-	// checkDelay leaves a server that starts together with its agent the time
-	// for its first heartbeat, which makes the check needless.
+	// checkDelay is the time from the agent's start to the status check. A server that
+	// starts together with its agent sends its first heartbeat within it, which makes the
+	// check unnecessary.
 	checkDelay = 10 * time.Millisecond
-	// reuseMargin is how much earlier than the end of an address's rest the
-	// server counts as unknown.
+	// reuseMargin is how long before the end of the address reuse delay the state given by
+	// the last heartbeat expires.
 	reuseMargin = 100 * time.Millisecond
-	// invalidLogInterval is the time between two log lines on wrong heartbeats.
+	// invalidLogInterval is the minimum time between two log lines about invalid heartbeats.
 	invalidLogInterval = time.Second
-	// readHeaderTimeout bounds how long a caller of a page may take.
+	// readHeaderTimeout bounds the time in which a client must send its request header.
 	readHeaderTimeout = 5 * time.Second
 )
 
@@ -71,22 +72,22 @@
 
 	mu   sync.Mutex // guards gate and era
 	gate *flow.Gate
-	era  store.Era // of the store, as far as balancers have told
+	era  store.Era // latest store era known
 
 	registrar         *node.Registrar
 	heartbeatTime     prometheus.Histogram
 	invalidHeartbeats prometheus.Counter
 
-	eventOutput     *node.Output // used under beatMu
-	invalidLoggedAt time.Time    // when a wrong heartbeat was logged last; used under beatMu
+	eventOutput     *node.Output // guarded by eventMu
+	invalidLoggedAt time.Time    // when an invalid heartbeat was last logged; guarded by eventMu
 	eventMu         sync.Mutex
 	wakeup          chan struct{}
-	sleepUntil      atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
+	sleepUntil      atomic.Int64 // node.Now until which the timer loop sleeps, in ns
 	ctx             context.Context
 	cancel          context.CancelFunc
 }
 
-// New opens the sockets of an agent.
+// New returns an agent with open sockets.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Agent, error) {
 	s := &cfg.Settings
 	cfg.Gate.Zone = s.Zone
@@ -101,8 +102,8 @@
 		return nil, err
 	}
 	a.gate = flow.NewGate(node.Now(), cfg.Gate, newTracer(log, spans, reg))
-	a.heartbeatTime = node.NewLatency(reg, "hemlock_heartbeat_answer_seconds", "time in which a heartbeat of the server is answered")
-	a.invalidHeartbeats = prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_heartbeats_wrong_total", Help: "heartbeats that no backend server sends: fields missing or of another type, an unknown state"})
+	a.heartbeatTime = node.NewLatency(reg, "hemlock_heartbeat_answer_seconds", "time to process and answer a heartbeat of the server")
+	a.invalidHeartbeats = prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_heartbeats_wrong_total", Help: "heartbeats rejected as invalid: fields missing or of the wrong type, or an unknown state"})
 	reg.MustRegister(a.invalidHeartbeats)
 	a.addSeeds(s.Seeds)
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -132,12 +133,13 @@
 	return a, nil
 }
 
-// heartbeatTTL returns how long the server counts as ready after a heartbeat, 0 for the
+// heartbeatTTL returns how long the state given by a heartbeat stays valid; 0 means the
 // default.
 func heartbeatTTL(s *node.Settings) time.Duration { return max(s.AddressReuseDelay-reuseMargin, 0) }
 
-// addSeeds reports to the balancers that the settings name, with a.mu held.
-// They have the agent in their rosters then, whatever the store does.
+// addSeeds adds the balancers named in the settings, which then receive the agent's
+// reports and add the agent to their member lists even if the store is not available. The
+// caller holds a.mu, except in New.
 func (a *Agent) addSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		a.gate.AddBalancer(node.Now(), netip.AddrPortFrom(seed, a.cfg.Settings.InternalPort))
@@ -156,11 +158,11 @@
 func (a *Agent) Beliefs() node.Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.gate.Snapshot(node.Now())
-	return node.Snapshot{VM: a.cfg.Settings.Name, Role: node.RoleAgent, Zone: a.cfg.Settings.Zone, Agent: &now}
+	snapshot := a.gate.Snapshot(node.Now())
+	return node.Snapshot{VM: a.cfg.Settings.Name, Role: node.RoleAgent, Zone: a.cfg.Settings.Zone, Agent: &snapshot}
 }
 
-// Ready reports whether the server takes new flows.
+// Ready reports whether the server accepts new flows.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,20 +184,22 @@
 // Close implements daemon.Part.
 func (a *Agent) Close() { a.cancel() }
 
-// Drain implements daemon.Part. The platform stops an agent after its server
-// has ended; balancers learn it at once, and those that start later don't find it
-// in the store. A key that stayed for its lease held up the searches of every
-// balancer that started within 45 s, since the agent never answered.
+// Drain implements daemon.Part. The platform stops an agent after its server has ended.
+// The agent notifies the balancers at once, and removes its key from the store for those
+// that start later: if the key stayed until its lease expires, the lookups of every
+// balancer that starts within 45 s would wait for an agent that never answers.
 func (a *Agent) Drain(ctx context.Context) {
 	a.handleEvent(func(now time.Time) { a.gate.Close(now) })
 	a.registrar.Deregister(ctx)
 }
 
+// output returns an output for one loop.
 func (a *Agent) output() *node.Output {
 	return node.NewOutput(a.messages, a.cfg.Codec, a.cfg.Settings.Packets.Port(), a.cfg.Settings.Server)
 }
 
-// update runs f on the Gate and copies what it decided to out.
+// update runs f on the Gate and copies the Gate's effects to out. The timer loop is woken if
+// a timer is now due earlier.
 func (a *Agent) update(out *node.Output, f func(g *flow.Gate, now time.Time)) {
 	now := node.Now()
 	a.mu.Lock()
@@ -211,7 +215,7 @@
 	}
 }
 
-// handleEvent runs f for a call of the server, outside the packet duties.
+// handleEvent runs f, which calls the Gate, outside the packet loops and sends the effects.
 func (a *Agent) handleEvent(f func(now time.Time)) {
 	a.eventMu.Lock()
 	defer a.eventMu.Unlock()
@@ -220,15 +224,15 @@
 }
 
 // Heartbeat implements node.ServerEvents.
-func (a *Agent) Heartbeat(b flow.Heartbeat) (taken bool) {
+func (a *Agent) Heartbeat(b flow.Heartbeat) (accepted bool) {
 	start := time.Now()
 	defer func() { a.heartbeatTime.Observe(time.Since(start).Seconds()) }()
-	a.handleEvent(func(now time.Time) { taken = a.gate.Heartbeat(now, b) })
-	return taken
+	a.handleEvent(func(now time.Time) { accepted = a.gate.Heartbeat(now, b) })
+	return accepted
 }
 
-// InvalidHeartbeat implements node.ServerEvents. Whoever sends such heartbeats may
-// send many: one line a second says so, the counter tells how many there are.
+// InvalidHeartbeat implements node.ServerEvents. A program that sends invalid heartbeats
+// may send many: at most one per second is logged, and all are counted.
 func (a *Agent) InvalidHeartbeat(err error) {
 	a.invalidHeartbeats.Inc()
 	a.eventMu.Lock()
@@ -238,7 +242,7 @@
 		return
 	}
 	a.invalidLoggedAt = now
-	a.log.Warn("heartbeat of no server", zap.Error(err))
+	a.log.Warn("invalid heartbeat rejected; check which program sends it to the control address", zap.Error(err))
 }
 
 // Deregister implements node.ServerEvents.
@@ -246,7 +250,7 @@
 	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, born) })
 }
 
-// readBalancers is the duty that takes balancers' messages.
+// readBalancers is the loop that receives balancers' messages.
 func (a *Agent) readBalancers() error {
 	r, out := udp.NewReader(a.messages), a.output()
 	for {
@@ -256,7 +260,7 @@
 	}
 }
 
-// receiveBalancerBatch takes what one read brings and returns the number of messages.
+// receiveBalancerBatch reads and processes one batch of messages and returns their number.
 func (a *Agent) receiveBalancerBatch(r *udp.Reader, out *node.Output) (int, error) {
 	n, err := r.Read()
 	if err != nil {
@@ -272,6 +276,7 @@
 	return n, nil
 }
 
+// receiveMessage processes one datagram of a balancer. The caller holds a.mu.
 func (a *Agent) receiveMessage(g *flow.Gate, now time.Time, from netip.AddrPort, datagram []byte) {
 	m, packet, ok := flowframe.Decode(datagram)
 	if !ok {
@@ -287,9 +292,9 @@
 	}
 }
 
-// observeEra takes the number of the orders that a message told, with a.mu held. If it is
-// the first one of an era, the store has come back from an older copy: what lies there of
-// this agent, and of the operator, may be missing.
+// observeEra processes the number of the orders that a message carries. If it is the first
+// of a store era, the store was restored from an older copy, and this agent's key and the
+// operator's latest orders may be missing from it. The caller holds a.mu.
 func (a *Agent) observeEra(g *flow.Gate, now time.Time, number uint64) {
 	era := store.EraOf(number)
 	if era <= a.era {
@@ -300,13 +305,13 @@
 	a.registrar.ObserveVersion(number)
 }
 
-// storeRestored notes what an answer of the store told this agent itself. Balancers hear of
-// it with the agent's next messages.
+// storeRestored processes a later store era that a response of the store to the registrar
+// shows. The agent's next messages report the era to balancers.
 func (a *Agent) storeRestored(version uint64) {
 	a.handleEvent(func(now time.Time) { a.observeEra(a.gate, now, version) })
 }
 
-// readServer is the duty that takes the server's packets.
+// readServer is the loop that receives the server's packets.
 func (a *Agent) readServer() error {
 	r, out := udp.NewReader(a.server), a.output()
 	for {
@@ -332,7 +337,7 @@
 	}
 }
 
-// tick is the duty that does what is due by time alone.
+// tick is the timer loop: it runs the Gate's timers.
 func (a *Agent) tick() error {
 	out := a.output()
 	for {
@@ -363,8 +368,8 @@
 	g.Add(func() error { return a.registrar.Run(a.ctx) }, func(error) { a.cancel() })
 }
 
-// addPeers makes the balancers known that the store names, and those of the
-// settings.
+// addPeers adds the balancers registered in the store, which then receive the agent's
+// reports.
 func (a *Agent) addPeers(peers []node.Peer) {
 	a.handleEvent(func(now time.Time) {
 		for _, p := range peers {
@@ -375,8 +380,9 @@
 	})
 }
 
-// addStatusCheck asks the server for its status once, if it has not sent a heartbeat
-// by then: after a restart of the agent alone the next one may be a second away.
+// addStatusCheck adds a goroutine that checks the server's status once, if no heartbeat was
+// received within checkDelay: after a restart of the agent alone, the next heartbeat may be
+// a second away.
 func (a *Agent) addStatusCheck(g *run.Group) {
 	g.Add(func() error {
 		select {
@@ -391,13 +397,14 @@
 		ctx, cancel := context.WithTimeout(a.ctx, checkTimeout)
 		defer cancel()
 		check, err := a.cfg.CheckServer(ctx, a.cfg.Settings.Server)
-		a.log.Info("status check", zap.String("instance", check.Instance), zap.Bool("answered", check.Answered), zap.Bool("absent", check.Absent), zap.Error(err))
+		a.log.Info("server status checked", zap.String("instance", check.Instance), zap.Bool("answered", check.Answered), zap.Bool("absent", check.Absent), zap.Error(err))
 		a.handleEvent(func(now time.Time) { a.gate.StatusCheck(now, check) })
 		<-a.ctx.Done()
 		return nil
 	}, func(error) { a.cancel() })
 }
 
+// serverKnown reports whether the server's state is known.
 func (a *Agent) serverKnown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/flowagent/relay_bench_test.go
+++ b/internal/flowagent/relay_bench_test.go
@@ -22,9 +22,9 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// BenchmarkRelay compares the agent's way of a caller's packet (batch read,
+// BenchmarkRelay compares the agent's path of a caller's packet (batch read,
 // frame, header, Gate, batch write to the server) with a bare loop that writes
-// what it read.
+// the packets it reads.
 func BenchmarkRelay(b *testing.B) {
 	for _, size := range []int{100, 1200} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchRelay(b, size) })
@@ -57,7 +57,7 @@
 
 type benchAgent struct{ *Agent }
 
-// newBenchAgent returns an agent beside a server that takes packets at server.
+// newBenchAgent returns an agent whose server receives packets at the given address.
 func newBenchAgent(b *testing.B, server netip.AddrPort) benchAgent {
 	b.Helper()
 	a, err := New(Config{
@@ -78,12 +78,13 @@
 	return benchAgent{a}
 }
 
-// receiveFromServer has the agent see a packet that the server sends on a flow.
+// receiveFromServer processes a packet of a flow from the server, which makes the agent
+// record that the server holds the flow.
 func (a benchAgent) receiveFromServer(b *testing.B, packet []byte) {
 	b.Helper()
 	s, ok := a.cfg.Codec.FromServer(packet)
 	if !ok {
-		b.Fatal("not a server's packet")
+		b.Fatal("the codec does not decode the server's packet")
 	}
 	a.gate.FromServer(node.Now(), s, packet)
 	a.gate.Effects()
--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -11,7 +11,8 @@
 	"github.com/hemlockscale/hemlockscale/internal/node"
 )
 
-// tracer writes a log line for each decision, and records times and spans.
+// tracer implements flow.GateTracer: it logs the Gate's decisions and records latencies and
+// spans.
 type tracer struct {
 	log        *zap.Logger
 	spans      *node.Spans
@@ -22,7 +23,7 @@
 func newTracer(log *zap.Logger, spans *node.Spans, reg prometheus.Registerer) *tracer {
 	return &tracer{
 		log: log, spans: spans, readiness: node.NewReadiness(reg),
-		answerTime: node.NewLatency(reg, "hemlock_first_answer_seconds", "time from a flow's first packet at the agent until its server answered"),
+		answerTime: node.NewLatency(reg, "hemlock_first_answer_seconds", "time from the arrival of a flow's first packet at the agent until the server's answer"),
 	}
 }
 
@@ -31,7 +32,7 @@
 	t.log.Info("flow refused", node.FlowField(key), zap.Stringer("reason", reason), zap.Stringer("state", state), zap.Int("requests", requests))
 }
 
-// Answered implements flow.GateTracer. The line of a flow is that of Opened.
+// Answered implements flow.GateTracer. It logs nothing, since Opened logs the flow.
 func (t *tracer) Answered(_ time.Time, _ flow.ID, after time.Duration, _ int) {
 	t.answerTime.Observe(after.Seconds())
 }
@@ -60,14 +61,15 @@
 
 // Instance implements flow.GateTracer.
 func (t *tracer) Instance(_ time.Time, instance string, sequence uint64, complete bool) {
-	t.log.Info("server instance", zap.String("instance", instance), zap.Uint64("sequence", sequence), zap.Bool("complete", complete))
+	t.log.Info("new server instance", zap.String("instance", instance), zap.Uint64("sequence", sequence), zap.Bool("complete", complete))
 }
 
 // OldHeartbeat implements flow.GateTracer.
 func (t *tracer) OldHeartbeat(_ time.Time, instance string, sequence uint64) {
-	t.log.Info("old heartbeat", zap.String("instance", instance), zap.Uint64("sequence", sequence))
+	t.log.Info("outdated heartbeat ignored", zap.String("instance", instance), zap.Uint64("sequence", sequence))
 }
 
+// registerMetrics registers the Gate's gauges and counters with reg.
 func registerMetrics(reg prometheus.Registerer, a *Agent) {
 	reg.MustRegister(&collector{a: a})
 }
@@ -75,22 +77,22 @@
 type collector struct{ a *Agent }
 
 var (
-	descFlows           = prometheus.NewDesc("hemlock_flows", "flows remembered", nil, nil)
-	descRequests        = prometheus.NewDesc("hemlock_requests", "requests being worked on", nil, nil)
-	descState           = prometheus.NewDesc("hemlock_server_state", "1 for what is believed about the server", []string{"state"}, nil)
+	descFlows           = prometheus.NewDesc("hemlock_flows", "flows in the agent's flow table", nil, nil)
+	descRequests        = prometheus.NewDesc("hemlock_requests", "requests in progress on the server", nil, nil)
+	descState           = prometheus.NewDesc("hemlock_server_state", "1 for the current state of the server as known to the agent", []string{"state"}, nil)
 	descHeartbeatAge    = prometheus.NewDesc("hemlock_heartbeat_age_seconds", "time since the server's last heartbeat; -1 if there was none", nil, nil)
-	descBalancers       = prometheus.NewDesc("hemlock_balancers", "balancers reported to", nil, nil)
+	descBalancers       = prometheus.NewDesc("hemlock_balancers", "balancers that receive the agent's reports", nil, nil)
 	descOffered         = prometheus.NewDesc("hemlock_flows_offered_total", "new flows offered by balancers", nil, nil)
-	descTaken           = prometheus.NewDesc("hemlock_flows_taken_total", "new flows that the server answered", nil, nil)
-	descRefused         = prometheus.NewDesc("hemlock_flows_refused_total", "new flows refused", []string{"reason"}, nil)
-	descNotHeld         = prometheus.NewDesc("hemlock_packets_not_held_total", "packets of flows that are not here", nil, nil)
+	descTaken           = prometheus.NewDesc("hemlock_flows_taken_total", "new flows whose first packet the server answered", nil, nil)
+	descRefused         = prometheus.NewDesc("hemlock_flows_refused_total", "new flows refused, by reason", []string{"reason"}, nil)
+	descNotHeld         = prometheus.NewDesc("hemlock_packets_not_held_total", "packets of flows that the server does not hold", nil, nil)
 	descLost            = prometheus.NewDesc("hemlock_packets_lost_flow_total", "packets of flows that the server has lost", nil, nil)
-	descImplausiblyFast = prometheus.NewDesc("hemlock_answers_hasty_total", "answers of the server in far less time than usual, taken as failures", nil, nil)
-	descToServer        = prometheus.NewDesc("hemlock_packets_to_server_total", "packets passed to the server", nil, nil)
-	descToCaller        = prometheus.NewDesc("hemlock_packets_to_caller_total", "packets passed to callers", nil, nil)
-	descHeartbeats      = prometheus.NewDesc("hemlock_heartbeats_total", "heartbeats of the server", nil, nil)
-	descOldHeartbeats   = prometheus.NewDesc("hemlock_heartbeats_old_total", "heartbeats not acted on because newer is known", nil, nil)
-	descDropped         = prometheus.NewDesc("hemlock_packets_dropped_total", "packets without a place in a bounded table", nil, nil)
+	descImplausiblyFast = prometheus.NewDesc("hemlock_answers_hasty_total", "implausibly fast answers of the server, which count as failures", nil, nil)
+	descToServer        = prometheus.NewDesc("hemlock_packets_to_server_total", "packets forwarded to the server", nil, nil)
+	descToCaller        = prometheus.NewDesc("hemlock_packets_to_caller_total", "packets forwarded to callers", nil, nil)
+	descHeartbeats      = prometheus.NewDesc("hemlock_heartbeats_total", "heartbeats received from the server, including those that were ignored", nil, nil)
+	descOldHeartbeats   = prometheus.NewDesc("hemlock_heartbeats_old_total", "heartbeats ignored as outdated or from another server", nil, nil)
+	descDropped         = prometheus.NewDesc("hemlock_packets_dropped_total", "packets dropped because a bounded table was full or the server was not known yet", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
