--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the entry process: it forwards callers' packets to
-// agents by the connection ID alone and keeps no state per flow.
+// Package balancer implements the balancer, the process that receives callers' packets. It
+// forwards them to agents by the connection ID alone and keeps no state per flow.
 package balancer
 
 import (
@@ -24,20 +24,20 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Config is the settings of a balancer.
+// Config holds the settings of a balancer.
 type Config struct {
-	Public   netip.AddrPort // wildcard address and the port that callers use
-	Internal netip.AddrPort // IPv4 address of the internal socket, as other processes reach it
+	Public   netip.AddrPort // wildcard address with the port that callers use
+	Internal netip.AddrPort // IPv4 address of the internal socket, at which other processes reach it
 	Zone     string         // availability zone
 	Region   string
 	Keys     fleetkey.Ring
 	Seeds    []netip.AddrPort // other balancers' internal addresses
 	Store    store.Interface  // the platform's store
-	Linger   time.Duration    // how long a balancer that leaves goes on forwarding
-	// Retention is how long agents that vanished are named to those that ask
-	// who votes on idempotency keys; 0 is idempotency.DefaultRetention.
+	Linger   time.Duration    // how long a draining balancer continues to forward
+	// Retention is how long failed and departed agents are listed in responses to
+	// requests for the voters on idempotency keys; 0 means idempotency.DefaultRetention.
 	Retention time.Duration
-	Traces    *tracing.Provider // nil is off
+	Traces    *tracing.Provider // nil turns tracing off
 }
 
 // Balancer is one balancer. Its lifecycle is New, Run, Drain, Close.
@@ -49,8 +49,8 @@
 	data        *dataplane
 	placer      *placer
 	addresses   *addresses
-	digest      atomic.Pointer[catalogue.Digest] // of the catalogue in force, nil for none
-	usesInterim atomic.Bool                      // agents' entries are in force, for want of the catalogue
+	digest      atomic.Pointer[catalogue.Digest] // of the catalogue in force; nil if none is
+	usesInterim atomic.Bool                      // agents' copies of their entries are in force because the catalogue is not available
 	bulk        *bulk.Port
 	metrics     *metrics
 	reg         prometheus.Registerer
@@ -63,7 +63,7 @@
 	closeOnce sync.Once
 }
 
-// New checks the settings and opens the balancer's sockets.
+// New returns a balancer with open sockets.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Balancer, error) {
 	public, err := udp.Listen(cfg.Public)
 	if err != nil {
@@ -86,14 +86,15 @@
 		reg:       reg,
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	if err := b.connectParts(); err != nil {
+	if err := b.createParts(); err != nil {
 		b.Close()
 		return nil, err
 	}
 	return b, nil
 }
 
-func (b *Balancer) connectParts() error {
+// createParts creates the data plane, the control loop and the bulk port.
+func (b *Balancer) createParts() error {
 	f, err := NewForwarder(b.cfg.Keys, b.addresses, b.placer, b.cfg.Internal)
 	if err != nil {
 		return err
@@ -112,13 +113,13 @@
 	return err
 }
 
-// Public returns the socket's address that callers use.
+// Public returns the address of the public socket, which callers use.
 func (b *Balancer) Public() netip.AddrPort { return b.cfg.Public }
 
-// Internal returns the address that other processes use.
+// Internal returns the address of the internal socket, which other processes use.
 func (b *Balancer) Internal() netip.AddrPort { return b.cfg.Internal }
 
-// Revision returns the catalogue revision in force, 0 for none.
+// Revision returns the catalogue revision in force, or 0 if there is none.
 func (b *Balancer) Revision() uint64 {
 	if d := b.digest.Load(); d != nil {
 		return d.Revision
@@ -126,13 +127,14 @@
 	return 0
 }
 
-// Ready reports whether the balancer knows the catalogue, or at least the
-// entries of agents.
+// Ready reports whether the balancer has the catalogue or, without it, an agent's copy of a
+// catalogue entry.
 func (b *Balancer) Ready() bool { return b.digest.Load() != nil || b.usesInterim.Load() }
 
-// AgentsReady returns how many agents take new flows.
+// AgentsReady returns the number of agents that accept new flows.
 func (b *Balancer) AgentsReady() int { return int(b.agentsReady.Load()) }
 
+// setState makes the control loop announce a new state of this balancer.
 func (b *Balancer) setState(s membership.State) {
 	select {
 	case b.control.stateChanges <- s:
@@ -140,7 +142,7 @@
 	}
 }
 
-// Run does the balancer's duties until Close.
+// Run runs the balancer's loops until Close.
 func (b *Balancer) Run() error {
 	var g run.Group
 	stop := func(error) { b.Close() }
@@ -154,8 +156,8 @@
 	return g.Run()
 }
 
-// Drain announces that the balancer leaves and goes on forwarding for
-// Config.Linger, in which the fabric stops handing it packets.
+// Drain announces that the balancer leaves and continues to forward for Config.Linger, in
+// which the fabric stops sending it packets.
 func (b *Balancer) Drain(ctx context.Context) {
 	b.setState(membership.StateLeaving)
 	select {
@@ -164,7 +166,7 @@
 	}
 }
 
-// Close ends the balancer at once.
+// Close stops the balancer at once.
 func (b *Balancer) Close() {
 	b.closeOnce.Do(func() {
 		b.cancel()
@@ -176,7 +178,7 @@
 	})
 }
 
-// Status is what the admin page /catalogue tells.
+// Status is the response of the admin page /catalogue.
 type Status struct {
 	Node     string `json:"node"`
 	Role     string `json:"role"`
@@ -185,7 +187,7 @@
 	Checksum string `json:"checksum"`
 }
 
-// ServeStatus answers the admin page /catalogue.
+// ServeStatus serves the admin page /catalogue.
 func (b *Balancer) ServeStatus(w http.ResponseWriter, _ *http.Request) {
 	s := Status{Node: b.cfg.Internal.String(), Role: "balancer", Zone: b.cfg.Zone}
 	if d := b.digest.Load(); d != nil {
--- a/internal/balancer/catalogue.go
+++ b/internal/balancer/catalogue.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// publishInterval is the least time between two tables of addresses. A
-	// table is built from the whole catalogue; a bulk edit of thousands of
-	// entries would else build as many.
+	// publishInterval is the minimum time between two builds of the address table. Each
+	// build reads the whole catalogue, and a bulk edit of thousands of entries would
+	// otherwise cause as many builds.
 	publishInterval = 50 * time.Millisecond
-	// bulkPortOffset is added to the port of the internal address: the bulk
-	// socket of every balancer is found without being announced first.
+	// bulkPortOffset is the distance of the bulk port from the internal port. It is fixed,
+	// so that the bulk port of a balancer is known before its announcement arrives.
 	bulkPortOffset = 1
-	// maxBulkResults is how many finished transfers may wait for the control
-	// duty; at most one of each kind is under way.
+	// maxBulkResults is the number of finished transfers that may wait for the control
+	// loop; at most one transfer of each kind is in progress.
 	maxBulkResults = 2
 )
 
-// bulkResult is a finished transfer from a peer.
+// bulkResult is the result of a bulk transfer from another balancer.
 type bulkResult struct {
 	from      netip.AddrPort
 	kind      bulk.Kind
@@ -38,19 +38,20 @@
 	err       error
 }
 
-// bulkRequest is a peer's request, answered by the control duty, which alone
-// reads the state.
+// bulkRequest is another balancer's request for a bulk transfer. The control loop answers
+// it, since no other goroutine may read the state.
 type bulkRequest struct {
 	kind    bulk.Kind
 	request []byte
 	reply   chan func(io.Writer) error
 }
 
+// bulkAddr returns the bulk address of the balancer with the given internal address.
 func bulkAddr(internal netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(internal.Addr(), internal.Port()+bulkPortOffset)
 }
 
-// serveBulk is the handler of the bulk port.
+// serveBulk handles a request on the bulk port.
 func (b *Balancer) serveBulk(ctx context.Context, kind bulk.Kind, request []byte, w io.Writer) error {
 	q := bulkRequest{kind: kind, request: request, reply: make(chan func(io.Writer) error, 1)}
 	select {
@@ -68,9 +69,9 @@
 	}
 }
 
-// replyBulk copies the state asked for, to be written by the asker's own
-// goroutine.
-func (d *controlLoop) replyBulk(q bulkRequest) {
+// replyBulk answers a bulk request with a function that writes a copy of the requested
+// state. The goroutine of the request's connection calls it.
+func (l *controlLoop) replyBulk(q bulkRequest) {
 	switch q.kind {
 	case bulk.KindCatalogue:
 		var have catalogue.Digest
@@ -78,9 +79,9 @@
 			q.reply <- func(io.Writer) error { return err }
 			return
 		}
-		q.reply <- d.replica.Bulk(have).Write
+		q.reply <- l.replica.Bulk(have).Write
 	case bulk.KindRoster:
-		all, err := d.machine.EncodeAll()
+		all, err := l.machine.EncodeAll()
 		q.reply <- func(w io.Writer) error {
 			if err == nil {
 				_, err = w.Write(all)
@@ -92,21 +93,22 @@
 	}
 }
 
-// fetchBulk starts the transfers that the state machines ask for.
-func (d *controlLoop) fetchBulk(ctx context.Context) {
-	if peer, ok := d.replica.BulkSource(); ok {
-		request, err := cbor.Marshal(d.replica.Digest())
+// fetchBulk starts the bulk transfers that the replica and the membership machine request.
+func (l *controlLoop) fetchBulk(ctx context.Context) {
+	if peer, ok := l.replica.BulkSource(); ok {
+		request, err := cbor.Marshal(l.replica.Digest())
 		if err == nil {
-			go d.fetch(ctx, bulkResult{from: peer, kind: bulk.KindCatalogue}, request)
+			go l.fetch(ctx, bulkResult{from: peer, kind: bulk.KindCatalogue}, request)
 		}
 	}
-	if peer, ok := d.machine.BulkSource(); ok {
-		go d.fetch(ctx, bulkResult{from: peer.Addr, kind: bulk.KindRoster}, nil)
+	if peer, ok := l.machine.BulkSource(); ok {
+		go l.fetch(ctx, bulkResult{from: peer.Addr, kind: bulk.KindRoster}, nil)
 	}
 }
 
-func (d *controlLoop) fetch(ctx context.Context, a bulkResult, request []byte) {
-	a.err = d.b.bulk.Fetch(ctx, bulkAddr(a.from), a.kind, request, func(r io.Reader) (err error) {
+// fetch makes one bulk transfer and passes its result to the control loop.
+func (l *controlLoop) fetch(ctx context.Context, a bulkResult, request []byte) {
+	a.err = l.b.bulk.Fetch(ctx, bulkAddr(a.from), a.kind, request, func(r io.Reader) (err error) {
 		if a.kind == bulk.KindCatalogue {
 			a.catalogue, err = catalogue.ReadBulk(r)
 			return err
@@ -118,68 +120,69 @@
 		return err
 	})
 	select {
-	case d.bulkResults <- a:
+	case l.bulkResults <- a:
 	case <-ctx.Done():
 	}
 }
 
-func (d *controlLoop) applyBulk(now time.Time, a bulkResult) {
+// applyBulk applies the result of a bulk transfer.
+func (l *controlLoop) applyBulk(now time.Time, a bulkResult) {
 	if a.err != nil {
-		d.b.log.Warn("bulk transfer failed", zap.Stringer("from", a.from), zap.Error(a.err))
+		l.b.log.Warn("bulk transfer from another balancer failed", zap.Stringer("from", a.from), zap.Error(a.err))
 		if a.kind == bulk.KindCatalogue {
-			d.replica.BulkFailed()
+			l.replica.BulkFailed()
 		}
 		return
 	}
 	if a.kind == bulk.KindRoster {
-		d.machine.MergeAll(now, a.records)
+		l.machine.MergeAll(now, a.records)
 		return
 	}
-	if err := d.replica.ReceiveBulk(now, a.from, a.catalogue); err != nil {
-		d.b.log.Info("bulk transfer brought nothing", zap.Stringer("from", a.from), zap.Error(err))
+	if err := l.replica.ReceiveBulk(now, a.from, a.catalogue); err != nil {
+		l.b.log.Info("bulk transfer of the catalogue not applied", zap.Stringer("from", a.from), zap.Error(err))
 	}
 }
 
-// receiveCatalogue takes in a message of another replica or of an agent.
-func (d *controlLoop) receiveCatalogue(now time.Time, from netip.AddrPort, b []byte) {
+// receiveCatalogue processes a catalogue message of another balancer or of an agent.
+func (l *controlLoop) receiveCatalogue(now time.Time, from netip.AddrPort, b []byte) {
 	m, err := catalogue.DecodeMessage(b)
 	if err != nil {
-		d.b.metrics.controlRejected.Inc()
+		l.b.metrics.controlRejected.Inc()
 		return
 	}
-	d.replica.Receive(now, from, m)
-	if d.replica.Digest().Revision == 0 && d.interim.Receive(m) {
-		d.b.addresses.table.Store(d.interim.Table())
-		d.b.usesInterim.Store(true)
-		d.machine.SetState(now, membership.StateReady)
-		d.b.log.Warn("an agent's entry in force, for want of the catalogue", zap.String("service", m.Reply.Service))
+	l.replica.Receive(now, from, m)
+	if l.replica.Digest().Revision == 0 && l.interim.Receive(m) {
+		l.b.addresses.table.Store(l.interim.Table())
+		l.b.usesInterim.Store(true)
+		l.machine.SetState(now, membership.StateReady)
+		l.b.log.Warn("catalogue not available; an agent's copy of its entry is in force", zap.String("service", m.Reply.Service))
 	}
 }
 
-// updateCatalogue sends what the replica wants sent and puts its state in force.
-func (d *controlLoop) updateCatalogue() {
-	for _, p := range d.replica.Outgoing() {
-		d.link.SendBytes(seal.TopicCatalogue, p.To, p.Message.Encode())
+// updateCatalogue sends the replica's outgoing messages and puts its state in force.
+func (l *controlLoop) updateCatalogue() {
+	for _, p := range l.replica.Outgoing() {
+		l.link.SendBytes(seal.TopicCatalogue, p.To, p.Message.Encode())
 	}
 	now := time.Now()
-	if now.Sub(d.publishedAt) < publishInterval {
-		return // the next tick publishes
+	if now.Sub(l.publishedAt) < publishInterval {
+		return // published at a later tick
 	}
-	digest := d.replica.Digest()
-	old := d.b.digest.Load()
+	digest := l.replica.Digest()
+	old := l.b.digest.Load()
 	if old != nil && old.Revision == digest.Revision && old.Checksum == digest.Checksum {
 		return
 	}
 	if digest.Revision == 0 {
 		return
 	}
-	d.publishedAt = now
-	d.b.digest.Store(&digest)
-	d.interim = catalogue.Interim{}
-	d.b.addresses.table.Store(d.replica.Table())
-	d.b.metrics.revision.Set(float64(digest.Revision))
-	d.b.log.Info("catalogue in force", zap.Uint64("revision", digest.Revision), zap.Stringer("checksum", digest.Checksum))
+	l.publishedAt = now
+	l.b.digest.Store(&digest)
+	l.interim = catalogue.Interim{}
+	l.b.addresses.table.Store(l.replica.Table())
+	l.b.metrics.revision.Set(float64(digest.Revision))
+	l.b.log.Info("catalogue in force", zap.Uint64("revision", digest.Revision), zap.Stringer("checksum", digest.Checksum))
 	if old == nil {
-		d.machine.SetState(now, membership.StateReady)
+		l.machine.SetState(now, membership.StateReady)
 	}
 }
--- a/internal/balancer/clock.go
+++ b/internal/balancer/clock.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// batchClock holds the time of the batch of packets at work. Reading the
-// system's clock for each packet costs a fifth of the decision on a first
-// packet, and beliefs about load are kept in steps of 10 ms.
+// batchClock holds the time at which the current batch of packets was read. Reading the
+// system clock for each packet costs a fifth of the decision on a first packet, and
+// occupancy estimates have a resolution of 10 ms.
 type batchClock struct {
 	nanos atomic.Int64 // since the Unix epoch; 0 before the first batch
 }
 
-// update reads the system's clock. A duty calls it once for each batch.
+// update reads the system clock. The receive loops call it once for each batch.
 func (c *batchClock) update() { c.nanos.Store(time.Now().UnixNano()) }
 
+// now returns the time of the latest batch, or the current time before the first one.
 func (c *batchClock) now() time.Time {
 	n := c.nanos.Load()
 	if n == 0 {
--- a/internal/balancer/controlloop.go
+++ b/internal/balancer/controlloop.go
@@ -16,31 +16,32 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
+// controlTick is the time between two timer runs of the control loop.
 const controlTick = 100 * time.Millisecond
 
-// controlLoop is the control controlLoop: it keeps the roster and the catalogue, and answers
-// agents and other balancers. One goroutine runs it.
+// controlLoop maintains the member list and the catalogue, and answers agents and other
+// balancers. One goroutine runs it.
 type controlLoop struct {
 	b            *Balancer
 	link         *control.Link
 	machine      *membership.Machine
 	replica      *catalogue.Replica
 	follower     *catalogue.Follower
-	interim      catalogue.Interim // agents' entries, while the replica has nothing
+	interim      catalogue.Interim // agents' copies of their entries, used while the replica is empty
 	slots        *membership.Slots
 	storeCalls   *catalogueCalls
 	contacts     *contact.Caller
 	rng          *rand.Rand
 	peers        *peerSet
-	placedAgents map[netip.AddrPort]struct{} // agents that take new flows
+	placedAgents map[netip.AddrPort]struct{} // agents that accept new flows
 	voters       *voters
 
 	stateChanges   chan membership.State
 	bulkRequests   chan bulkRequest
 	bulkResults    chan bulkResult
-	publishedAt    time.Time // when the catalogue was put in force last
-	followingStore bool      // the catalogue in the store
-	contactSeeds   int       // contacts from the store among the machine's seeds
+	publishedAt    time.Time // when the catalogue was last put in force
+	followingStore bool      // whether this balancer follows the catalogue in the store
+	contactSeeds   int       // number of contacts from the store among the machine's seeds
 }
 
 func newControlLoop(b *Balancer) (*controlLoop, error) {
@@ -50,7 +51,7 @@
 	}
 	link.Sent = func(n int) { b.metrics.controlSent.Add(float64(n)) }
 	now := time.Now()
-	d := &controlLoop{
+	l := &controlLoop{
 		b:            b,
 		link:         link,
 		storeCalls:   newCatalogueCalls(b.cfg.Store),
@@ -62,11 +63,11 @@
 		bulkRequests: make(chan bulkRequest),
 		bulkResults:  make(chan bulkResult, maxBulkResults),
 	}
-	d.peers = newPeerSet(b.cfg.Internal, b.cfg.Seeds, d.rng)
-	d.replica = catalogue.NewReplica(catalogue.ReplicaConfig{Peers: d.peers.sample})
-	d.follower = catalogue.NewFollower(catalogue.FollowerConfig{Rand: d.rng}, d.replica)
+	l.peers = newPeerSet(b.cfg.Internal, b.cfg.Seeds, l.rng)
+	l.replica = catalogue.NewReplica(catalogue.ReplicaConfig{Peers: l.peers.sample})
+	l.follower = catalogue.NewFollower(catalogue.FollowerConfig{Rand: l.rng}, l.replica)
 	incarnation := uint64(now.UnixNano())
-	d.machine, err = membership.NewMachine(membership.Config{
+	l.machine, err = membership.NewMachine(membership.Config{
 		Self: membership.Record{
 			Addr:        b.cfg.Internal,
 			Role:        membership.RoleBalancer,
@@ -78,195 +79,201 @@
 			Region:      b.cfg.Region,
 		},
 		Seeds:        b.cfg.Seeds,
-		Seed:         d.rng.Uint64(),
-		EntryVersion: d.entryVersion,
+		Seed:         l.rng.Uint64(),
+		EntryVersion: l.entryVersion,
 	})
 	if err != nil {
 		return nil, err
 	}
-	d.slots = membership.NewSlots(now, membership.SlotsConfig{
+	l.slots = membership.NewSlots(now, membership.SlotsConfig{
 		Zone:        b.cfg.Zone,
 		Self:        b.cfg.Internal,
 		Incarnation: incarnation,
 		ClaimsSlots: true,
-		Seed:        d.rng.Uint64(),
-		Candidate:   d.machine.SlotCandidate,
+		Seed:        l.rng.Uint64(),
+		Candidate:   l.machine.SlotCandidate,
 	})
-	return d, nil
+	return l, nil
 }
 
-// entryVersion is what acks tell agents of their catalogue entry.
-func (d *controlLoop) entryVersion(service uint32) uint64 {
-	if d.replica.Digest().Revision == 0 {
+// entryVersion returns the version of a service's catalogue entry, which acks carry to the
+// service's agents.
+func (l *controlLoop) entryVersion(service uint32) uint64 {
+	if l.replica.Digest().Revision == 0 {
 		return control.NoCatalogue
 	}
-	e, ok := d.replica.Catalogue().EntryByNumber(service)
+	e, ok := l.replica.Catalogue().EntryByNumber(service)
 	if !ok {
 		return control.NoEntry
 	}
 	return e.Version
 }
 
-func (d *controlLoop) run(ctx context.Context) {
+// run is the control loop; it returns when ctx ends.
+func (l *controlLoop) run(ctx context.Context) {
 	tick := time.NewTicker(controlTick)
 	defer tick.Stop()
 	for {
 		select {
-		case m := <-d.b.data.control:
-			d.receive(time.Now(), m)
-		case s := <-d.stateChanges:
-			d.machine.SetState(time.Now(), s)
-		case r := <-d.storeCalls.results:
-			d.follower.Done(time.Now(), r)
-		case r := <-d.contacts.Results:
-			d.slots.Done(time.Now(), d.contacts.Done(r))
-		case q := <-d.bulkRequests:
-			d.replyBulk(q)
-		case a := <-d.bulkResults:
-			d.applyBulk(time.Now(), a)
+		case m := <-l.b.data.control:
+			l.receive(time.Now(), m)
+		case s := <-l.stateChanges:
+			l.machine.SetState(time.Now(), s)
+		case r := <-l.storeCalls.results:
+			l.follower.Done(time.Now(), r)
+		case r := <-l.contacts.Results:
+			l.slots.Done(time.Now(), l.contacts.Done(r))
+		case q := <-l.bulkRequests:
+			l.replyBulk(q)
+		case a := <-l.bulkResults:
+			l.applyBulk(time.Now(), a)
 		case now := <-tick.C:
-			d.machine.Tick(now)
-			d.replica.Tick(now)
-			d.followingStore = d.shouldFollowStore(now)
+			l.machine.Tick(now)
+			l.replica.Tick(now)
+			l.followingStore = l.shouldFollowStore(now)
 		case <-ctx.Done():
 			return
 		}
-		d.callStore(ctx, time.Now())
-		d.fetchBulk(ctx)
-		d.applyMemberChanges()
-		d.updateCatalogue()
-		d.sendMembership()
+		l.callStore(ctx, time.Now())
+		l.fetchBulk(ctx)
+		l.applyMemberChanges()
+		l.updateCatalogue()
+		l.sendMembership()
 	}
 }
 
-// shouldFollowStore reports whether this balancer follows the catalogue in the
-// store. Those that hold a contact slot or would take an empty one do, a few in
-// each availability zone; all others have it from balancers, so that the
-// store's calls grow with zones and not with the fleet.
+// shouldFollowStore reports whether this balancer follows the catalogue in the store. The
+// balancers that hold a contact slot or are candidates for an empty one do, a few in each
+// availability zone. All others get the catalogue from balancers, so that the number of
+// calls of the store grows with the zones and not with the fleet.
 //
-// Holding alone would not do: in an outage of the store all leases lapse, slots
-// are taken again only after a backoff of up to a minute, and until then an
-// edit would be in force nowhere though the store answers again.
-func (d *controlLoop) shouldFollowStore(now time.Time) bool {
-	_, holds := d.slots.HeldSlot(now)
-	return holds || d.machine.SlotCandidate()
+// Holding a slot can't be the only condition: in an outage of the store all leases expire,
+// slots are claimed again only after a backoff of up to a minute, and until then no balancer
+// would put an edit in force although the store answers again.
+func (l *controlLoop) shouldFollowStore(now time.Time) bool {
+	_, holds := l.slots.HeldSlot(now)
+	return holds || l.machine.SlotCandidate()
 }
 
-// callStore makes the calls to the platform's store that are due.
-func (d *controlLoop) callStore(ctx context.Context, now time.Time) {
-	if call, ok := d.slots.Next(now); ok {
-		d.contacts.Make(ctx, call)
+// callStore starts the calls of the platform's store that are due.
+func (l *controlLoop) callStore(ctx context.Context, now time.Time) {
+	if call, ok := l.slots.Next(now); ok {
+		l.contacts.Make(ctx, call)
 	}
-	if d.followingStore {
-		d.storeCalls.make(ctx, d.follower.Next(now))
+	if l.followingStore {
+		l.storeCalls.make(ctx, l.follower.Next(now))
 	}
-	if contacts := d.slots.Contacts(); len(contacts) != d.contactSeeds {
-		d.contactSeeds = len(contacts)
-		seeds := append(contacts, d.b.cfg.Seeds...)
-		d.machine.SetSeeds(seeds)
-		d.peers.setSeeds(seeds)
+	if contacts := l.slots.Contacts(); len(contacts) != l.contactSeeds {
+		l.contactSeeds = len(contacts)
+		seeds := append(contacts, l.b.cfg.Seeds...)
+		l.machine.SetSeeds(seeds)
+		l.peers.setSeeds(seeds)
 	}
 }
 
-func (d *controlLoop) receive(now time.Time, m control.Datagram) {
-	d.b.metrics.controlReceived.Add(float64(len(m.Data)))
-	topic, b, ok := d.link.Open(m)
+// receive processes one control datagram.
+func (l *controlLoop) receive(now time.Time, m control.Datagram) {
+	l.b.metrics.controlReceived.Add(float64(len(m.Data)))
+	topic, b, ok := l.link.Open(m)
 	if !ok {
-		d.b.metrics.controlRejected.Inc()
+		l.b.metrics.controlRejected.Inc()
 		return
 	}
 	switch topic {
 	case seal.TopicMembership:
 		msg, err := membership.Decode(b)
 		if err != nil {
-			d.b.metrics.controlRejected.Inc()
+			l.b.metrics.controlRejected.Inc()
 			return
 		}
-		d.machine.Receive(now, m.From, msg)
+		l.machine.Receive(now, m.From, msg)
 	case seal.TopicCatalogue:
-		d.receiveCatalogue(now, m.From, b)
+		l.receiveCatalogue(now, m.From, b)
 	case seal.TopicRoster:
-		d.sendVoters(now, m.From, b)
+		l.sendVoters(now, m.From, b)
 	case seal.TopicTrace:
-		if !d.b.data.forwarder.traces.receiveClaim(b) {
-			d.b.metrics.controlRejected.Inc()
+		if !l.b.data.forwarder.traces.receiveClaim(b) {
+			l.b.metrics.controlRejected.Inc()
 		}
 	default:
-		d.b.metrics.controlRejected.Inc()
+		l.b.metrics.controlRejected.Inc()
 	}
 }
 
-// applyMemberChanges puts changes of the roster in force for new flows.
-func (d *controlLoop) applyMemberChanges() {
-	for _, c := range d.machine.Changes() {
+// applyMemberChanges applies changes of the member list to placement, voters and peers.
+func (l *controlLoop) applyMemberChanges() {
+	for _, c := range l.machine.Changes() {
 		switch c.Kind {
 		case membership.ChangeZone:
-			d.applyZone(c.Zone, c.Reachable)
+			l.applyZone(c.Zone, c.Reachable)
 		case membership.ChangeRemove:
-			d.b.data.forwarder.sequences.remove(c.Record.Addr)
-			d.updatePlacement(&c.Record, false)
-			d.updateVoter(&c.Record, true)
-			d.updatePeer(&c.Record, true)
+			l.b.data.forwarder.sequences.remove(c.Record.Addr)
+			l.updatePlacement(&c.Record, false)
+			l.updateVoter(&c.Record, true)
+			l.updatePeer(&c.Record, true)
 		case membership.ChangeRecord:
-			d.updatePlacement(&c.Record, c.Record.TakesWork())
-			d.updateVoter(&c.Record, false)
-			d.updatePeer(&c.Record, false)
+			l.updatePlacement(&c.Record, c.Record.TakesWork())
+			l.updateVoter(&c.Record, false)
+			l.updatePeer(&c.Record, false)
 		}
 	}
 }
 
-// applyZone takes the agents of a whole availability zone out of placement, or
-// puts those back that take work.
-func (d *controlLoop) applyZone(zone string, reachable bool) {
-	d.b.log.Info("availability zone", zap.String("zone", zone), zap.Bool("reachable", reachable))
-	for r := range d.machine.Records() {
+// applyZone excludes all agents of an availability zone from placement, or includes those
+// again that take work.
+func (l *controlLoop) applyZone(zone string, reachable bool) {
+	l.b.log.Info("availability zone reachability changed", zap.String("zone", zone), zap.Bool("reachable", reachable))
+	for r := range l.machine.Records() {
 		if r.Zone == zone {
-			d.updatePlacement(&r, reachable && r.TakesWork())
+			l.updatePlacement(&r, reachable && r.TakesWork())
 		}
 	}
 }
 
-// updatePeer keeps the balancers that the catalogue spreads to.
-func (d *controlLoop) updatePeer(r *membership.Record, forgotten bool) {
+// updatePeer updates the set of balancers to which catalogue messages are sent.
+func (l *controlLoop) updatePeer(r *membership.Record, removed bool) {
 	if r.Role != membership.RoleBalancer {
 		return
 	}
-	d.peers.set(r.Addr, !forgotten && r.Verdict != membership.VerdictDead)
+	l.peers.set(r.Addr, !removed && r.Verdict != membership.VerdictDead)
 }
 
-func (d *controlLoop) updateVoter(r *membership.Record, forgotten bool) {
+// updateVoter updates the agent's entry among its service's voters.
+func (l *controlLoop) updateVoter(r *membership.Record, removed bool) {
 	if r.Role == membership.RoleAgent {
-		d.voters.set(r, time.Now(), forgotten)
+		l.voters.set(r, time.Now(), removed)
 	}
 }
 
-func (d *controlLoop) updatePlacement(r *membership.Record, takesWork bool) {
+// updatePlacement includes the agent in placement if takesWork is true, or excludes it.
+func (l *controlLoop) updatePlacement(r *membership.Record, takesWork bool) {
 	if r.Role != membership.RoleAgent {
-		d.b.placer.remove(r.Addr) // it may have been an agent's address before
+		l.b.placer.remove(r.Addr) // the address may have been an agent's before
 		return
 	}
-	if err := d.b.placer.set(r, takesWork); err != nil {
-		d.b.log.Error("agent not placed", zap.Error(err))
+	if err := l.b.placer.set(r, takesWork); err != nil {
+		l.b.log.Error("placement of an agent not updated", zap.Error(err))
 		return
 	}
 	if takesWork {
-		d.placedAgents[r.Addr] = struct{}{}
+		l.placedAgents[r.Addr] = struct{}{}
 	} else {
-		delete(d.placedAgents, r.Addr)
+		delete(l.placedAgents, r.Addr)
 	}
-	d.b.agentsReady.Store(int64(len(d.placedAgents)))
-	d.b.metrics.agentsReady.Set(float64(len(d.placedAgents)))
-	d.b.log.Info("agent", zap.Stringer("agent", r.Addr), zap.Uint32("service", r.Service),
+	l.b.agentsReady.Store(int64(len(l.placedAgents)))
+	l.b.metrics.agentsReady.Set(float64(len(l.placedAgents)))
+	l.b.log.Info("agent", zap.Stringer("agent", r.Addr), zap.Uint32("service", r.Service),
 		zap.Stringer("state", r.State), zap.Stringer("verdict", r.Verdict), zap.Uint8("weight", r.Weight), zap.Bool("takes_work", takesWork))
 }
 
-func (d *controlLoop) sendMembership() {
-	for _, e := range d.machine.Outbox() {
+// sendMembership sends the machine's outgoing messages.
+func (l *controlLoop) sendMembership() {
+	for _, e := range l.machine.Outbox() {
 		b, err := membership.Encode(e.Msg)
 		if err != nil {
-			d.b.log.Error("membership message not sent", zap.Error(err))
+			l.b.log.Error("membership message can't be encoded, not sent", zap.Error(err))
 			continue
 		}
-		d.link.SendBytes(seal.TopicMembership, e.To, b)
+		l.link.SendBytes(seal.TopicMembership, e.To, b)
 	}
 }
--- a/internal/balancer/dataplane.go
+++ b/internal/balancer/dataplane.go
@@ -9,24 +9,23 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// controlQueueSize is how many control datagrams may wait for the control duty.
-// When it is full the newest is dropped and counted: every control message is
-// repeated or repaired by its protocol, and blocking would stop the packets
-// of all flows.
+// controlQueueSize is the number of control datagrams that may wait for the control loop.
+// When the queue is full, the newest datagram is dropped and counted: the protocols of all
+// control messages recover from losses, while blocking would stop the packets of all flows.
 const controlQueueSize = 1024
 
-// LoadObserver is told the occupancy that agents report on return datagrams.
+// LoadObserver receives the occupancy that agents report in return datagrams.
 type LoadObserver interface {
 	Observe(service uint32, agent netip.AddrPort, load byte)
 }
 
-// dataplane moves packets between the public socket, which callers reach
-// through the fabric, and the internal one, which agents reach.
+// dataplane forwards packets between the public socket, which receives callers' packets
+// from the fabric, and the internal socket, which receives agents' datagrams.
 type dataplane struct {
 	public    *udp.Conn
 	internal  *udp.Conn
 	forwarder *Forwarder
-	codec     *frame.Codec // of the outward duty
+	codec     *frame.Codec // used only by receiveFromAgents
 	observer  LoadObserver
 	control   chan control.Datagram
 	metrics   *metrics
@@ -50,7 +49,7 @@
 	}, nil
 }
 
-// receiveFromCallers is the duty that carries caller packets to agents. It returns when
+// receiveFromCallers is the loop that forwards callers' packets to agents. It returns when
 // the public socket is closed.
 func (d *dataplane) receiveFromCallers() error {
 	r := udp.NewReader(d.public)
@@ -62,7 +61,7 @@
 	}
 }
 
-// forwardBatch carries one batch of caller packets and returns its length.
+// forwardBatch forwards one batch of callers' packets and returns the number of packets.
 func (d *dataplane) forwardBatch(r *udp.Reader, w *udp.Writer) (n int, err error) {
 	n, err = r.Read()
 	if err != nil {
@@ -76,6 +75,7 @@
 	return n, nil
 }
 
+// forward queues the i-th packet of the batch for its agent, or drops and counts it.
 func (d *dataplane) forward(r *udp.Reader, w *udp.Writer, i int) {
 	address, ok := r.Destination(i)
 	if !ok || r.Truncated(i) {
@@ -91,8 +91,8 @@
 	w.Add(b, agent, netip.Addr{})
 }
 
-// receiveFromAgents is the duty that carries agents' packets to callers and passes
-// control datagrams on. It returns when the internal socket is closed.
+// receiveFromAgents is the loop that forwards agents' packets to callers and passes control
+// datagrams to the control loop. It returns when the internal socket is closed.
 func (d *dataplane) receiveFromAgents() error {
 	r := udp.NewReader(d.internal)
 	w := udp.NewWriter(d.public)
@@ -110,6 +110,8 @@
 	}
 }
 
+// returnPacket handles the i-th datagram of the batch: an agent's packet for a caller or a
+// control datagram.
 func (d *dataplane) returnPacket(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
@@ -127,6 +129,7 @@
 	w.Add(b[frame.Len:], h.Caller, h.Address)
 }
 
+// queueControl copies a control datagram into the queue of the control loop.
 func (d *dataplane) queueControl(from netip.AddrPort, b []byte) {
 	data := append([]byte(nil), b...)
 	select {
--- a/internal/balancer/forward.go
+++ b/internal/balancer/forward.go
@@ -9,37 +9,39 @@
 	"github.com/hemlockscale/hemlockscale/internal/quicwire"
 )
 
-// Addresses tells which service an address belongs to.
+// Addresses maps service addresses to services.
 type Addresses interface {
-	// Service returns the service number of an IPv4 service address.
+	// Service returns the number of the service with an IPv4 service address. ok is false if
+	// no service has the address.
 	Service(addr [4]byte) (number uint32, ok bool)
 }
 
-// Choice is where a flow's first packet goes.
+// Choice names the agents chosen for a new flow.
 type Choice struct {
 	Primary       netip.AddrPort
-	Alternate     netip.AddrPort // another agent of the service, if HasAlternate
-	AlternateLoad byte           // occupancy that the balancer believes it has
+	Alternate     netip.AddrPort // another agent of the service; valid only if HasAlternate
+	AlternateLoad byte           // estimated occupancy of Alternate
 	HasAlternate  bool
 }
 
-// Chooser places new flows.
+// Chooser chooses agents for new flows.
 type Chooser interface {
-	// Choose fills c for a flow of the service whose caller chose the
-	// connection ID. Primary depends on the ID and the roster alone.
+	// Choose fills c for a new flow of the service, given the connection ID that the
+	// caller chose. Primary depends only on the ID and the member list. ok is false if the
+	// service has no agent that accepts new flows.
 	Choose(service uint32, id []byte, c *Choice) (ok bool)
 }
 
-// Verdict is what became of one caller packet.
+// Verdict is the result of the forwarding decision for one packet from a caller.
 type Verdict int
 
-// The verdicts. All but Forwarded count a dropped packet.
+// The verdicts. With all but Forwarded the packet is dropped.
 const (
 	Forwarded     Verdict = iota
-	DropMalformed         // no QUIC packet, or a first packet that is too short
+	DropMalformed         // not a QUIC packet, or a first packet that is too short
 	DropNoService         // no catalogue entry has the address
-	DropForeignID         // the connection ID is of another service, forged, or under a key no longer valid
-	DropNoAgent           // the service has no agent that takes new flows
+	DropForeignID         // the connection ID belongs to another service, is forged, or was made with an expired key
+	DropNoAgent           // the service has no agent that accepts new flows
 	DropOversize          // larger than frame.MaxPacket
 	verdictCount
 )
@@ -48,8 +50,8 @@
 	return [...]string{"forwarded", "malformed", "no_service", "foreign_id", "no_agent", "oversize"}[v]
 }
 
-// Forwarder makes the forwarding decision for caller packets. It keeps no
-// state per flow and allocates nothing per packet. One goroutine uses it.
+// Forwarder makes the forwarding decision for packets from callers. It keeps no state per
+// flow, does not allocate per packet, and must be used by one goroutine only.
 type Forwarder struct {
 	ids       *connid.Reader
 	codec     *frame.Codec
@@ -60,10 +62,10 @@
 	packet    quicwire.Packet
 	header    frame.Header
 	choice    Choice
-	traces    *flowTracer // nil when tracing is off
+	traces    *flowTracer // nil if tracing is off
 }
 
-// NewForwarder returns a forwarder for a balancer with internal address via.
+// NewForwarder returns a forwarder for the balancer with the internal address via.
 func NewForwarder(ring fleetkey.Ring, addresses Addresses, chooser Chooser, via netip.AddrPort) (*Forwarder, error) {
 	ids, err := ring.ConnIDs()
 	if err != nil {
@@ -76,8 +78,8 @@
 	return &Forwarder{ids: ids.Reader(), codec: codec, addresses: addresses, chooser: chooser, sequences: newSequenceTable(), via: via}, nil
 }
 
-// Forward decides where a caller's packet goes. b is the packet with frame.Len
-// bytes of room before it, which Forward fills when the verdict is Forwarded.
+// Forward returns the agent to which a caller's packet is forwarded. b holds the packet
+// after frame.Len bytes, into which Forward writes the header if the verdict is Forwarded.
 func (f *Forwarder) Forward(b []byte, caller netip.AddrPort, address [4]byte) (agent netip.AddrPort, v Verdict) {
 	packet := b[frame.Len:]
 	if len(packet) > frame.MaxPacket {
@@ -106,15 +108,15 @@
 	return agent, Forwarded
 }
 
-// route finds the agent for f.packet and sets the header fields that only
-// first packets have.
+// route returns the agent for f.packet and sets the header fields that only first packets
+// have.
 func (f *Forwarder) route(service uint32) (netip.AddrPort, Verdict) {
 	target, ok := f.ids.Read(f.packet.ID)
 	if ok && target.Service == service {
 		return target.Agent, Forwarded
 	}
-	// An ID that names another service is dropped and never placed anew: the
-	// second service would answer a flow that was opened with the first.
+	// A packet whose ID names another service is dropped and not placed as a new flow.
+	// Otherwise this service would answer a flow that was opened with the other one.
 	if !f.packet.First {
 		return netip.AddrPort{}, DropForeignID
 	}
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -24,7 +24,7 @@
 const (
 	benchService = 1
 	benchKey     = "1:000102030405060708090a0b0c0d0e0f"
-	// idOffset is where a long header's destination connection ID begins.
+	// idOffset is the offset of the destination connection ID in a long header, in bytes.
 	idOffset = 6
 )
 
@@ -33,8 +33,8 @@
 	benchCaller  = netip.MustParseAddrPort("127.0.0.1:40000")
 )
 
-// benchForwarder returns a forwarder over the types that the daemon uses, for
-// one service with the agents given. Every agent has been heard from.
+// benchForwarder returns a forwarder built from the types that the daemon uses, for one
+// service with the given agents. A sequence number and an occupancy of each agent are known.
 func benchForwarder(tb testing.TB, agents []netip.AddrPort) (*Forwarder, fleetkey.Ring) {
 	tb.Helper()
 	ring := benchRing(tb)
@@ -71,7 +71,7 @@
 	return ring
 }
 
-// benchTable is a catalogue with one service at benchAddress.
+// benchTable returns the address table of a catalogue with one service at benchAddress.
 func benchTable(tb testing.TB) *catalogue.Table {
 	tb.Helper()
 	c := catalogue.New()
@@ -87,7 +87,7 @@
 	}
 	t := c.Table()
 	if t.Number(benchAddress) != benchService {
-		tb.Fatal("address not in the table")
+		tb.Fatal("the service's address is not in the table")
 	}
 	return t
 }
@@ -101,8 +101,8 @@
 	return agents
 }
 
-// shortPacket is a datagram of n bytes of an open connection, with room for
-// the forwarding header before it.
+// shortPacket returns a datagram of n bytes of an open connection, preceded by space for
+// the forwarding header.
 func shortPacket(tb testing.TB, ring fleetkey.Ring, agent netip.AddrPort, n int) []byte {
 	tb.Helper()
 	ids, err := ring.ConnIDs()
@@ -116,9 +116,10 @@
 	return b
 }
 
-// initialPacket is a caller's first datagram, with room before it.
+// initialPacket returns a caller's first datagram, preceded by space for the forwarding
+// header.
 func initialPacket() []byte {
-	const idLen = 18 // as long as quic-go's longest
+	const idLen = 18 // the longest that quic-go uses
 	b := make([]byte, frame.Len+quicwire.MinInitial)
 	p := b[frame.Len:]
 	p[0] = 0xc0
@@ -127,8 +128,8 @@
 	return b
 }
 
-// BenchmarkForward is the forwarding decision for one packet, with the header
-// written: the goal is at most 300 ns and no allocation.
+// BenchmarkForward measures the forwarding decision for one packet, including the writing
+// of the header. The goal is at most 300 ns and no allocation.
 func BenchmarkForward(b *testing.B) {
 	for _, n := range []int{7, 100, 16000} {
 		agents := benchAgents(n)
@@ -163,8 +164,8 @@
 	}
 }
 
-// BenchmarkForwardTraced is the decision on a first packet by how tracing is
-// set. The decision on all other packets has no code for it.
+// BenchmarkForwardTraced measures the decision on a first packet with tracing off and at
+// two sampling rates. Tracing does not affect the decision on other packets.
 func BenchmarkForwardTraced(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -201,8 +202,8 @@
 	}
 }
 
-// TestForwardAllocatesNothing: an allocation per packet would show as pauses
-// and processor time of the garbage collector that grow with the packet rate.
+// Guards against allocations per packet, which cause pauses and processor time of the
+// garbage collector that grow with the packet rate.
 func TestForwardAllocatesNothing(t *testing.T) {
 	agents := benchAgents(7)
 	f, ring := benchForwarder(t, agents)
@@ -216,7 +217,7 @@
 			}
 		})
 		if n != 0 {
-			t.Errorf("%s: %v allocations a packet", name, n)
+			t.Errorf("%s: %v allocations per packet, want 0", name, n)
 		}
 	}
 }
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -21,7 +21,8 @@
 	testVia      = netip.MustParseAddrPort("10.0.1.1:7700")
 )
 
-// twoServices is a catalogue of the addresses 198.51.100.1 and .2.
+// twoServices implements Addresses and Chooser for two services, at 198.51.100.1 and
+// 198.51.100.2, with one agent each.
 type twoServices struct{}
 
 func (twoServices) Service(a [4]byte) (uint32, bool) {
@@ -43,8 +44,8 @@
 	return recordsAgent
 }
 
-// FuzzForward: whatever comes to an address of one service reaches no agent of
-// the other, and what is forwarded carries a header that names the service.
+// FuzzForward checks that no packet to an address of one service is forwarded to an agent
+// of the other, and that the header of a forwarded packet names the service.
 func FuzzForward(f *testing.F) {
 	ring, err := fleetkey.Parse(testFleetKey)
 	if err != nil {
@@ -80,11 +81,11 @@
 			return
 		}
 		if agent != agentOf(uint32(last)) {
-			t.Fatalf("packet to service %d goes to %v", last, agent)
+			t.Fatalf("packet to service %d was forwarded to %v", last, agent)
 		}
 		var h frame.Header
 		if !codec.Get(b, &h) || h.Service != uint32(last) || h.Caller != caller || h.Via != testVia {
-			t.Fatalf("header %+v", h)
+			t.Fatalf("wrong or undecodable header %+v", h)
 		}
 	})
 }
--- a/internal/balancer/lifecycle_test.go
+++ b/internal/balancer/lifecycle_test.go
@@ -15,9 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestCloseEndsEverything: a balancer that ends leaves no goroutine behind,
-// also when the store does not answer. TestMain looks for them.
-func TestCloseEndsEverything(t *testing.T) {
+// Guards against goroutines that keep running after Close, also when the store does not
+// answer. TestMain detects them.
+func TestCloseStopsAllGoroutines(t *testing.T) {
 	ring, err := fleetkey.Parse(testFleetKey)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the balancer's counters. The vectors are resolved once, so that
-// the packet path adds to a counter without looking up labels.
+// metrics holds the balancer's counters and gauges. The counters of the vector are resolved
+// once, so that the packet path does not look up labels.
 type metrics struct {
 	packets          [verdictCount]prometheus.Counter
 	returned         prometheus.Counter
@@ -19,17 +19,17 @@
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
-		returned:         prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_returned_packets_total", Help: "Packets passed from agents to callers."}),
-		unknownDatagrams: prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_strange_datagrams_total", Help: "Datagrams on the internal socket that no process of the fleet sent."}),
-		sendErrors:       prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_send_errors_total", Help: "Datagrams that the kernel refused to send."}),
-		controlOverflow:  prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_overflow_total", Help: "Control datagrams dropped because the control ring was full."}),
-		controlRejected:  prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_rejected_total", Help: "Control datagrams that were not sealed under a fleet key or could not be read."}),
+		returned:         prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_returned_packets_total", Help: "Packets forwarded from agents to callers."}),
+		unknownDatagrams: prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_strange_datagrams_total", Help: "Datagrams on the internal socket that no process of the fleet can have sent."}),
+		sendErrors:       prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_send_errors_total", Help: "Datagrams that the kernel failed to send."}),
+		controlOverflow:  prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_overflow_total", Help: "Control datagrams dropped because the control queue was full."}),
+		controlRejected:  prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_rejected_total", Help: "Control datagrams that could not be authenticated or decoded."}),
 		revision:         prometheus.NewGauge(prometheus.GaugeOpts{Name: "hemlock_balancer_catalogue_revision", Help: "Catalogue revision in force."}),
-		agentsReady:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "hemlock_balancer_agents_ready", Help: "Agents in the roster that take new flows."}),
+		agentsReady:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "hemlock_balancer_agents_ready", Help: "Agents in the member list that accept new flows."}),
 		controlSent:      prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_sent_bytes_total", Help: "Bytes of control datagrams sent."}),
 		controlReceived:  prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_control_received_bytes_total", Help: "Bytes of control datagrams received."}),
 	}
-	packets := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hemlock_balancer_caller_packets_total", Help: "Packets from callers by what became of them."}, []string{"verdict"})
+	packets := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hemlock_balancer_caller_packets_total", Help: "Packets from callers by forwarding verdict."}, []string{"verdict"})
 	r.MustRegister(packets, m.returned, m.unknownDatagrams, m.sendErrors, m.controlOverflow, m.controlRejected, m.revision, m.agentsReady, m.controlSent, m.controlReceived)
 	for v := range verdictCount {
 		m.packets[v] = packets.WithLabelValues(v.String())
--- a/internal/balancer/peerset.go
+++ b/internal/balancer/peerset.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// peerSet is the balancers that the catalogue spreads to: those of the roster,
-// or the seeds while the roster names none.
+// peerSet is the set of balancers to which catalogue messages are sent: those of the member
+// list, or the seeds while the member list contains no other balancer.
 type peerSet struct {
 	self  netip.AddrPort
 	rng   *rand.Rand
@@ -22,8 +22,8 @@
 	return p
 }
 
-// setSeeds replaces the seeds. One that is given twice is kept once: sample
-// looks for different peers and would never end.
+// setSeeds replaces the seeds. Duplicates are removed: sample draws until it has different
+// peers and would never return with too few of them.
 func (p *peerSet) setSeeds(seeds []netip.AddrPort) {
 	p.seeds = nil
 	for _, a := range seeds {
@@ -33,7 +33,7 @@
 	}
 }
 
-// set takes in whether a balancer is live.
+// set adds a live balancer to the set, or removes one that is not live.
 func (p *peerSet) set(a netip.AddrPort, live bool) {
 	i, known := p.index[a]
 	switch {
@@ -50,8 +50,8 @@
 	}
 }
 
-// sample returns up to n different peers at random. Its cost does not grow with
-// the fleet while n is far below it.
+// sample returns up to n different random peers. Its cost does not depend on the number of
+// peers as long as n is far below it.
 func (p *peerSet) sample(n int) []netip.AddrPort {
 	from := p.list
 	if len(from) == 0 {
--- a/internal/balancer/placer.go
+++ b/internal/balancer/placer.go
@@ -9,10 +9,10 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// loadTableSize is how many agents the table of believed occupancies is made for.
+// loadTableSize is the number of agents for which the table of estimated occupancies is sized.
 const loadTableSize = 4096
 
-// addresses implements Addresses over the catalogue in force.
+// addresses implements Addresses with the catalogue in force.
 type addresses struct {
 	table atomic.Pointer[catalogue.Table]
 }
@@ -27,13 +27,13 @@
 	return n, n != 0
 }
 
-// placer implements Chooser and LoadObserver over the roster.
+// placer implements Chooser and LoadObserver with the agents of the member list.
 type placer struct {
 	cfg           placement.Config
 	tables        placement.Tables
 	load          *placement.Load
 	clock         batchClock
-	placedService map[netip.AddrPort]uint32 // service of each placed agent; of the control duty alone
+	placedService map[netip.AddrPort]uint32 // service of each placed agent; only the control loop uses it
 }
 
 func newPlacer(zone string) *placer {
@@ -66,12 +66,12 @@
 	p.load.Report(agent, placement.Occupancy(load), p.clock.now())
 }
 
-// set puts an agent's record in force for new flows. takesWork is false for an
+// set applies an agent's record to the placement of new flows. takesWork is false for an
 // agent that must get none.
 //
-// An address may be taken over by an agent of another service: a VM is replaced
-// and its address given out again. The old service's table would go on sending
-// it new flows, which it drops as foreign, and a share of that service's new
+// When a VM is replaced, its address may be reused by an agent of another service. set
+// removes the address from the old service's table. Otherwise that table would still send
+// it new flows, which the agent drops as foreign, and a share of the old service's new
 // callers would get no connection.
 func (p *placer) set(r *membership.Record, takesWork bool) error {
 	if old, ok := p.placedService[r.Addr]; ok && old != r.Service {
@@ -89,7 +89,7 @@
 	return p.put(r.Service, a)
 }
 
-// remove takes whatever agent is placed at an address out.
+// remove excludes the agent at an address, if there is one, from placement.
 func (p *placer) remove(addr netip.AddrPort) error {
 	service, ok := p.placedService[addr]
 	if !ok {
@@ -99,6 +99,7 @@
 	return p.put(service, placement.Agent{Addr: addr})
 }
 
+// put replaces the table of a service by one with the agent's new state.
 func (p *placer) put(service uint32, a placement.Agent) error {
 	t := p.tables.Get(service)
 	if t == nil {
--- a/internal/balancer/placer_test.go
+++ b/internal/balancer/placer_test.go
@@ -7,10 +7,10 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// TestAddressTakenOverByAnotherService: symptom: a share of a service's new
-// callers gets no connection. Sequence: an agent's VM is replaced, its address
-// is given to an agent of another service, the old record never ends. Cause: the
-// old service's table kept the address.
+// Guards against new flows of a service that are sent to an agent of another service, which
+// drops them, so that a share of the service's new callers get no connection. An agent's VM
+// is replaced, an agent of another service gets its address, and the old record is never
+// removed: the old service's table must not keep the address.
 func TestAddressTakenOverByAnotherService(t *testing.T) {
 	const records, listing = 1, 2
 	p := newPlacer("zone-a")
@@ -28,15 +28,15 @@
 	var c Choice
 	for id := range byte(64) {
 		if !p.Choose(records, []byte{id, 1, 2, 3, 4, 5, 6, 7}, &c) || c.Primary != own || c.HasAlternate {
-			t.Fatalf("new flow of records goes to %+v", c)
+			t.Fatalf("new flow of records was placed at %+v", c)
 		}
 		if !p.Choose(listing, []byte{id, 1, 2, 3, 4, 5, 6, 7}, &c) || c.Primary != shared {
-			t.Fatalf("new flow of listing goes to %+v", c)
+			t.Fatalf("new flow of listing was placed at %+v", c)
 		}
 	}
 	place(shared, records, true)
 	place(shared, records, false)
 	if p.Choose(listing, []byte{1, 1, 2, 3, 4, 5, 6, 7}, &c) {
-		t.Fatalf("listing has no agent left, got %+v", c)
+		t.Fatalf("new flow of listing, which has no agent left, was placed at %+v", c)
 	}
 }
--- a/internal/balancer/relay_bench_test.go
+++ b/internal/balancer/relay_bench_test.go
@@ -14,8 +14,8 @@
 
 const relayFlows = 256
 
-// BenchmarkRelay compares the balancer's inward path (batch read, decide,
-// frame, batch write) with a bare loop that writes what it read.
+// BenchmarkRelay compares the balancer's path of callers' packets (batch read, decision,
+// frame, batch write) with a bare loop that writes the packets it reads.
 func BenchmarkRelay(b *testing.B) {
 	for _, size := range []int{100, 1200} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchRelay(b, size) })
@@ -34,7 +34,7 @@
 	relay.Compare(b, "balancer", balancerRelay(b, f), agents[0], packets)
 }
 
-// balancerRelay is the daemon's own inward path.
+// balancerRelay returns a relay that uses the daemon's own path of callers' packets.
 func balancerRelay(b *testing.B, f *Forwarder) *relay.Relay {
 	public, internal := relay.Listen(b), relay.Listen(b)
 	ring := benchRing(b)
--- a/internal/balancer/sequences.go
+++ b/internal/balancer/sequences.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// sequenceTable holds, for each agent, the newest sequence number that arrived
-// from it. It is state per agent and not per flow.
+// sequenceTable holds the latest sequence number received from each agent. It is state per
+// agent, not per flow.
 type sequenceTable struct {
 	mu        sync.RWMutex
 	sequences map[netip.AddrPort]*atomic.Uint32
@@ -24,7 +24,7 @@
 	return p
 }
 
-// newest returns the newest sequence number seen from agent, 0 for none.
+// newest returns the latest sequence number received from agent, or 0 if there is none.
 func (t *sequenceTable) newest(agent netip.AddrPort) uint32 {
 	if p := t.get(agent); p != nil {
 		return p.Load()
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// record records a sequence number that arrived from agent.
+// record stores a sequence number received from agent.
 func (t *sequenceTable) record(agent netip.AddrPort, seq uint32) {
 	p := t.get(agent)
 	if p == nil {
@@ -52,8 +52,8 @@
 	return p
 }
 
-// remove drops an agent that left the roster, so that the table does not grow
-// with every agent that ever was.
+// remove deletes an agent that was removed from the member list. Otherwise the table would
+// grow with every agent that ever existed.
 func (t *sequenceTable) remove(agent netip.AddrPort) {
 	t.mu.Lock()
 	delete(t.sequences, agent)
--- a/internal/balancer/storecalls.go
+++ b/internal/balancer/storecalls.go
@@ -7,13 +7,12 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// maxCallResults is above the number of calls of a follower under way, one of
-// each kind, so that no result waits for the control duty.
+// maxCallResults exceeds the number of concurrent calls of a follower, one of each kind, so
+// that no result has to wait for the control loop.
 const maxCallResults = 8
 
-// catalogueCalls makes the calls to the platform's store that a
-// catalogue.Follower asks for, each in a goroutine of its own, since a watch
-// waits for long.
+// catalogueCalls makes the calls to the platform's store that a catalogue.Follower requests.
+// Each call runs in its own goroutine, since a watch blocks for a long time.
 type catalogueCalls struct {
 	store   catalogue.Store
 	results chan catalogue.Result
--- a/internal/balancer/tracing.go
+++ b/internal/balancer/tracing.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// traceQueueSize is how many traced first packets and claims may wait for the
-	// tracing duty. When it is full the newest is dropped and counted: a trace
-	// is worth less than the packets behind it.
+	// traceQueueSize is the number of traced first packets, and of claims, that may wait
+	// for the tracing loop. When a queue is full, the newest element is dropped and
+	// counted: losing a trace is better than delaying packets.
 	traceQueueSize = 256
-	// claimTimeout is how long a span waits for the agent to tell which call's
-	// trace it belongs to. A handshake and the first request of an ordinary
-	// caller take far less.
+	// claimTimeout is how long a span waits for the agent's claim, which names the trace
+	// that the span belongs to. A handshake and the first request of a usual caller take
+	// far less.
 	claimTimeout = 10 * time.Second
-	// maxPendingSpans bounds the spans that wait. More are exported at once,
-	// unclaimed.
+	// maxPendingSpans bounds the spans that wait for a claim. Beyond it, the oldest are
+	// exported unclaimed.
 	maxPendingSpans = 4096
-	exportInterval  = time.Second
+	// exportInterval is the time between two checks for spans whose claim has timed out.
+	exportInterval = time.Second
 )
 
-// firstPacket is a traced first packet that was forwarded.
+// firstPacket is a forwarded first packet of a traced flow.
 type firstPacket struct {
 	flow       tracing.Flow
 	service    uint32
@@ -37,50 +38,52 @@
 	began, end time.Time
 }
 
-// flowTracer makes the spans of flows' first packets.
+// flowTracer records a span for the first packet of each sampled flow.
 //
-// The balancer can't read a packet, so it can't know the call's trace. It
-// holds the span back for claimLimit until the agent, which can, claims it.
+// Packets are encrypted, so the balancer does not know the trace that a call belongs to.
+// It holds each span back until the agent, which can decrypt the call, claims it, or until
+// claimTimeout has passed.
 type flowTracer struct {
 	spans        *tracing.Provider
-	flows        *tracing.Flows // of the inward duty
+	flows        *tracing.Flows // used only by the goroutine that receives from callers
 	via          netip.AddrPort
 	clock        *batchClock
 	firstPackets chan firstPacket
 	claims       chan tracing.Claim
 	pending      map[trace.SpanID]firstPacket
-	order        []trace.SpanID // of pending, oldest first; claimed ones stay until their turn
+	order        []trace.SpanID // keys of pending, oldest first; a claimed one is removed when it is the oldest
 
 	dropped   prometheus.Counter
 	unclaimed prometheus.Counter
 }
 
-// newFlowTracer returns nil when tracing is off.
+// newFlowTracer returns a tracer, or nil if tracing is off.
 func newFlowTracer(p *tracing.Provider, ring fleetkey.Ring, via netip.AddrPort, clock *batchClock, reg prometheus.Registerer) (*flowTracer, error) {
 	if !p.On() {
 		return nil, nil
 	}
-	hash, err := tracing.NewFlows(ring, p.Sample())
+	flows, err := tracing.NewFlows(ring, p.Sample())
 	if err != nil {
 		return nil, err
 	}
 	t := &flowTracer{
 		spans:        p,
-		flows:        hash,
+		flows:        flows,
 		via:          via,
 		clock:        clock,
 		firstPackets: make(chan firstPacket, traceQueueSize),
 		claims:       make(chan tracing.Claim, traceQueueSize),
 		pending:      make(map[trace.SpanID]firstPacket),
-		dropped:      prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_dropped_total", Help: "Traced first packets and claims dropped because the ring was full."}),
-		unclaimed:    prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_unclaimed_total", Help: "Spans of first packets that no call claimed."}),
+		dropped:      prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_dropped_total", Help: "Traced first packets and claims dropped because their queue was full."}),
+		unclaimed:    prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_balancer_traces_unclaimed_total", Help: "Spans of first packets exported without a claim by an agent."}),
 	}
 	reg.MustRegister(t.dropped, t.unclaimed)
 	return t, nil
 }
 
-// recordFirstPacket takes in a first packet that goes to agent, and reports whether its
-// flow is traced. The inward duty calls it; t is nil when tracing is off.
+// recordFirstPacket queues the span of a first packet that is forwarded to agent, if its
+// flow is sampled, and reports whether it is. It is called by the goroutine that receives
+// from callers; t is nil if tracing is off.
 func (t *flowTracer) recordFirstPacket(id []byte, service uint32, agent netip.AddrPort) bool {
 	if t == nil || !t.flows.Sampled(id) {
 		return false
@@ -94,8 +97,8 @@
 	return true
 }
 
-// receiveClaim takes in an agent's encoded receiveClaim. ok is false for one that can't be
-// read. A balancer that does not trace passes over it.
+// receiveClaim queues an agent's encoded claim. ok is false if it can't be decoded or is
+// invalid. If tracing is off, claims are ignored.
 func (t *flowTracer) receiveClaim(b []byte) (ok bool) {
 	if t == nil {
 		return true
@@ -112,7 +115,7 @@
 	return true
 }
 
-// run is the tracing duty.
+// run is the tracing loop: it matches claims with pending spans until ctx ends.
 func (t *flowTracer) run(ctx context.Context) {
 	tick := time.NewTicker(exportInterval)
 	defer tick.Stop()
@@ -131,8 +134,8 @@
 	}
 }
 
-// addPending keeps a span until it is claimed. A caller's first flight is several
-// packets with one ID: they are one span.
+// addPending stores a span until it is claimed. The packets of a caller's first flight have
+// the same connection ID and share one span.
 func (t *flowTracer) addPending(p firstPacket) {
 	if old, ok := t.pending[p.flow.Span]; ok {
 		old.end = p.end
@@ -144,6 +147,7 @@
 	t.order = append(t.order, p.flow.Span)
 }
 
+// exportClaimed exports the span that a claim names as part of the claim's trace.
 func (t *flowTracer) exportClaimed(c tracing.Claim) {
 	t.addQueued()
 	p, ok := t.pending[c.Span]
@@ -154,8 +158,8 @@
 	t.export(p, trace.NewSpanContext(trace.SpanContextConfig{TraceID: c.Trace, SpanID: c.Parent, TraceFlags: trace.FlagsSampled, Remote: true}))
 }
 
-// addQueued holds the first packets in the ring: a claim may be read before
-// the packet that it is about.
+// addQueued adds the queued first packets to the pending spans, since a claim may be
+// dequeued before the first packet that it belongs to.
 func (t *flowTracer) addQueued() {
 	for {
 		select {
@@ -167,16 +171,16 @@
 	}
 }
 
-// exportUnclaimed exports spans that nobody claimed: those from before a time, and the
-// oldest ones while more than keep wait. Each is the root of a trace of its
-// own, which shows handshakes that came to nothing.
+// exportUnclaimed exports pending spans that no agent has claimed: those that began before
+// the given time, and the oldest ones while more than keep are pending. Each becomes the
+// root of a trace of its own, which shows handshakes that failed.
 func (t *flowTracer) exportUnclaimed(before time.Time, keep int) {
 	for len(t.order) > 0 {
-		p, waits := t.pending[t.order[0]]
-		if waits && !p.began.Before(before) && len(t.order) <= keep {
+		p, pending := t.pending[t.order[0]]
+		if pending && !p.began.Before(before) && len(t.order) <= keep {
 			return
 		}
-		if waits {
+		if pending {
 			delete(t.pending, t.order[0])
 			t.unclaimed.Inc()
 			t.export(p, trace.SpanContext{})
@@ -185,6 +189,7 @@
 	}
 }
 
+// export exports the span of a first packet, as a child of parent if that is valid.
 func (t *flowTracer) export(p firstPacket, parent trace.SpanContext) {
 	ctx := tracing.WithFlow(context.Background(), p.flow)
 	if parent.IsValid() {
--- a/internal/balancer/tracing_test.go
+++ b/internal/balancer/tracing_test.go
@@ -17,7 +17,8 @@
 
 var testAgent = netip.MustParseAddrPort("10.0.0.1:7700")
 
-// testTracer returns a tracer that traces every flow, without its duty.
+// testTracer returns a tracer that samples every flow, without its loop, and a function that
+// closes it and returns the exported spans.
 func testTracer(t testing.TB) (*flowTracer, func() tracetest.SpanStubs) {
 	t.Helper()
 	e := tracetest.NewInMemoryExporter()
@@ -32,14 +33,14 @@
 	}
 }
 
-// retainingExporter is an exporter that keeps its spans when it is shut down.
+// retainingExporter is an exporter that retains its spans after Shutdown.
 type retainingExporter struct{ *tracetest.InMemoryExporter }
 
 func (retainingExporter) Shutdown(context.Context) error { return nil }
 
-// TestClaimedSpanJoinsTheCall: the packets of a caller's first flight are one
-// span, of the trace that the agent names.
-func TestClaimedSpanJoinsTheCall(t *testing.T) {
+// The packets of a caller's first flight must share one span, which belongs to the trace
+// that the agent's claim names.
+func TestClaimedSpanJoinsTheTraceOfTheCall(t *testing.T) {
 	tracer, spans := testTracer(t)
 	id := []byte("first-id")
 	tracer.recordFirstPacket(id, benchService, testAgent)
@@ -47,45 +48,43 @@
 	claim := tracing.Claim{Span: tracer.flows.Of(id, tracer.via).Span, Trace: trace.TraceID{1}, Parent: trace.SpanID{2}}
 	b, err := cbor.Marshal(claim)
 	if err != nil || !tracer.receiveClaim(b) {
-		t.Fatalf("claim not taken: %v", err)
+		t.Fatalf("valid claim not accepted: %v", err)
 	}
 	tracer.exportClaimed(<-tracer.claims)
 	tracer.exportUnclaimed(time.Now(), 0)
 	got := spans()
 	if len(got) != 1 {
-		t.Fatalf("%d spans, want 1", len(got))
+		t.Fatalf("got %d spans, want 1", len(got))
 	}
 	s := got[0]
 	if s.SpanContext.SpanID() != claim.Span || s.SpanContext.TraceID() != claim.Trace || s.Parent.SpanID() != claim.Parent {
-		t.Errorf("span %v of trace %v below %v", s.SpanContext.SpanID(), s.SpanContext.TraceID(), s.Parent.SpanID())
+		t.Errorf("span %v of trace %v with parent %v does not match the claim", s.SpanContext.SpanID(), s.SpanContext.TraceID(), s.Parent.SpanID())
 	}
 }
 
-// TestUnclaimedSpanIsExported.
-//
-// Symptom: handshakes that fail leave no trace. Sequence: a first packet is
-// forwarded, the agent dies, no request comes and so no claim. Cause: the span
-// waits for a claim; after claimLimit it is exported as the root of a trace.
+// Guards against failed handshakes that leave no trace: a first packet is forwarded, the
+// agent fails, and its claim never arrives. After claimTimeout the span must be exported as
+// the root of a trace.
 func TestUnclaimedSpanIsExported(t *testing.T) {
 	tracer, spans := testTracer(t)
 	tracer.recordFirstPacket([]byte("first-id"), benchService, testAgent)
 	tracer.addPending(<-tracer.firstPackets)
 	tracer.exportUnclaimed(time.Now().Add(-claimTimeout), maxPendingSpans)
 	if len(tracer.pending) != 1 {
-		t.Error("released before its time")
+		t.Error("span was exported before claimTimeout")
 	}
 	tracer.exportUnclaimed(time.Now(), maxPendingSpans)
 	got := spans()
 	if len(got) != 1 || got[0].Parent.IsValid() {
-		t.Errorf("spans %v, want one without a parent", got)
+		t.Errorf("got spans %v, want one without a parent", got)
 	}
 	if n := counterValue(t, tracer.unclaimed); n != 1 {
-		t.Errorf("%v counted as unclaimed", n)
+		t.Errorf("counted %v unclaimed spans, want 1", n)
 	}
 }
 
-// TestTracesAreBounded: a flood of first packets neither blocks the inward duty
-// nor grows the memory; what does not fit is counted.
+// Guards against a flood of first packets that blocks the packet path or grows the memory
+// without bound: first packets beyond the limits must be dropped and counted.
 func TestTracesAreBounded(t *testing.T) {
 	tracer, spans := testTracer(t)
 	id := func(i int) []byte { return []byte{byte(i), byte(i >> 8), 0, 0, 0, 0, 0, 0} }
@@ -93,33 +92,32 @@
 		tracer.recordFirstPacket(id(i), benchService, testAgent)
 	}
 	if n := counterValue(t, tracer.dropped); n != 3 {
-		t.Errorf("%v dropped, want 3", n)
+		t.Errorf("dropped %v first packets, want 3", n)
 	}
 	for i := range maxPendingSpans + 5 {
 		tracer.addPending(firstPacket{flow: tracer.flows.Of(id(i), tracer.via), began: time.Now()})
 	}
 	if len(tracer.pending) != maxPendingSpans || len(tracer.order) != maxPendingSpans {
-		t.Errorf("%d spans wait in an order of %d, want %d", len(tracer.pending), len(tracer.order), maxPendingSpans)
+		t.Errorf("%d spans are pending and %d keys are in order, want %d", len(tracer.pending), len(tracer.order), maxPendingSpans)
 	}
 	spans()
 }
 
-// TestBadClaims: what can't be read or names no trace is refused.
-func TestBadClaims(t *testing.T) {
+// Claims that can't be decoded or name no trace must be rejected.
+func TestInvalidClaims(t *testing.T) {
 	tracer, spans := testTracer(t)
 	empty, _ := cbor.Marshal(tracing.Claim{})
 	for _, b := range [][]byte{nil, {0xff}, empty} {
 		if tracer.receiveClaim(b) {
-			t.Errorf("claim %x taken", b)
+			t.Errorf("invalid claim %x was accepted", b)
 		}
 	}
 	if (*flowTracer)(nil).recordFirstPacket([]byte("first-id"), benchService, testAgent) {
-		t.Error("traced although off")
+		t.Error("a flow was sampled although tracing is off")
 	}
 	spans()
 }
 
-// counterValue returns the value of a counter.
 func counterValue(t testing.TB, c prometheus.Counter) float64 {
 	t.Helper()
 	var m dto.Metric
--- a/internal/balancer/voters.go
+++ b/internal/balancer/voters.go
@@ -19,13 +19,13 @@
 type voter struct {
 	addr          netip.AddrPort
 	hash          uint64
-	departedAt    time.Time // zero while it is live
-	stoppedVoting bool      // it stopped voting before it left
-	takesFlows    bool      // it takes new flows
+	departedAt    time.Time // when it failed or left; zero while it is live
+	stoppedVoting bool      // it announced its departure, and had stopped voting before
+	takesFlows    bool      // it accepts new flows
 }
 
-// voters keeps the voters of each service, the gone ones for the retention.
-// Requesters that count a vanished agent keep its votes from being outvoted.
+// voters holds the voters of each service, including failed and departed ones for the
+// retention. Agents still count these, so that the votes they have given can't be outvoted.
 type voters struct {
 	retention time.Duration
 	started   time.Time
@@ -39,8 +39,8 @@
 	return &voters{retention: retention, started: now, services: make(map[uint32][]voter)}
 }
 
-// set takes in a change of an agent's record.
-func (v *voters) set(r *membership.Record, now time.Time, forgotten bool) {
+// set applies a change of an agent's record.
+func (v *voters) set(r *membership.Record, now time.Time, removed bool) {
 	list := v.services[r.Service]
 	hash := hashAddr(r.Addr)
 	i, found := slices.BinarySearchFunc(list, hash, func(e voter, h uint64) int {
@@ -57,8 +57,8 @@
 	}
 	e := &list[i]
 	e.stoppedVoting = r.State == membership.StateLeaving
-	e.takesFlows = !forgotten && r.TakesWork()
-	live := !forgotten && !e.stoppedVoting && r.Verdict != membership.VerdictDead
+	e.takesFlows = !removed && r.TakesWork()
+	live := !removed && !e.stoppedVoting && r.Verdict != membership.VerdictDead
 	switch {
 	case live:
 		e.departedAt = time.Time{}
@@ -68,12 +68,13 @@
 	v.services[r.Service] = list
 }
 
+// hashAddr returns the hash by which the voters of a service are ordered.
 func hashAddr(a netip.AddrPort) uint64 {
 	b, _ := a.MarshalBinary() // never fails
 	return xxhash.Sum64(b)
 }
 
-// answer returns the voters of a service.
+// answer returns the response to a request for the voters of a service.
 func (v *voters) answer(q control.RosterRequest, now time.Time) control.RosterAnswer {
 	a := control.RosterAnswer{Seq: q.Seq, Complete: now.Sub(v.started) > v.retention}
 	list := v.services[q.Service]
@@ -93,14 +94,14 @@
 	return a
 }
 
-// sendVoters tells an agent who votes on its service's keys.
-func (d *controlLoop) sendVoters(now time.Time, to netip.AddrPort, b []byte) {
+// sendVoters answers an agent's request for the voters on its service's idempotency keys.
+func (l *controlLoop) sendVoters(now time.Time, to netip.AddrPort, b []byte) {
 	var q control.RosterRequest
 	if err := cbor.Unmarshal(b, &q); err != nil {
-		d.b.metrics.controlRejected.Inc()
+		l.b.metrics.controlRejected.Inc()
 		return
 	}
-	if err := d.link.Send(seal.TopicRosterIs, to, d.voters.answer(q, now)); err != nil {
-		d.b.log.Error("roster not sent", zap.Error(err))
+	if err := l.link.Send(seal.TopicRosterIs, to, l.voters.answer(q, now)); err != nil {
+		l.b.log.Error("list of voters could not be sent to an agent", zap.Error(err))
 	}
 }
