--- a/internal/balancer/sequences.go
+++ b/internal/balancer/sequences.go
@@ -17,6 +17,7 @@
 	return &sequenceTable{sequences: make(map[netip.AddrPort]*atomic.Uint32)}
 }
 
+// get returns the latest sequence number of agent, or nil if the agent is not in the table.
 func (t *sequenceTable) get(agent netip.AddrPort) *atomic.Uint32 {
 	t.mu.RLock()
 	p := t.sequences[agent]
@@ -41,6 +42,7 @@
 	p.Store(seq)
 }
 
+// add returns the sequence number of agent, which it adds to the table if it is not in it.
 func (t *sequenceTable) add(agent netip.AddrPort) *atomic.Uint32 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
