--- a/internal/balancer/forward.go
+++ b/internal/balancer/forward.go
@@ -115,8 +115,8 @@
 	if ok && target.Service == service {
 		return target.Agent, Forwarded
 	}
-	// A packet whose ID names another service is dropped and not placed as a new flow.
-	// Otherwise this service would answer a flow that was opened with the other one.
+	// A later packet of a flow, whose ID names another service, is dropped and not placed
+	// as a new flow. Otherwise this service would answer a flow opened with the other one.
 	if !f.packet.First {
 		return netip.AddrPort{}, DropForeignID
 	}
