--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the entry process: it forwards callers' packets to
-// agents by the connection ID alone and keeps no state per flow.
+// Package balancer implements the balancer, the process that receives callers' packets. It
+// forwards them to agents by the connection ID alone and keeps no state per flow.
 package balancer
 
 import (
@@ -24,37 +24,37 @@
 	"github.com/hemlockscale/hemlockscale/membership"
 )
 
-// Config is the settings of a balancer.
+// Config holds the settings of a balancer.
 type Config struct {
-	Public   netip.AddrPort // wildcard address and the port that callers use
-	Internal netip.AddrPort // IPv4 address of the internal socket, as other processes reach it
+	Public   netip.AddrPort // wildcard address with the port that callers use
+	Internal netip.AddrPort // IPv4 address of the internal socket, at which other processes reach it
 	Zone     string         // availability zone
 	Region   string
 	Keys     fleetkey.Ring
 	Seeds    []netip.AddrPort // other balancers' internal addresses
 	Store    store.Interface  // the platform's store
-	Linger   time.Duration    // how long a balancer that leaves goes on forwarding
-	// Retention is how long agents that vanished are named to those that ask
-	// who votes on idempotency keys; 0 is idempotency.DefaultRetention.
+	Linger   time.Duration    // how long a draining balancer continues to forward
+	// Retention is how long failed and departed agents are listed in responses to
+	// requests for the voters on idempotency keys; 0 means idempotency.DefaultRetention.
 	Retention time.Duration
-	Traces    *tracing.Provider // nil is off
+	Traces    *tracing.Provider // nil turns tracing off
 }
 
 // Balancer is one balancer. Its lifecycle is New, Run, Drain, Close.
 type Balancer struct {
-	cfg      Config
-	log      *zap.Logger
-	public   *udp.Conn
-	internal *udp.Conn
-	data     *dataplane
-	places   *places
-	address  *addresses
-	digest   atomic.Pointer[catalogue.Digest] // of the catalogue in force, nil for none
-	interim  atomic.Bool                      // agents' entries are in force, for want of the catalogue
-	bulk     *bulk.Port
-	metrics  *metrics
-	reg      prometheus.Registerer
-	control  *duty
+	cfg         Config
+	log         *zap.Logger
+	public      *udp.Conn
+	internal    *udp.Conn
+	data        *dataplane
+	placer      *placer
+	addresses   *addresses
+	digest      atomic.Pointer[catalogue.Digest] // of the catalogue in force; nil if none is
+	usesInterim atomic.Bool                      // agents' copies of their entries are in force because the catalogue is not available
+	bulk        *bulk.Port
+	metrics     *metrics
+	reg         prometheus.Registerer
+	control     *controlLoop
 
 	agentsReady atomic.Int64
 
@@ -63,7 +63,7 @@
 	closeOnce sync.Once
 }
 
-// New checks the settings and opens the balancer's sockets.
+// New returns a balancer with open sockets.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Balancer, error) {
 	public, err := udp.Listen(cfg.Public)
 	if err != nil {
@@ -76,49 +76,50 @@
 	}
 	cfg.Public, cfg.Internal = public.LocalAddr(), internal.LocalAddr()
 	b := &Balancer{
-		cfg:      cfg,
-		log:      log.With(zap.Stringer("addr", cfg.Internal)),
-		public:   public,
-		internal: internal,
-		places:   newPlaces(cfg.Zone),
-		address:  &addresses{},
-		metrics:  newMetrics(reg),
-		reg:      reg,
+		cfg:       cfg,
+		log:       log.With(zap.Stringer("addr", cfg.Internal)),
+		public:    public,
+		internal:  internal,
+		placer:    newPlacer(cfg.Zone),
+		addresses: &addresses{},
+		metrics:   newMetrics(reg),
+		reg:       reg,
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	if err := b.provision(); err != nil {
+	if err := b.createParts(); err != nil {
 		b.Close()
 		return nil, err
 	}
 	return b, nil
 }
 
-func (b *Balancer) provision() error {
-	f, err := NewForwarder(b.cfg.Keys, b.address, b.places, b.cfg.Internal)
+// createParts creates the data plane, the control loop and the bulk port.
+func (b *Balancer) createParts() error {
+	f, err := NewForwarder(b.cfg.Keys, b.addresses, b.placer, b.cfg.Internal)
 	if err != nil {
 		return err
 	}
-	if b.data, err = newDataplane(b.cfg.Keys, b.public, b.internal, f, b.places, b.metrics); err != nil {
+	if b.data, err = newDataplane(b.cfg.Keys, b.public, b.internal, f, b.placer, b.metrics); err != nil {
 		return err
 	}
-	b.data.clock = &b.places.clock
-	if f.traces, err = newFlowTracer(b.cfg.Traces, b.cfg.Keys, b.cfg.Internal, &b.places.clock, b.reg); err != nil {
+	b.data.clock = &b.placer.clock
+	if f.traces, err = newFlowTracer(b.cfg.Traces, b.cfg.Keys, b.cfg.Internal, &b.placer.clock, b.reg); err != nil {
 		return err
 	}
-	if b.control, err = newDuty(b); err != nil {
+	if b.control, err = newControlLoop(b); err != nil {
 		return err
 	}
 	b.bulk, err = bulk.Listen(b.cfg.Keys, bulkAddr(b.cfg.Internal), b.serveBulk)
 	return err
 }
 
-// Public returns the socket's address that callers use.
+// Public returns the address of the public socket, which callers use.
 func (b *Balancer) Public() netip.AddrPort { return b.cfg.Public }
 
-// Internal returns the address that other processes use.
+// Internal returns the address of the internal socket, which other processes use.
 func (b *Balancer) Internal() netip.AddrPort { return b.cfg.Internal }
 
-// Revision returns the catalogue revision in force, 0 for none.
+// Revision returns the catalogue revision in force, or 0 if there is none.
 func (b *Balancer) Revision() uint64 {
 	if d := b.digest.Load(); d != nil {
 		return d.Revision
@@ -126,26 +127,27 @@
 	return 0
 }
 
-// Ready reports whether the balancer knows the catalogue, or at least the
-// entries of agents.
-func (b *Balancer) Ready() bool { return b.digest.Load() != nil || b.interim.Load() }
+// Ready reports whether the balancer has the catalogue or, without it, an agent's copy of a
+// catalogue entry.
+func (b *Balancer) Ready() bool { return b.digest.Load() != nil || b.usesInterim.Load() }
 
-// AgentsReady returns how many agents take new flows.
+// AgentsReady returns the number of agents that accept new flows.
 func (b *Balancer) AgentsReady() int { return int(b.agentsReady.Load()) }
 
-func (b *Balancer) announce(s membership.State) {
+// setState makes the control loop announce a new state of this balancer.
+func (b *Balancer) setState(s membership.State) {
 	select {
-	case b.control.states <- s:
+	case b.control.stateChanges <- s:
 	case <-b.ctx.Done():
 	}
 }
 
-// Run does the balancer's duties until Close.
+// Run runs the balancer's loops until Close.
 func (b *Balancer) Run() error {
 	var g run.Group
 	stop := func(error) { b.Close() }
-	g.Add(b.data.inward, stop)
-	g.Add(b.data.outward, stop)
+	g.Add(b.data.receiveFromCallers, stop)
+	g.Add(b.data.receiveFromAgents, stop)
 	g.Add(func() error { b.control.run(b.ctx); return nil }, stop)
 	g.Add(b.bulk.Serve, stop)
 	if t := b.data.forwarder.traces; t != nil {
@@ -154,17 +156,17 @@
 	return g.Run()
 }
 
-// Drain announces that the balancer leaves and goes on forwarding for
-// Config.Linger, in which the fabric stops handing it packets.
+// Drain announces that the balancer leaves and continues to forward for Config.Linger, in
+// which the fabric stops sending it packets.
 func (b *Balancer) Drain(ctx context.Context) {
-	b.announce(membership.StateLeaving)
+	b.setState(membership.StateLeaving)
 	select {
 	case <-time.After(b.cfg.Linger):
 	case <-ctx.Done():
 	}
 }
 
-// Close ends the balancer at once.
+// Close stops the balancer at once.
 func (b *Balancer) Close() {
 	b.closeOnce.Do(func() {
 		b.cancel()
@@ -176,7 +178,7 @@
 	})
 }
 
-// Status is what the admin page /catalogue tells.
+// Status is the response of the admin page /catalogue.
 type Status struct {
 	Node     string `json:"node"`
 	Role     string `json:"role"`
@@ -185,7 +187,7 @@
 	Checksum string `json:"checksum"`
 }
 
-// ServeStatus answers the admin page /catalogue.
+// ServeStatus serves the admin page /catalogue.
 func (b *Balancer) ServeStatus(w http.ResponseWriter, _ *http.Request) {
 	s := Status{Node: b.cfg.Internal.String(), Role: "balancer", Zone: b.cfg.Zone}
 	if d := b.digest.Load(); d != nil {
--- a/internal/balancer/dataplane.go
+++ b/internal/balancer/dataplane.go
@@ -9,24 +9,23 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// controlRing is how many control datagrams may wait for the control duty.
-// When it is full the newest is dropped and counted: every control message is
-// repeated or repaired by its protocol, and blocking would stop the packets
-// of all flows.
-const controlRing = 1024
+// controlQueueSize is the number of control datagrams that may wait for the control loop.
+// When the queue is full, the newest datagram is dropped and counted: the protocols of all
+// control messages recover from losses, while blocking would stop the packets of all flows.
+const controlQueueSize = 1024
 
-// LoadObserver is told the occupancy that agents report on return datagrams.
+// LoadObserver receives the occupancy that agents report in return datagrams.
 type LoadObserver interface {
 	Observe(service uint32, agent netip.AddrPort, load byte)
 }
 
-// dataplane moves packets between the public socket, which callers reach
-// through the fabric, and the internal one, which agents reach.
+// dataplane forwards packets between the public socket, which receives callers' packets
+// from the fabric, and the internal socket, which receives agents' datagrams.
 type dataplane struct {
 	public    *udp.Conn
 	internal  *udp.Conn
 	forwarder *Forwarder
-	codec     *frame.Codec // of the outward duty
+	codec     *frame.Codec // used only by receiveFromAgents
 	observer  LoadObserver
 	control   chan control.Datagram
 	metrics   *metrics
@@ -44,31 +43,31 @@
 		forwarder: f,
 		codec:     codec,
 		observer:  o,
-		control:   make(chan control.Datagram, controlRing),
+		control:   make(chan control.Datagram, controlQueueSize),
 		metrics:   m,
 		clock:     &batchClock{},
 	}, nil
 }
 
-// inward is the duty that carries caller packets to agents. It returns when
+// receiveFromCallers is the loop that forwards callers' packets to agents. It returns when
 // the public socket is closed.
-func (d *dataplane) inward() error {
+func (d *dataplane) receiveFromCallers() error {
 	r := udp.NewReader(d.public)
 	w := udp.NewWriter(d.internal)
 	for {
-		if _, err := d.inwardBatch(r, w); err != nil {
+		if _, err := d.forwardBatch(r, w); err != nil {
 			return udp.IgnoreClosed(err)
 		}
 	}
 }
 
-// inwardBatch carries one batch of caller packets and returns its length.
-func (d *dataplane) inwardBatch(r *udp.Reader, w *udp.Writer) (n int, err error) {
+// forwardBatch forwards one batch of callers' packets and returns the number of packets.
+func (d *dataplane) forwardBatch(r *udp.Reader, w *udp.Writer) (n int, err error) {
 	n, err = r.Read()
 	if err != nil {
 		return 0, err
 	}
-	d.clock.tick()
+	d.clock.update()
 	for i := range n {
 		d.forward(r, w, i)
 	}
@@ -76,6 +75,7 @@
 	return n, nil
 }
 
+// forward queues the i-th packet of the batch for its agent, or drops and counts it.
 func (d *dataplane) forward(r *udp.Reader, w *udp.Writer, i int) {
 	address, ok := r.Destination(i)
 	if !ok || r.Truncated(i) {
@@ -91,9 +91,9 @@
 	w.Add(b, agent, netip.Addr{})
 }
 
-// outward is the duty that carries agents' packets to callers and passes
-// control datagrams on. It returns when the internal socket is closed.
-func (d *dataplane) outward() error {
+// receiveFromAgents is the loop that forwards agents' packets to callers and passes control
+// datagrams to the control loop. It returns when the internal socket is closed.
+func (d *dataplane) receiveFromAgents() error {
 	r := udp.NewReader(d.internal)
 	w := udp.NewWriter(d.public)
 	var h frame.Header
@@ -102,32 +102,35 @@
 		if err != nil {
 			return udp.IgnoreClosed(err)
 		}
-		d.clock.tick()
+		d.clock.update()
 		for i := range n {
-			d.giveBack(r, w, i, &h)
+			d.returnPacket(r, w, i, &h)
 		}
 		d.metrics.sendErrors.Add(float64(w.Flush()))
 	}
 }
 
-func (d *dataplane) giveBack(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
+// returnPacket handles the i-th datagram of the batch: an agent's packet for a caller or a
+// control datagram.
+func (d *dataplane) returnPacket(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
-		d.passControl(r.Source(i), b)
+		d.queueControl(r.Source(i), b)
 		return
 	}
 	if r.Truncated(i) || !d.codec.Get(b, h) || h.Kind != frame.KindReturn || len(b) == frame.Len {
-		d.metrics.strangers.Inc()
+		d.metrics.unknownDatagrams.Inc()
 		return
 	}
 	agent := r.Source(i)
-	d.forwarder.peers.saw(agent, h.Seq)
+	d.forwarder.sequences.record(agent, h.Seq)
 	d.observer.Observe(h.Service, agent, h.Load)
 	d.metrics.returned.Inc()
 	w.Add(b[frame.Len:], h.Caller, h.Address)
 }
 
-func (d *dataplane) passControl(from netip.AddrPort, b []byte) {
+// queueControl copies a control datagram into the queue of the control loop.
+func (d *dataplane) queueControl(from netip.AddrPort, b []byte) {
 	data := append([]byte(nil), b...)
 	select {
 	case d.control <- control.Datagram{From: from, Data: data}:
--- a/internal/flowagent/relay_bench_test.go
+++ b/internal/flowagent/relay_bench_test.go
@@ -22,9 +22,9 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// BenchmarkRelay compares the agent's way of a caller's packet (batch read,
+// BenchmarkRelay compares the agent's path of a caller's packet (batch read,
 // frame, header, Gate, batch write to the server) with a bare loop that writes
-// what it read.
+// the packets it reads.
 func BenchmarkRelay(b *testing.B) {
 	for _, size := range []int{100, 1200} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchRelay(b, size) })
@@ -40,13 +40,13 @@
 	for i := range relayFlows {
 		caller := netip.AddrPortFrom(loopback.Addr(), uint16(1000+i))
 		service := netip.MustParseAddrPort("198.18.0.1:443")
-		a.learn(b, (&standin.Header{Src: service, Dst: caller, Flags: standin.FlagAck}).Encode())
+		a.receiveFromServer(b, (&standin.Header{Src: service, Dst: caller, Flags: standin.FlagAck}).Encode())
 		h := standin.Header{Src: caller, Dst: service, Flags: standin.FlagAck, Data: make([]byte, size-platform.HeaderSize)}
 		packets = append(packets, append(pass[:len(pass):len(pass)], h.Encode()...))
 	}
 	r, out := udp.NewReader(a.messages), a.output()
 	whole := &relay.Relay{To: a.messages.LocalAddr(), Step: func() int {
-		n, err := a.balancersBatch(r, out)
+		n, err := a.receiveBalancerBatch(r, out)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 
 type benchAgent struct{ *Agent }
 
-// newBenchAgent returns an agent beside a server that takes packets at server.
+// newBenchAgent returns an agent whose server receives packets at the given address.
 func newBenchAgent(b *testing.B, server netip.AddrPort) benchAgent {
 	b.Helper()
 	a, err := New(Config{
@@ -72,18 +72,19 @@
 	b.Cleanup(func() {
 		a.messages.Close()
 		a.server.Close()
-		a.control.Close()
-		a.pages.Close()
+		a.controlListener.Close()
+		a.readinessListener.Close()
 	})
 	return benchAgent{a}
 }
 
-// learn has the agent see a packet that the server sends on a flow.
-func (a benchAgent) learn(b *testing.B, packet []byte) {
+// receiveFromServer processes a packet of a flow from the server, which makes the agent
+// record that the server holds the flow.
+func (a benchAgent) receiveFromServer(b *testing.B, packet []byte) {
 	b.Helper()
 	s, ok := a.cfg.Codec.FromServer(packet)
 	if !ok {
-		b.Fatal("not a server's packet")
+		b.Fatal("the codec does not decode the server's packet")
 	}
 	a.gate.FromServer(node.Now(), s, packet)
 	a.gate.Effects()
--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -1,11 +1,12 @@
-// Package flowbalancer is the balancer of packet flows: it carries out what a
-// flow.Director decides.
+// Package flowbalancer implements the balancer of packet flows. It connects a
+// flow.Director to sockets, the store, logs and metrics.
 //
-// Its duties are goroutines: one reads callers' packets, one reads messages of
-// agents and other balancers, one ticks, one follows the configuration, one tells
-// it to other balancers, one answers the routers and one introduces the process in
-// the store. A mutex guards the Director; what it decides is copied
-// into a duty's own output before the mutex is released.
+// Each loop runs in its own goroutine: one reads callers' packets, one reads messages
+// of agents and other balancers, one runs the Director's timers, one follows the
+// operator's orders, one serves them to other balancers, one answers the routers'
+// readiness checks and one keeps the process registered in the store. A mutex guards the
+// Director; its effects are copied into the output of the calling loop before the mutex
+// is released.
 package flowbalancer
 
 import (
@@ -31,79 +32,79 @@
 	"github.com/hemlockscale/hemlockscale/propagation"
 )
 
-// Config sets up a Balancer.
+// Config holds the settings and dependencies of a Balancer.
 type Config struct {
 	Settings node.Settings
-	Director flow.DirectorConfig // Zone, Regions and MaxAge are filled in
+	Director flow.DirectorConfig // New sets Zone, Regions, MaxAge and Link
 	Codec    node.PacketCodec
 	Store    node.Store
-	// Orders says where the operator's orders lie in the store, and ParseConfig reads
-	// the configuration among them. Parts that can't be read are returned as errors.
+	// Orders holds the store keys of the operator's orders. ParseConfig decodes the
+	// configuration, which is part of them. Parts that can't be decoded are returned as errors.
 	Orders      node.OrderKeys
 	ParseConfig func([]byte) (*flow.Routes, []error)
-	// Readiness builds the page that routers ask.
+	// Readiness returns the handler of the routers' readiness checks.
 	Readiness func(ready func() bool) http.Handler
-	Traces    *tracing.Provider // nil is off
+	Traces    *tracing.Provider // nil turns tracing off
 }
 
 const (
-	// quietBeforeEnd is the time without a caller's packet after which a
-	// balancer that stops has been left by the routers.
-	quietBeforeEnd = 400 * time.Millisecond
-	// leastLinger is the time that routers need to notice that a balancer is
-	// not ready: two questions half a second apart, and one more.
-	leastLinger = 1500 * time.Millisecond
-	// readHeaderTimeout bounds how long a caller of the readiness page may take.
+	// drainQuietTime is the time without a packet from a caller after which a draining
+	// balancer assumes that the routers no longer send it packets.
+	drainQuietTime = 400 * time.Millisecond
+	// minDrainTime is the time that routers need to detect that a balancer is not
+	// ready: they check twice, half a second apart, plus one check as a margin.
+	minDrainTime = 1500 * time.Millisecond
+	// readHeaderTimeout bounds the time in which a client must send its request header.
 	readHeaderTimeout = 5 * time.Second
 )
 
 // Balancer is one balancer process.
 type Balancer struct {
-	cfg        Config
-	log        *zap.Logger
-	callers    *udp.Conn
-	internal   *udp.Conn
-	pages      net.Listener
-	shared     net.Listener // where other balancers ask for the configuration
-	follower   *node.Follower
-	introducer *node.Registrar
-	inForce    node.Orders // used by the follower alone, one call at a time
-	readiness  *node.Readiness
-	tracer     *tracer // used under mu
-	wrongKeys  prometheus.Counter
+	cfg               Config
+	log               *zap.Logger
+	callers           *udp.Conn
+	internal          *udp.Conn
+	readinessListener net.Listener
+	ordersListener    net.Listener // on which other balancers fetch the operator's orders
+	follower          *node.Follower
+	registrar         *node.Registrar
+	inForce           node.Orders // orders in force; only the follower's goroutine uses it
+	readiness         *node.Readiness
+	tracer            *tracer // guarded by mu
+	invalidKeys       prometheus.Counter
 
-	mu       sync.Mutex
-	era      store.Era // of the store, by the orders in force
-	director *flow.Director
-	plan     *propagation.Node // how the configuration gets here and on to others
+	mu         sync.Mutex
+	era        store.Era // store era of the orders in force
+	director   *flow.Director
+	propagator *propagation.Node // decides when the orders are read, fetched and announced
 
-	stopping   atomic.Bool
-	saidReady  atomic.Bool   // what the readiness page said last
-	watches    atomic.Bool   // whether this process watched the store for all when that was logged
-	callerAt   atomic.Int64  // node.Now of the last caller's packet, in ns
-	due        chan struct{} // the follower may have something to do
-	kick       chan struct{}
-	sleepUntil atomic.Int64 // node.Now until which the ticking duty sleeps, in ns
-	ctx        context.Context
-	cancel     context.CancelFunc
+	stopping         atomic.Bool
+	loggedReady      atomic.Bool   // readiness as last logged
+	loggedWatcher    atomic.Bool   // whether this process was the watcher when that was last logged
+	lastCallerPacket atomic.Int64  // node.Now of the latest packet from a caller, in ns
+	followerDue      chan struct{} // signalled when the follower may have a call or fetch to make
+	wakeup           chan struct{}
+	sleepUntil       atomic.Int64 // node.Now until which the timer loop sleeps, in ns
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
-// New opens the sockets of a balancer.
+// New returns a balancer with open sockets.
 func New(cfg Config, log *zap.Logger, reg prometheus.Registerer) (*Balancer, error) {
 	cfg.Director.Zone = cfg.Settings.Zone
 	cfg.Director.Regions = cfg.Settings.Zones
 	cfg.Director.MaxAge = cfg.Settings.MaxFlowAge
 	cfg.Director.Link = cfg.Settings.LinkRate
-	b := &Balancer{cfg: cfg, log: log, due: make(chan struct{}, 1), kick: make(chan struct{}, 1)}
+	b := &Balancer{cfg: cfg, log: log, followerDue: make(chan struct{}, 1), wakeup: make(chan struct{}, 1)}
 	spans, err := node.NewSpans(cfg.Traces)
 	if err != nil {
 		return nil, err
 	}
-	b.plan = propagation.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	b.propagator = propagation.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	b.tracer = newTracer(log, b.addr(), spans, reg)
 	b.director = flow.NewDirector(node.Now(), cfg.Director, b.tracer)
 	b.readiness = node.NewReadiness(reg)
-	b.introduceSeeds(cfg.Settings.Seeds)
+	b.addSeeds(cfg.Settings.Seeds)
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	if b.callers, err = udp.Listen(cfg.Settings.Packets); err != nil {
 		return nil, err
@@ -111,15 +112,15 @@
 	if b.internal, err = udp.Listen(b.addr()); err != nil {
 		return nil, err
 	}
-	if b.shared, err = net.Listen("tcp4", b.addr().String()); err != nil {
+	if b.ordersListener, err = net.Listen("tcp4", b.addr().String()); err != nil {
 		return nil, err
 	}
-	if b.pages, err = net.Listen("tcp4", cfg.Settings.Readiness.String()); err != nil {
+	if b.readinessListener, err = net.Listen("tcp4", cfg.Settings.Readiness.String()); err != nil {
 		return nil, err
 	}
 	b.follower = b.newFollower()
-	b.wrongKeys = node.NewInvalidKeys(reg)
-	b.introducer = b.newIntroducer()
+	b.invalidKeys = node.NewInvalidKeys(reg)
+	b.registrar = b.newRegistrar()
 	registerMetrics(reg, b)
 	return b, nil
 }
@@ -128,16 +129,16 @@
 	return netip.AddrPortFrom(b.cfg.Settings.IP, b.cfg.Settings.InternalPort)
 }
 
-// Ready reports whether the routers should hand packets to this process.
+// Ready reports whether routers should send packets to this process.
 func (b *Balancer) Ready() bool {
 	if b.stopping.Load() {
 		return false
 	}
 	b.mu.Lock()
-	ready, known := b.director.Ready(), b.director.Stats()
+	ready, stats := b.director.Ready(), b.director.Stats()
 	b.mu.Unlock()
-	if b.saidReady.Swap(ready) != ready {
-		b.log.Info("readiness", zap.Bool("ready", ready), zap.Int("agents", known.Agents), zap.Int("agents_ready", known.Ready))
+	if b.loggedReady.Swap(ready) != ready {
+		b.log.Info("readiness", zap.Bool("ready", ready), zap.Int("agents", stats.Agents), zap.Int("agents_ready", stats.Ready))
 	}
 	return ready
 }
@@ -146,12 +147,12 @@
 func (b *Balancer) Run() error {
 	var g run.Group
 	g.Add(b.readCallers, func(error) { b.callers.Close() })
-	g.Add(b.readAgents, func(error) { b.internal.Close() })
+	g.Add(b.readInternal, func(error) { b.internal.Close() })
 	g.Add(b.tick, func(error) { b.cancel() })
 	b.addFollower(&g)
-	b.addIntroducer(&g)
-	b.addShared(&g)
-	b.addPages(&g)
+	b.addRegistrar(&g)
+	b.addOrdersServer(&g)
+	b.addReadinessServer(&g)
 	return g.Run()
 }
 
@@ -161,20 +162,19 @@
 	defer b.mu.Unlock()
 	b.director.SetMaxAge(s.MaxFlowAge)
 	b.director.SetRegions(s.Zones)
-	b.introduceSeeds(s.Seeds)
+	b.addSeeds(s.Seeds)
 }
 
 // Beliefs implements process.Part.
 func (b *Balancer) Beliefs() node.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.director.Snapshot(node.Now())
-	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &now}
+	snapshot := b.director.Snapshot(node.Now())
+	return node.Snapshot{VM: b.cfg.Settings.Name, Role: node.RoleBalancer, Zone: b.cfg.Settings.Zone, Balancer: &snapshot}
 }
 
-// introduceSeeds makes the balancers known that the settings name, with b.mu
-// held.
-func (b *Balancer) introduceSeeds(seeds []netip.Addr) {
+// addSeeds adds the balancers named in the settings. The caller holds b.mu, except in New.
+func (b *Balancer) addSeeds(seeds []netip.Addr) {
 	for _, seed := range seeds {
 		if seed != b.cfg.Settings.IP {
 			b.director.AddBalancer(netip.AddrPortFrom(seed, b.cfg.Settings.InternalPort))
@@ -185,12 +185,12 @@
 // Close implements daemon.Part.
 func (b *Balancer) Close() { b.cancel() }
 
-// Drain implements daemon.Part: the balancer says at once that it is not ready
-// and forwards until the routers hand it nothing any more.
+// Drain implements daemon.Part. The balancer reports at once that it is not ready, and
+// forwards packets until the routers send it none.
 func (b *Balancer) Drain(ctx context.Context) {
 	b.stopping.Store(true)
 	start := node.Now()
-	t := time.NewTicker(quietBeforeEnd / 4)
+	t := time.NewTicker(drainQuietTime / 4)
 	defer t.Stop()
 	for {
 		select {
@@ -199,19 +199,21 @@
 		case <-t.C:
 		}
 		now := node.Now()
-		quiet := now.Sub(time.Unix(0, b.callerAt.Load()))
-		if now.Sub(start) >= leastLinger && quiet >= quietBeforeEnd {
+		quiet := now.Sub(time.Unix(0, b.lastCallerPacket.Load()))
+		if now.Sub(start) >= minDrainTime && quiet >= drainQuietTime {
 			return
 		}
 	}
 }
 
+// output returns an output for one loop.
 func (b *Balancer) output() *node.Output {
 	return node.NewOutput(b.internal, b.cfg.Codec, b.cfg.Settings.Packets.Port(), netip.AddrPort{})
 }
 
-// decide runs f on the Director and copies what it decided to out.
-func (b *Balancer) decide(out *node.Output, f func(d *flow.Director, now time.Time)) {
+// update runs f on the Director and copies the Director's effects to out. The timer loop
+// is woken if a timer is now due earlier.
+func (b *Balancer) update(out *node.Output, f func(d *flow.Director, now time.Time)) {
 	now := node.Now()
 	b.mu.Lock()
 	f(b.director, now)
@@ -223,32 +225,32 @@
 	}
 }
 
-// wake has the ticking duty look at once what is due.
+// wake makes the timer loop run the due timers at once.
 func (b *Balancer) wake() {
 	select {
-	case b.kick <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// readCallers is the duty that takes callers' packets.
+// readCallers is the loop that receives callers' packets.
 func (b *Balancer) readCallers() error {
 	r, out := udp.NewReader(b.callers), b.output()
 	for {
-		if _, err := b.callersBatch(r, out); err != nil {
+		if _, err := b.receiveCallerBatch(r, out); err != nil {
 			return udp.IgnoreClosed(err)
 		}
 	}
 }
 
-// callersBatch takes what one read brings and returns the number of packets.
-func (b *Balancer) callersBatch(r *udp.Reader, out *node.Output) (int, error) {
+// receiveCallerBatch reads and processes one batch of packets and returns their number.
+func (b *Balancer) receiveCallerBatch(r *udp.Reader, out *node.Output) (int, error) {
 	n, err := r.Read()
 	if err != nil {
 		return 0, err
 	}
-	b.decide(out, func(d *flow.Director, now time.Time) {
-		b.callerAt.Store(now.UnixNano())
+	b.update(out, func(d *flow.Director, now time.Time) {
+		b.lastCallerPacket.Store(now.UnixNano())
 		for i := range n {
 			packet := r.Datagram(i)
 			if s, ok := b.cfg.Codec.FromCaller(packet); ok && !r.Truncated(i) {
@@ -261,17 +263,17 @@
 	return n, nil
 }
 
-// readAgents is the duty that takes agents' messages.
-func (b *Balancer) readAgents() error {
+// readInternal is the loop that receives messages of agents and other balancers.
+func (b *Balancer) readInternal() error {
 	r, out := udp.NewReader(b.internal), b.output()
 	for {
 		n, err := r.Read()
 		if err != nil {
 			return udp.IgnoreClosed(err)
 		}
-		b.decide(out, func(d *flow.Director, now time.Time) {
+		b.update(out, func(d *flow.Director, now time.Time) {
 			for i := range n {
-				b.fromAgent(d, now, r.Source(i), r.Datagram(i), out)
+				b.receiveMessage(d, now, r.Source(i), r.Datagram(i), out)
 				out.Add(d.Effects())
 			}
 		})
@@ -280,7 +282,9 @@
 	}
 }
 
-func (b *Balancer) fromAgent(d *flow.Director, now time.Time, from netip.AddrPort, datagram []byte, out *node.Output) {
+// receiveMessage processes one datagram of an agent or another balancer and adds effects to
+// out. The caller holds b.mu.
+func (b *Balancer) receiveMessage(d *flow.Director, now time.Time, from netip.AddrPort, datagram []byte, out *node.Output) {
 	m, packet, ok := flowframe.Decode(datagram)
 	if !ok {
 		return
@@ -288,7 +292,7 @@
 	if m.Kind.BetweenBalancers() {
 		d.FromBalancer(now, from, &m, packet)
 		if m.Kind == flow.Configured {
-			b.onDigest(now, from, &m, packet, out)
+			b.receiveDigest(now, from, &m, packet, out)
 		}
 		return
 	}
@@ -301,12 +305,12 @@
 	}
 }
 
-// tick is the duty that does what is due by time alone.
+// tick is the timer loop: it runs the Director's timers and writes the bundled log lines.
 func (b *Balancer) tick() error {
 	out := b.output()
 	for {
 		var next time.Time
-		b.decide(out, func(d *flow.Director, now time.Time) {
+		b.update(out, func(d *flow.Director, now time.Time) {
 			d.Tick(now)
 			b.tracer.flush(now)
 			next = d.NextTick(now)
@@ -317,40 +321,41 @@
 		select {
 		case <-b.ctx.Done():
 			return nil
-		case <-b.kick:
+		case <-b.wakeup:
 		case <-time.After(next.Sub(node.Now())):
 		}
 	}
 }
 
-func (b *Balancer) newIntroducer() *node.Registrar {
+func (b *Balancer) newRegistrar() *node.Registrar {
 	return &node.Registrar{
 		Self:        node.Peer{Role: node.RoleBalancer, Addr: b.addr(), Zone: b.cfg.Settings.Zone},
 		Store:       b.cfg.Store,
-		PeersListed: b.introduce,
-		InvalidKeys: b.wrongKeys,
+		PeersListed: b.addPeers,
+		InvalidKeys: b.invalidKeys,
 		Log:         b.log,
 
 		StoreRestored: b.storeRestored,
 	}
 }
 
-// storeRestored notes what an answer of the store told this balancer beside the operator's
-// orders: there is a newer version of them.
+// storeRestored records that a response of the store to the registrar shows a later store
+// era: there is a version of the operator's orders that is newer than the known one.
 func (b *Balancer) storeRestored(version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.plan.ObserveRevision(node.Now(), version)
+	b.propagator.ObserveRevision(node.Now(), version)
 }
 
-func (b *Balancer) addIntroducer(g *run.Group) {
-	g.Add(func() error { return b.introducer.Run(b.ctx) }, func(error) { b.cancel() })
+func (b *Balancer) addRegistrar(g *run.Group) {
+	g.Add(func() error { return b.registrar.Run(b.ctx) }, func(error) { b.cancel() })
 }
 
-// introduce makes the agents known that the store names, and greets new ones.
-func (b *Balancer) introduce(peers []node.Peer) {
+// addPeers adds the processes registered in the store. The Director sends hello messages to
+// new agents.
+func (b *Balancer) addPeers(peers []node.Peer) {
 	out := b.output()
-	b.decide(out, func(d *flow.Director, now time.Time) {
+	b.update(out, func(d *flow.Director, now time.Time) {
 		for _, p := range peers {
 			switch p.Role {
 			case node.RoleAgent:
@@ -363,10 +368,10 @@
 		d.Tick(now)
 	})
 	out.Flush()
-	b.propagate(out) // there may be somebody to ask only now
+	b.propagate(out) // a pending fetch may have waited for a first known balancer
 }
 
-func (b *Balancer) addPages(g *run.Group) {
+func (b *Balancer) addReadinessServer(g *run.Group) {
 	s := &http.Server{Handler: b.cfg.Readiness(b.Ready), ReadHeaderTimeout: readHeaderTimeout}
-	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.pages)) }, func(error) { s.Close() })
+	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.readinessListener)) }, func(error) { s.Close() })
 }
--- a/internal/flowbalancer/relay_bench_test.go
+++ b/internal/flowbalancer/relay_bench_test.go
@@ -24,9 +24,9 @@
 	loopback     = netip.MustParseAddrPort("127.0.0.1:0")
 )
 
-// BenchmarkRelay compares the balancer's way of a packet of a known flow (batch
-// read, header, Director, frame, batch write) with a bare loop that writes what
-// it read.
+// BenchmarkRelay compares the balancer's path of a packet of a known flow (batch
+// read, header, Director, frame, batch write) with a bare loop that writes the packets
+// it reads.
 func BenchmarkRelay(b *testing.B) {
 	for _, size := range []int{100, 1200} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchRelay(b, size) })
@@ -42,14 +42,14 @@
 	for i := range relayFlows {
 		h := standin.Header{Src: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)), Dst: relayService}
 		h.Flags = standin.FlagSyn
-		l.open(b, agent, h.Encode())
+		l.openFlow(b, agent, h.Encode())
 		h.Flags = standin.FlagAck
 		h.Data = make([]byte, size-platform.HeaderSize)
 		packets = append(packets, h.Encode())
 	}
 	r, out := udp.NewReader(l.callers), l.output()
 	whole := &relay.Relay{To: l.callers.LocalAddr(), Step: func() int {
-		n, err := l.callersBatch(r, out)
+		n, err := l.receiveCallerBatch(r, out)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 
 type benchBalancer struct{ *Balancer }
 
-// newBenchBalancer returns a balancer that knows one agent.
+// newBenchBalancer returns a balancer with one known agent, which accepts new flows.
 func newBenchBalancer(b *testing.B, agent netip.AddrPort) benchBalancer {
 	b.Helper()
 	l, err := New(Config{
@@ -74,20 +74,20 @@
 	b.Cleanup(func() {
 		l.callers.Close()
 		l.internal.Close()
-		l.pages.Close()
-		l.shared.Close()
+		l.readinessListener.Close()
+		l.ordersListener.Close()
 	})
 	l.director.SetRoutes(flow.NewRoutes(1, 0, map[netip.AddrPort]flow.Route{relayService: {Service: flow.IDOf("listing")}}))
 	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Report, State: flow.ServerReady, Service: flow.IDOf("listing")}, nil, nil)
 	return benchBalancer{l}
 }
 
-// open has the agent take the flow that the packet opens.
-func (l benchBalancer) open(b *testing.B, agent netip.AddrPort, packet []byte) {
+// openFlow processes a flow's first packet and the agent's acceptance of the flow.
+func (l benchBalancer) openFlow(b *testing.B, agent netip.AddrPort, packet []byte) {
 	b.Helper()
 	s, ok := l.cfg.Codec.FromCaller(packet)
 	if !ok {
-		b.Fatal("not a caller's packet")
+		b.Fatal("the codec does not decode the caller's packet")
 	}
 	l.director.FromCaller(node.Now(), s, packet)
 	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Taken, State: flow.ServerReady, Service: flow.IDOf("listing"), Key: s.Key}, nil, nil)
