--- a/internal/store/backoff.go
+++ b/internal/store/backoff.go
@@ -25,13 +25,13 @@
 	}
 	b.failures++
 	half := min(d, b.Max) / 2
-	return half + time.Duration(b.float()*float64(half))
+	return half + time.Duration(b.randomFloat()*float64(half))
 }
 
 // Reset starts again from Base after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-func (b *Backoff) float() float64 {
+func (b *Backoff) randomFloat() float64 {
 	if b.Rand == nil {
 		return rand.Float64()
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -27,18 +27,18 @@
 	DefaultWatchTimeout = 30 * time.Second
 )
 
-// answerLimit bounds an answer: a value of MaxValue in base64 and its frame.
-const answerLimit = 2 * MaxValue
+// maxResponseBytes bounds an answer: a value of MaxValue in base64 and its frame.
+const maxResponseBytes = 2 * MaxValue
 
-// unsentLimit bounds what the kernel holds of a request that the link has not taken yet, in
+// maxUnsentBytes bounds what the kernel holds of a request that the link has not taken yet, in
 // bytes. It would else hold a whole value, and show nothing of how far that is.
-const unsentLimit = 16 << 10
+const maxUnsentBytes = 16 << 10
 
-// limitUnsent sets TCP_NOTSENT_LOWAT.
-func limitUnsent(_, _ string, c syscall.RawConn) error {
+// setNotSentLowat sets TCP_NOTSENT_LOWAT.
+func setNotSentLowat(_, _ string, c syscall.RawConn) error {
 	var opt error
 	err := c.Control(func(fd uintptr) {
-		opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsentLimit)
+		opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsentBytes)
 	})
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 	if cfg.WatchTimeout <= 0 {
 		cfg.WatchTimeout = DefaultWatchTimeout
 	}
-	dialer := &net.Dialer{Timeout: cfg.Timeout, Control: limitUnsent}
+	dialer := &net.Dialer{Timeout: cfg.Timeout, Control: setNotSentLowat}
 	return &Client{
 		cfg: cfg,
 		http: &http.Client{
@@ -165,17 +165,17 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return k.failed(transfer.Err(ctx, err), sent.Load())
+		return k.callError(transfer.Err(ctx, err), sent.Load())
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(e.Body(resp.Body, resp.ContentLength), answerLimit))
+	raw, err := io.ReadAll(io.LimitReader(e.Body(resp.Body, resp.ContentLength), maxResponseBytes))
 	if err != nil {
-		return k.failed(transfer.Err(ctx, err), true)
+		return k.callError(transfer.Err(ctx, err), true)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return k.decode(raw, out)
 	}
-	return k.refused(resp, raw)
+	return k.statusError(resp, raw)
 }
 
 // request builds the HTTP request. net/http repeats a request by itself when
@@ -201,9 +201,9 @@
 	return req, nil
 }
 
-// failed types a call without a usable answer. Once a connection carried the
+// callError types a call without a usable answer. Once a connection carried the
 // request, a write may have taken effect.
-func (k call) failed(err error, sent bool) error {
+func (k call) callError(err error, sent bool) error {
 	if k.write && sent {
 		return &UnknownOutcomeError{Op: k.op, Key: k.key, Err: err}
 	}
@@ -215,18 +215,18 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return k.failed(fmt.Errorf("malformed answer: %w", err), true)
+		return k.callError(fmt.Errorf("malformed answer: %w", err), true)
 	}
 	return nil
 }
 
-// refused types an answer other than 200. Only an answer in the service's own
+// statusError types an answer other than 200. Only an answer in the service's own
 // words proves that a write did not run: a bare 5xx may come from a process in
 // between that gave up waiting.
-func (k call) refused(resp *http.Response, raw []byte) error {
+func (k call) statusError(resp *http.Response, raw []byte) error {
 	var body ErrorBody
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return k.failed(fmt.Errorf("status %s", resp.Status), true)
+		return k.callError(fmt.Errorf("status %s", resp.Status), true)
 	}
 	switch body.Code {
 	case CodeNotFound:
@@ -242,7 +242,7 @@
 	case CodeNotRun, CodeInvalid:
 		return &UnavailableError{Op: k.op, RetryAfter: retryAfter(resp), Err: errors.New(body.Detail)}
 	}
-	return k.failed(fmt.Errorf("status %s, code %q", resp.Status, body.Code), true)
+	return k.callError(fmt.Errorf("status %s, code %q", resp.Status, body.Code), true)
 }
 
 func retryAfter(resp *http.Response) time.Duration {
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func client(t *testing.T, url string) *Client {
+func newClient(t *testing.T, url string) *Client {
 	t.Helper()
 	c, err := New(Config{URL: url, Timeout: 5 * time.Second})
 	if err != nil {
@@ -52,7 +52,7 @@
 		}
 	}))
 	defer server.Close()
-	c := client(t, server.URL)
+	c := newClient(t, server.URL)
 	if _, err := c.Get(context.Background(), "a"); err != nil { // leaves a connection to reuse
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 				_, _ = io.WriteString(w, tt.body)
 			}))
 			defer server.Close()
-			_, err := client(t, server.URL).CompareAndSwap(context.Background(), "a", 1, nil, "")
+			_, err := newClient(t, server.URL).CompareAndSwap(context.Background(), "a", 1, nil, "")
 			if !errors.As(err, tt.want) {
 				t.Fatalf("got %T %v", err, err)
 			}
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	_, err = client(t, "http://"+l.Addr().String()).CompareAndSwap(context.Background(), "a", 1, nil, "")
+	_, err = newClient(t, "http://"+l.Addr().String()).CompareAndSwap(context.Background(), "a", 1, nil, "")
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) {
 		t.Fatalf("got %v", err)
@@ -130,8 +130,8 @@
 	}
 }
 
-// thinServer serves h over a link that carries bytesPerS, both ways.
-func thinServer(t *testing.T, bytesPerS int, h http.HandlerFunc) *Client {
+// clientOverSlowLink serves h over a link that carries bytesPerS, both ways.
+func clientOverSlowLink(t *testing.T, bytesPerS int, h http.HandlerFunc) *Client {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
 	s.Listener = platform.NewLink(bytesPerS).Listen(s.Listener)
@@ -147,9 +147,9 @@
 
 // Guards against a page of the catalogue that can't be read over a thin link, since it does
 // not arrive within a fixed time.
-func TestLargeValueIsReadOverThinLink(t *testing.T) {
+func TestLargeValueIsReadOverSlowLink(t *testing.T) {
 	want := make([]byte, MaxValue/2)
-	c := thinServer(t, 500_000, func(w http.ResponseWriter, _ *http.Request) {
+	c := clientOverSlowLink(t, 500_000, func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(ValueBody{Data: want, Version: 1}); err != nil {
 			t.Error(err)
 		}
@@ -162,10 +162,10 @@
 
 // Guards against an edit whose outcome stays unknown however often it is made: the link
 // does not carry its page within a fixed time.
-func TestLargeValueIsWrittenOverThinLink(t *testing.T) {
+func TestLargeValueIsWrittenOverSlowLink(t *testing.T) {
 	const part, partsPerS = 64 << 10, 16
 	pace := rate.NewLimiter(partsPerS, 1)
-	c := thinServer(t, 1<<20, func(w http.ResponseWriter, r *http.Request) {
+	c := clientOverSlowLink(t, 1<<20, func(w http.ResponseWriter, r *http.Request) {
 		for pace.Wait(r.Context()) == nil {
 			if _, err := io.CopyN(io.Discard, r.Body, part); err != nil {
 				break
@@ -181,8 +181,8 @@
 }
 
 // Guards against a service that stops in the middle of an answer, and holds its caller.
-func TestStalledAnswerIsGivenUp(t *testing.T) {
-	c := thinServer(t, 1<<20, func(w http.ResponseWriter, r *http.Request) {
+func TestStalledResponseTimesOut(t *testing.T) {
+	c := clientOverSlowLink(t, 1<<20, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -8,15 +8,15 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// followTick is how often a follower is asked for due calls.
-const followTick = 100 * time.Millisecond
+// followInterval is how often a follower is asked for due calls.
+const followInterval = 100 * time.Millisecond
 
 // Follow makes the calls of f until ctx ends, and returns its error. The
 // follower and its replica are touched only inside do, which must run the
 // function it is given before it returns, where nothing else touches them.
 func Follow(ctx context.Context, st catalogue.Store, f *catalogue.Follower, do func(func(now time.Time))) error {
 	results := make(chan catalogue.Result)
-	ticker := time.NewTicker(followTick)
+	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	var calls sync.WaitGroup
 	defer calls.Wait()
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -19,16 +19,16 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// request is an operation of the history: a read, a put of slots, or a
+// operation is an operation of the history: a read, a put of slots, or a
 // delete if slots is 0.
-type request struct {
+type operation struct {
 	service string
 	read    bool
 	slots   int
 }
 
-// answer is what its operator was told.
-type answer struct {
+// result is what its operator was told.
+type result struct {
 	slots   int  // of a read, 0 if there is no entry
 	refused bool // without effect
 	missing bool // refused because there is no entry
@@ -39,7 +39,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
 		for _, op := range history {
-			service := op.Input.(request).service
+			service := op.Input.(operation).service
 			parts[service] = append(parts[service], op)
 		}
 		var list [][]porcupine.Operation
@@ -50,7 +50,7 @@
 	},
 	Init: func() any { return 0 },
 	Step: func(state, in, out any) (bool, any) {
-		q, a := in.(request), out.(answer)
+		q, a := in.(operation), out.(result)
 		switch {
 		case q.read:
 			return a.slots == state.(int), state
@@ -104,7 +104,7 @@
 				Delay:      time.Duration(rng.IntN(2)) * time.Millisecond,
 			})
 		}
-		q := request{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
+		q := operation{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
 		if rng.IntN(4) > 0 {
 			q.slots = 1 + who*1000 + i
 		}
@@ -117,16 +117,16 @@
 	}
 }
 
-func (r *recorder) read(st catalogue.Store, q request, who int, call int64) {
+func (r *recorder) read(st catalogue.Store, q operation, who int, call int64) {
 	c, _, _, err := catalogue.Load(context.Background(), st)
 	if err != nil {
 		return
 	}
 	e, _ := c.Entry(q.service)
-	r.add(porcupine.Operation{ClientId: who, Input: q, Call: call, Output: answer{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
+	r.add(porcupine.Operation{ClientId: who, Input: q, Call: call, Output: result{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
 }
 
-func (r *recorder) write(t *testing.T, st catalogue.Store, q request, who int, call int64) {
+func (r *recorder) write(t *testing.T, st catalogue.Store, q operation, who int, call int64) {
 	edit := catalogue.Edit{Editor: "ayse", Owner: "kanatpar", Delete: []string{q.service}}
 	if q.slots > 0 {
 		e := catalogue.Entry{Service: q.service, Owner: "kanatpar", Class: catalogue.ClassStream, Limits: catalogue.Limits{Slots: q.slots}}
@@ -142,16 +142,16 @@
 	)
 	switch {
 	case err == nil:
-		op.Output = answer{}
+		op.Output = result{}
 		if len(a.Changes) == 0 { // the entry already said so
 			a.Edit = catalogue.EditID{}
 		}
 		r.add(op, a.Edit)
 		return
 	case errors.As(err, &unknown): // may take effect at any later time
-		op.Output, op.Return = answer{}, math.MaxInt64
+		op.Output, op.Return = result{}, math.MaxInt64
 	case errors.As(err, &refused):
-		op.Output = answer{refused: true, missing: errors.As(err, &missing)}
+		op.Output = result{refused: true, missing: errors.As(err, &missing)}
 	default:
 		t.Errorf("untyped error %v", err)
 		return
@@ -178,13 +178,13 @@
 		t.Fatalf("history of %d operations is %v", len(r.history), res)
 	}
 	s.SetFaults(standin.Faults{})
-	checkDense(t, hs.URL, r)
+	checkHistory(t, hs.URL, r)
 	t.Logf("%d operations, %d accepted edits, %d unknown", len(r.history), len(r.edits), r.unknown)
 }
 
-// checkDense reads the whole history: revisions without gaps, every accepted
+// checkHistory reads the whole history: revisions without gaps, every accepted
 // edit in it, each edit ID once.
-func checkDense(t *testing.T, url string, r *recorder) {
+func checkHistory(t *testing.T, url string, r *recorder) {
 	t.Helper()
 	client, err := store.New(store.Config{URL: url})
 	if err != nil {
