--- a/internal/store/backoff.go
+++ b/internal/store/backoff.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Backoff spaces the repeats of a failing call. The zero value is not usable;
-// set Base and Max.
+// Backoff computes the waits between retries of a failing call. Base and Max must be set.
 type Backoff struct {
 	Base time.Duration // wait after the first failure
 	Max  time.Duration // longest wait
-	Rand *rand.Rand    // jitter; the global source if nil
+	Rand *rand.Rand    // source of the jitter; the global source if nil
 
 	failures int
 }
 
-// Next returns the wait before the next attempt: a random part between half
-// and the whole of Base doubled once a failure, at most Max. The jitter keeps
-// processes that lost the service together from returning together.
+// Next returns the wait before the next attempt and counts a failure. The wait doubles from
+// Base with each failure up to Max, and is reduced at random by up to half. The jitter keeps
+// processes that lost the store at the same time from retrying at the same time.
 func (b *Backoff) Next() time.Duration {
 	d := b.Base
 	for i := 0; i < b.failures && d < b.Max; i++ {
@@ -28,7 +27,7 @@
 	return half + time.Duration(b.randomFloat()*float64(half))
 }
 
-// Reset starts again from Base after a success.
+// Reset sets the wait back to Base after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
 
 func (b *Backoff) randomFloat() float64 {
--- a/internal/store/catalogue.go
+++ b/internal/store/catalogue.go
@@ -7,8 +7,8 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// ForCatalogue returns the view of a store by which the catalogue is read and
-// edited.
+// ForCatalogue adapts a store to catalogue.Store, through which the catalogue is read and
+// edited. Its methods return *catalogue.StoreError.
 func ForCatalogue(s Interface) catalogue.Store { return catalogueStore{s} }
 
 type catalogueStore struct{ s Interface }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -27,11 +27,13 @@
 	DefaultWatchTimeout = 30 * time.Second
 )
 
-// maxResponseBytes bounds an answer: a value of MaxValue in base64 and its frame.
+// maxResponseBytes is the limit for a response body: a value of MaxValue in base64 and the
+// JSON around it.
 const maxResponseBytes = 2 * MaxValue
 
-// maxUnsentBytes bounds what the kernel holds of a request that the link has not taken yet, in
-// bytes. It would else hold a whole value, and show nothing of how far that is.
+// maxUnsentBytes is the limit for the request data that the kernel buffers before it is sent.
+// Without a limit the kernel would accept a whole value at once, and the progress of its
+// transfer could not be observed.
 const maxUnsentBytes = 16 << 10
 
 // setNotSentLowat sets TCP_NOTSENT_LOWAT.
@@ -46,18 +48,18 @@
 	return opt
 }
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
 	URL string // base URL such as http://10.0.0.1:7000
-	// Timeout is the time in which the answer to any call but Watch has to begin, and in
-	// which more of an answer has to arrive; default DefaultTimeout.
+	// Timeout is the time within which the response to any call but Watch has to begin, and
+	// the longest pause within a transfer; default DefaultTimeout.
 	Timeout time.Duration
-	// WatchTimeout is the time in which the answer to Watch has to begin: above the
-	// server's own wait; default DefaultWatchTimeout.
+	// WatchTimeout is the time within which the response to Watch has to begin. It has to be
+	// longer than the store holds a watch; default DefaultWatchTimeout.
 	WatchTimeout time.Duration
 }
 
-// Client is an Interface over HTTP/1.1. It is safe for concurrent use.
+// Client implements Interface over HTTP/1.1. It is safe for concurrent use.
 type Client struct {
 	cfg  Config
 	http *http.Client
@@ -65,11 +67,11 @@
 
 var _ Interface = (*Client)(nil)
 
-// New returns a client of the service at cfg.URL.
+// New returns a client of the store at cfg.URL.
 func New(cfg Config) (*Client, error) {
 	u, err := url.Parse(cfg.URL)
 	if err != nil || u.Scheme != "http" || u.Host == "" {
-		return nil, fmt.Errorf("store: URL %q is not of the form http://address:port; correct the setting", cfg.URL)
+		return nil, fmt.Errorf("store: URL %q is not of the form http://ADDRESS:PORT; correct the setting", cfg.URL)
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
@@ -82,13 +84,13 @@
 		cfg: cfg,
 		http: &http.Client{
 			Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute},
-			// A redirect would send the body of a write a second time.
+			// A redirect is not followed, because that would send the body of a write twice.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get implements Interface.
@@ -132,7 +134,7 @@
 	}, nil)
 }
 
-// Grant implements Interface. A lease whose grant was lost ends by itself.
+// Grant implements Interface. If the response is lost, the granted lease expires unused.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var body LeaseBody
 	err := c.do(ctx, call{op: "grant", path: PathGrant, timeout: c.cfg.Timeout, body: LeaseBody{TTL: ttl.Milliseconds()}}, &body)
@@ -144,14 +146,14 @@
 	return c.do(ctx, call{op: "renew", path: PathRenew, lease: lease, timeout: c.cfg.Timeout, body: LeaseBody{Lease: lease}}, nil)
 }
 
-// call is one exchange with the service.
+// call describes one request to the store.
 type call struct {
 	op, key, path string
 	body          any // nil for a GET
 	write         bool
 	expect, after uint64
 	lease         LeaseID
-	timeout       time.Duration // until the answer begins
+	timeout       time.Duration // until the response begins
 }
 
 func (c *Client) do(ctx context.Context, k call, out any) error {
@@ -178,11 +180,11 @@
 	return k.statusError(resp, raw)
 }
 
-// request builds the HTTP request. net/http repeats a request by itself when
-// a reused connection fails under it, if the method is idempotent or nothing
-// was written and the body can be had again. A compare-and-swap sent twice
-// would meet its own first write and report a conflict for an edit that is in
-// force. POST without GetBody is never repeated.
+// request builds the HTTP request. net/http retries a request by itself when a reused
+// connection fails, if the method is idempotent, or if nothing was written and the body can
+// be read again. A compare-and-swap sent twice would find the result of its own first write
+// and report a conflict although the edit is in force. A POST without GetBody is never
+// retried.
 func (c *Client) request(ctx context.Context, e *transfer.Exchange, k call) (*http.Request, error) {
 	if k.body == nil {
 		return http.NewRequestWithContext(ctx, http.MethodGet, c.cfg.URL+k.path, nil)
@@ -201,8 +203,9 @@
 	return req, nil
 }
 
-// callError types a call without a usable answer. Once a connection carried the
-// request, a write may have taken effect.
+// callError returns the error of a call without a usable response: *UnknownOutcomeError for a
+// write that may have taken effect because a connection was available to send it, otherwise
+// *UnavailableError.
 func (k call) callError(err error, sent bool) error {
 	if k.write && sent {
 		return &UnknownOutcomeError{Op: k.op, Key: k.key, Err: err}
@@ -215,14 +218,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return k.callError(fmt.Errorf("malformed answer: %w", err), true)
+		return k.callError(fmt.Errorf("malformed response: %w", err), true)
 	}
 	return nil
 }
 
-// statusError types an answer other than 200. Only an answer in the service's own
-// words proves that a write did not run: a bare 5xx may come from a process in
-// between that gave up waiting.
+// statusError returns the error of a response with a status other than 200. Only a response
+// with an ErrorBody of the store proves that a write had no effect: a 5xx without one may
+// come from a proxy that timed out.
 func (k call) statusError(resp *http.Response, raw []byte) error {
 	var body ErrorBody
 	if err := json.Unmarshal(raw, &body); err != nil {
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -8,12 +8,12 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// followInterval is how often a follower is asked for due calls.
+// followInterval is the interval at which a follower's due calls are collected.
 const followInterval = 100 * time.Millisecond
 
-// Follow makes the calls of f until ctx ends, and returns its error. The
-// follower and its replica are touched only inside do, which must run the
-// function it is given before it returns, where nothing else touches them.
+// Follow makes the calls of f until ctx ends, and returns ctx.Err(). It accesses the
+// follower and its replica only in functions that it passes to do. do must run the function
+// before it returns, and must exclude every other access to the follower and the replica.
 func Follow(ctx context.Context, st catalogue.Store, f *catalogue.Follower, do func(func(now time.Time))) error {
 	results := make(chan catalogue.Result)
 	ticker := time.NewTicker(followInterval)
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -1,7 +1,7 @@
 package store
 
-// Paths and bodies of the HTTP/1.1 protocol. Every call is a POST with a JSON
-// body, except Get and Watch, which are a GET with ParamKey and ParamAfter.
+// Paths and query parameters of the HTTP/1.1 protocol. Every call is a POST with a JSON body,
+// except Get and Watch, which are a GET with ParamKey and, for Watch, ParamAfter.
 const (
 	PathValue  = "/v1/value"
 	PathWatch  = "/v1/watch"
@@ -14,13 +14,13 @@
 	ParamAfter = "after"
 )
 
-// ValueBody answers Get and Watch.
+// ValueBody is the response to Get and Watch.
 type ValueBody struct {
 	Data    []byte `json:"data"`
 	Version uint64 `json:"version"`
 }
 
-// SwapBody asks for a compare-and-swap or a delete.
+// SwapBody is the request of a compare-and-swap or a delete.
 type SwapBody struct {
 	Key    string  `json:"key"`
 	Expect uint64  `json:"expect"`
@@ -28,12 +28,12 @@
 	Lease  LeaseID `json:"lease,omitempty"`
 }
 
-// VersionBody answers a compare-and-swap.
+// VersionBody is the response to a compare-and-swap.
 type VersionBody struct {
 	Version uint64 `json:"version"`
 }
 
-// LeaseBody asks for and answers lease calls. TTL is in milliseconds.
+// LeaseBody is the request and the response of the lease calls. TTL is in milliseconds.
 type LeaseBody struct {
 	Lease LeaseID `json:"lease,omitempty"`
 	TTL   int64   `json:"ttl_ms,omitempty"`
@@ -50,7 +50,7 @@
 	CodeInvalid      = "invalid"
 )
 
-// ErrorBody answers a call that failed.
+// ErrorBody is the response to a failed call.
 type ErrorBody struct {
 	Code    string `json:"code"`
 	Current uint64 `json:"current,omitempty"`
