--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -32,11 +32,9 @@
 	return c
 }
 
-// Symptom: an edit that took effect is reported as a conflict.
-// Events: a compare-and-swap goes out on a reused connection, takes effect,
-// and the connection ends before the answer.
-// Cause: net/http sends a request again by itself when a reused connection
-// fails and the request counts as idempotent with a body that it can rewind.
+// Guards against a conflict reported for an edit that took effect: a compare-and-swap takes
+// effect, its reused connection closes before the response, and net/http retries the request
+// by itself if it counts as idempotent and has a body that can be rewound.
 func TestSwapIsSentOnce(t *testing.T) {
 	var swaps atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,10 +56,10 @@
 	}
 	var unknown *UnknownOutcomeError
 	if _, err := c.CompareAndSwap(context.Background(), "a", 1, []byte("x"), ""); !errors.As(err, &unknown) {
-		t.Fatalf("got %v, want unknown outcome", err)
+		t.Fatalf("got %v, want an unknown outcome", err)
 	}
 	if n := swaps.Load(); n != 1 {
-		t.Fatalf("sent %d times", n)
+		t.Fatalf("compare-and-swap sent %d times, want once", n)
 	}
 }
 
@@ -75,10 +73,10 @@
 		{"not run", 503, `{"code":"not_run"}`, new(*UnavailableError)},
 		{"bare 503", 503, "gateway", new(*UnknownOutcomeError)},
 		{"redirect", 307, "", new(*UnknownOutcomeError)},
-		{"cut answer", 200, `{"ver`, new(*UnknownOutcomeError)},
+		{"truncated response", 200, `{"ver`, new(*UnknownOutcomeError)},
 		{"conflict", 409, `{"code":"conflict","current":4}`, new(*ConflictError)},
 		{"lease", 410, `{"code":"lease_expired"}`, new(*LeaseExpiredError)},
-		{"strange code", 418, `{"code":"tea"}`, new(*UnknownOutcomeError)},
+		{"unknown code", 418, `{"code":"tea"}`, new(*UnknownOutcomeError)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -90,7 +88,7 @@
 			defer server.Close()
 			_, err := newClient(t, server.URL).CompareAndSwap(context.Background(), "a", 1, nil, "")
 			if !errors.As(err, tt.want) {
-				t.Fatalf("got %T %v", err, err)
+				t.Fatalf("got error of type %T: %v", err, err)
 			}
 		})
 	}
@@ -105,7 +103,7 @@
 	_, err = newClient(t, "http://"+l.Addr().String()).CompareAndSwap(context.Background(), "a", 1, nil, "")
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want an *UnavailableError", err)
 	}
 }
 
@@ -121,16 +119,17 @@
 	b := Backoff{Base: time.Second, Max: 8 * time.Second, Rand: rand.New(rand.NewPCG(1, 1))}
 	for _, want := range []time.Duration{1, 2, 4, 8, 8, 8} {
 		if d := b.Next(); d < want*time.Second/2 || d > want*time.Second {
-			t.Fatalf("waited %v around %d s", d, want)
+			t.Fatalf("wait of %v, want between half and the whole of %d s", d, want)
 		}
 	}
 	b.Reset()
 	if d := b.Next(); d > time.Second {
-		t.Fatalf("waited %v after a reset", d)
+		t.Fatalf("wait of %v after a reset, want at most 1 s", d)
 	}
 }
 
-// clientOverSlowLink serves h over a link that carries bytesPerS, both ways.
+// clientOverSlowLink serves h over a link with a rate of bytesPerS in each direction, and
+// returns a client of it.
 func clientOverSlowLink(t *testing.T, bytesPerS int, h http.HandlerFunc) *Client {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -145,8 +144,8 @@
 	return c
 }
 
-// Guards against a page of the catalogue that can't be read over a thin link, since it does
-// not arrive within a fixed time.
+// Guards against a fixed time limit for whole responses: a large page of the catalogue could
+// never be read over a slow link.
 func TestLargeValueIsReadOverSlowLink(t *testing.T) {
 	want := make([]byte, MaxValue/2)
 	c := clientOverSlowLink(t, 500_000, func(w http.ResponseWriter, _ *http.Request) {
@@ -160,8 +159,8 @@
 	}
 }
 
-// Guards against an edit whose outcome stays unknown however often it is made: the link
-// does not carry its page within a fixed time.
+// Guards against a fixed time limit for whole requests: every attempt to write a large page
+// over a slow link would end with an unknown outcome.
 func TestLargeValueIsWrittenOverSlowLink(t *testing.T) {
 	const part, partsPerS = 64 << 10, 16
 	pace := rate.NewLimiter(partsPerS, 1)
@@ -180,7 +179,7 @@
 	}
 }
 
-// Guards against a service that stops in the middle of an answer, and holds its caller.
+// Guards against a read that blocks when the server stops sending in the middle of a response.
 func TestStalledResponseTimesOut(t *testing.T) {
 	c := clientOverSlowLink(t, 1<<20, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
@@ -190,6 +189,6 @@
 	})
 	var unavailable *UnavailableError
 	if _, err := c.Get(context.Background(), "a"); !errors.As(err, &unavailable) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want an *UnavailableError", err)
 	}
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -15,10 +15,9 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// Symptom: a contact-slot holder stops following the catalogue.
-// Events: watches stop silently, then the store goes down and comes back,
-// with an edit after each.
-// Cause: a follower that trusts its watch, or gives up when calls fail.
+// Guards against a holder of a contact slot that no longer follows the catalogue: its watches
+// stop without an error, or the store has an outage, each followed by an edit. The follower
+// must not rely on its watch alone, and must retry failed calls.
 func TestFollowOverHTTP(t *testing.T) {
 	s := standin.New(standin.Config{WatchWait: 200 * time.Millisecond})
 	hs := httptest.NewServer(s.Handler())
@@ -52,7 +51,7 @@
 	for i, faults := range []standin.Faults{{}, {StopWatches: true}, {}, {Outage: true}, {}} {
 		s.SetFaults(faults)
 		if faults.Outage {
-			continue // the edit comes with the end of the outage
+			continue // the next edit is made after the outage
 		}
 		e := catalogue.Entry{Service: fmt.Sprintf("s%d", i), Owner: "kanatpar", Class: catalogue.ClassStream}
 		e.Addresses = []netip.Addr{netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + i)})}
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -19,7 +19,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// operation is an operation of the history: a read, a put of slots, or a
+// operation is the input of an operation in the history: a read, a write of slots, or a
 // delete if slots is 0.
 type operation struct {
 	service string
@@ -27,14 +27,14 @@
 	slots   int
 }
 
-// result is what its operator was told.
+// result is the output of an operation.
 type result struct {
-	slots   int  // of a read, 0 if there is no entry
-	refused bool // without effect
-	missing bool // refused because there is no entry
+	slots   int  // slots read, 0 if the entry does not exist
+	refused bool // the operation had no effect
+	missing bool // refused because the entry does not exist
 }
 
-// model is one entry as a register per service.
+// model treats the entry of each service as a register.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
@@ -63,12 +63,12 @@
 	},
 }
 
-// recorder keeps the history of several operators.
+// recorder records the history of the operations of several operators.
 type recorder struct {
 	mu      sync.Mutex
 	start   time.Time
 	history []porcupine.Operation
-	edits   map[catalogue.EditID]bool // accepted and changed something
+	edits   map[catalogue.EditID]bool // accepted edits that changed an entry
 	unknown int
 }
 
@@ -86,8 +86,8 @@
 
 func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// operate makes n random operations over a client of its own.
-func (r *recorder) operate(t *testing.T, url string, s *standin.Server, who, n int) {
+// operate makes n random operations with its own client.
+func (r *recorder) operate(t *testing.T, url string, s *standin.Server, operator, n int) {
 	client, err := store.New(store.Config{URL: url})
 	if err != nil {
 		t.Error(err)
@@ -95,9 +95,9 @@
 	}
 	defer client.Close()
 	st := store.ForCatalogue(client)
-	rng := rand.New(rand.NewPCG(uint64(who), 9))
+	rng := rand.New(rand.NewPCG(uint64(operator), 9))
 	for i := range n {
-		if who == 0 && i%4 == 0 { // the first operator also brings the faults
+		if operator == 0 && i%4 == 0 { // the first operator also sets the store's faults
 			s.SetFaults(standin.Faults{
 				LoseAnswer: float64(rng.IntN(2)) * 0.4,
 				Outage:     rng.IntN(4) == 0,
@@ -106,27 +106,27 @@
 		}
 		q := operation{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
 		if rng.IntN(4) > 0 {
-			q.slots = 1 + who*1000 + i
+			q.slots = 1 + operator*1000 + i
 		}
 		call := r.now()
 		if q.read {
-			r.read(st, q, who, call)
+			r.read(st, q, operator, call)
 			continue
 		}
-		r.write(t, st, q, who, call)
+		r.write(t, st, q, operator, call)
 	}
 }
 
-func (r *recorder) read(st catalogue.Store, q operation, who int, call int64) {
+func (r *recorder) read(st catalogue.Store, q operation, operator int, call int64) {
 	c, _, _, err := catalogue.Load(context.Background(), st)
 	if err != nil {
 		return
 	}
 	e, _ := c.Entry(q.service)
-	r.add(porcupine.Operation{ClientId: who, Input: q, Call: call, Output: result{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
+	r.add(porcupine.Operation{ClientId: operator, Input: q, Call: call, Output: result{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
 }
 
-func (r *recorder) write(t *testing.T, st catalogue.Store, q operation, who int, call int64) {
+func (r *recorder) write(t *testing.T, st catalogue.Store, q operation, operator int, call int64) {
 	edit := catalogue.Edit{Editor: "ayse", Owner: "kanatpar", Delete: []string{q.service}}
 	if q.slots > 0 {
 		e := catalogue.Entry{Service: q.service, Owner: "kanatpar", Class: catalogue.ClassStream, Limits: catalogue.Limits{Slots: q.slots}}
@@ -134,7 +134,7 @@
 		edit.Delete, edit.Put = nil, []catalogue.Entry{e}
 	}
 	a, err := (&catalogue.Editor{Store: st}).Apply(context.Background(), edit)
-	op := porcupine.Operation{ClientId: who, Input: q, Call: call, Return: r.now()}
+	op := porcupine.Operation{ClientId: operator, Input: q, Call: call, Return: r.now()}
 	var (
 		refused *catalogue.RefusedError
 		unknown *catalogue.UnknownOutcomeError
@@ -143,7 +143,7 @@
 	switch {
 	case err == nil:
 		op.Output = result{}
-		if len(a.Changes) == 0 { // the entry already said so
+		if len(a.Changes) == 0 { // the entry was already equal to the edit
 			a.Edit = catalogue.EditID{}
 		}
 		r.add(op, a.Edit)
@@ -159,31 +159,29 @@
 	r.add(op, catalogue.EditID{})
 }
 
-// Symptom: an accepted edit is not there, a refused one is, or one is there
-// twice.
-// Events: four operators race on three entries while the store goes down,
-// is slow and loses answers after the write took effect.
-// Cause: a write repeated blindly, or an outcome told without reading back.
+// Guards against accepted edits that are missing or applied twice, and refused edits that are
+// applied: four operators edit three entries concurrently while the store has outages, is slow
+// and loses responses to completed writes. An unknown outcome must be read back, not retried.
 func TestEditsAreLinearizable(t *testing.T) {
 	s := standin.New(standin.Config{Reads: 1 << 20, Writes: 1 << 20})
 	hs := httptest.NewServer(s.Handler())
 	defer hs.Close()
 	r := &recorder{start: time.Now(), edits: make(map[catalogue.EditID]bool)}
 	var wg sync.WaitGroup
-	for who := range 4 {
-		wg.Go(func() { r.operate(t, hs.URL, s, who, 60) })
+	for operator := range 4 {
+		wg.Go(func() { r.operate(t, hs.URL, s, operator, 60) })
 	}
 	wg.Wait()
 	if res := porcupine.CheckOperationsTimeout(model, r.history, time.Minute); res != porcupine.Ok {
-		t.Fatalf("history of %d operations is %v", len(r.history), res)
+		t.Fatalf("linearizability check of %d operations: %v", len(r.history), res)
 	}
 	s.SetFaults(standin.Faults{})
 	checkHistory(t, hs.URL, r)
 	t.Logf("%d operations, %d accepted edits, %d unknown", len(r.history), len(r.edits), r.unknown)
 }
 
-// checkHistory reads the whole history: revisions without gaps, every accepted
-// edit in it, each edit ID once.
+// checkHistory reads the store's whole history and checks that it has no gaps in its
+// revisions, contains every accepted edit, and contains each edit ID once.
 func checkHistory(t *testing.T, url string, r *recorder) {
 	t.Helper()
 	client, err := store.New(store.Config{URL: url})
@@ -193,12 +191,12 @@
 	defer client.Close()
 	changes, oldest, err := (&catalogue.Editor{Store: store.ForCatalogue(client)}).History(context.Background(), 0)
 	if err != nil || oldest != 0 {
-		t.Fatalf("history from %d: %v", oldest, err)
+		t.Fatalf("history starts at revision %d, want 0: %v", oldest, err)
 	}
 	seen := make(map[catalogue.EditID]bool)
 	for i, ch := range changes {
 		if ch.Revision != uint64(i+1) || seen[ch.Edit] {
-			t.Fatalf("change %d: revision %d, edit %s", i, ch.Revision, ch.Edit)
+			t.Fatalf("change %d: revision %d is out of order, or edit %s is repeated", i, ch.Revision, ch.Edit)
 		}
 		seen[ch.Edit] = true
 	}
--- a/internal/store/version_test.go
+++ b/internal/store/version_test.go
@@ -11,7 +11,7 @@
 		{VersionAt(NewEra(maxEra-1), 5), VersionAt(NewEra(maxEra), 4)},
 	} {
 		if c.lower >= c.higher {
-			t.Errorf("%s is not below %s", FormatVersion(c.lower), FormatVersion(c.higher))
+			t.Errorf("version %s is not below %s", FormatVersion(c.lower), FormatVersion(c.higher))
 		}
 	}
 }
@@ -24,12 +24,12 @@
 	}{{0, 0, "0"}, {0, 25, "25"}, {3, 0, "3.0"}, {3, 25, "3.25"}, {maxEra, maxRevision, "1048575.17592186044415"}} {
 		v := VersionAt(c.era, c.revision)
 		if EraOf(v) != c.era || RevisionOf(v) != c.revision || FormatVersion(v) != c.text {
-			t.Errorf("era %d and revision %d became %d and %d, %q", c.era, c.revision, EraOf(v), RevisionOf(v), FormatVersion(v))
+			t.Errorf("era %d and revision %d decoded as %d and %d, formatted as %q", c.era, c.revision, EraOf(v), RevisionOf(v), FormatVersion(v))
 		}
 	}
 }
 
-// A revision that does not fit does not reach into the era's bits.
+// Guards against a revision above maxRevision that changes the era's bits of a version.
 func TestRevisionOutOfRange(t *testing.T) {
 	if v := VersionAt(1, maxRevision+1); EraOf(v) != 1 || RevisionOf(v) != maxRevision {
 		t.Errorf("version %s", FormatVersion(v))
