--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -71,7 +71,7 @@
 func New(cfg Config) (*Client, error) {
 	u, err := url.Parse(cfg.URL)
 	if err != nil || u.Scheme != "http" || u.Host == "" {
-		return nil, fmt.Errorf("store: URL %q is not of the form http://ADDRESS:PORT; correct the setting", cfg.URL)
+		return nil, fmt.Errorf("store: URL %q is not of the form http://address:port; correct the setting", cfg.URL)
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
