--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -19,27 +19,27 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// request is an operation of the history: a read, a put of slots, or a
+// operation is the input of an operation in the history: a read, a write of slots, or a
 // delete if slots is 0.
-type request struct {
+type operation struct {
 	service string
 	read    bool
 	slots   int
 }
 
-// answer is what its operator was told.
-type answer struct {
-	slots   int  // of a read, 0 if there is no entry
-	refused bool // without effect
-	missing bool // refused because there is no entry
+// result is the output of an operation.
+type result struct {
+	slots   int  // slots read, 0 if the entry does not exist
+	refused bool // the operation had no effect
+	missing bool // refused because the entry does not exist
 }
 
-// model is one entry as a register per service.
+// model treats the entry of each service as a register.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
 		for _, op := range history {
-			service := op.Input.(request).service
+			service := op.Input.(operation).service
 			parts[service] = append(parts[service], op)
 		}
 		var list [][]porcupine.Operation
@@ -50,7 +50,7 @@
 	},
 	Init: func() any { return 0 },
 	Step: func(state, in, out any) (bool, any) {
-		q, a := in.(request), out.(answer)
+		q, a := in.(operation), out.(result)
 		switch {
 		case q.read:
 			return a.slots == state.(int), state
@@ -63,12 +63,12 @@
 	},
 }
 
-// recorder keeps the history of several operators.
+// recorder records the history of the operations of several operators.
 type recorder struct {
 	mu      sync.Mutex
 	start   time.Time
 	history []porcupine.Operation
-	edits   map[catalogue.EditID]bool // accepted and changed something
+	edits   map[catalogue.EditID]bool // accepted edits that changed an entry
 	unknown int
 }
 
@@ -86,8 +86,8 @@
 
 func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// operate makes n random operations over a client of its own.
-func (r *recorder) operate(t *testing.T, url string, s *standin.Server, who, n int) {
+// operate makes n random operations with its own client.
+func (r *recorder) operate(t *testing.T, url string, s *standin.Server, operator, n int) {
 	client, err := store.New(store.Config{URL: url})
 	if err != nil {
 		t.Error(err)
@@ -95,38 +95,38 @@
 	}
 	defer client.Close()
 	st := store.ForCatalogue(client)
-	rng := rand.New(rand.NewPCG(uint64(who), 9))
+	rng := rand.New(rand.NewPCG(uint64(operator), 9))
 	for i := range n {
-		if who == 0 && i%4 == 0 { // the first operator also brings the faults
+		if operator == 0 && i%4 == 0 { // the first operator also sets the store's faults
 			s.SetFaults(standin.Faults{
 				LoseAnswer: float64(rng.IntN(2)) * 0.4,
 				Outage:     rng.IntN(4) == 0,
 				Delay:      time.Duration(rng.IntN(2)) * time.Millisecond,
 			})
 		}
-		q := request{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
+		q := operation{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
 		if rng.IntN(4) > 0 {
-			q.slots = 1 + who*1000 + i
+			q.slots = 1 + operator*1000 + i
 		}
 		call := r.now()
 		if q.read {
-			r.read(st, q, who, call)
+			r.read(st, q, operator, call)
 			continue
 		}
-		r.write(t, st, q, who, call)
+		r.write(t, st, q, operator, call)
 	}
 }
 
-func (r *recorder) read(st catalogue.Store, q request, who int, call int64) {
+func (r *recorder) read(st catalogue.Store, q operation, operator int, call int64) {
 	c, _, _, err := catalogue.Load(context.Background(), st)
 	if err != nil {
 		return
 	}
 	e, _ := c.Entry(q.service)
-	r.add(porcupine.Operation{ClientId: who, Input: q, Call: call, Output: answer{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
+	r.add(porcupine.Operation{ClientId: operator, Input: q, Call: call, Output: result{slots: e.Limits.Slots}, Return: r.now()}, catalogue.EditID{})
 }
 
-func (r *recorder) write(t *testing.T, st catalogue.Store, q request, who int, call int64) {
+func (r *recorder) write(t *testing.T, st catalogue.Store, q operation, operator int, call int64) {
 	edit := catalogue.Edit{Editor: "ayse", Owner: "kanatpar", Delete: []string{q.service}}
 	if q.slots > 0 {
 		e := catalogue.Entry{Service: q.service, Owner: "kanatpar", Class: catalogue.ClassStream, Limits: catalogue.Limits{Slots: q.slots}}
@@ -134,7 +134,7 @@
 		edit.Delete, edit.Put = nil, []catalogue.Entry{e}
 	}
 	a, err := (&catalogue.Editor{Store: st}).Apply(context.Background(), edit)
-	op := porcupine.Operation{ClientId: who, Input: q, Call: call, Return: r.now()}
+	op := porcupine.Operation{ClientId: operator, Input: q, Call: call, Return: r.now()}
 	var (
 		refused *catalogue.RefusedError
 		unknown *catalogue.UnknownOutcomeError
@@ -142,16 +142,16 @@
 	)
 	switch {
 	case err == nil:
-		op.Output = answer{}
-		if len(a.Changes) == 0 { // the entry already said so
+		op.Output = result{}
+		if len(a.Changes) == 0 { // the entry was already equal to the edit
 			a.Edit = catalogue.EditID{}
 		}
 		r.add(op, a.Edit)
 		return
 	case errors.As(err, &unknown): // may take effect at any later time
-		op.Output, op.Return = answer{}, math.MaxInt64
+		op.Output, op.Return = result{}, math.MaxInt64
 	case errors.As(err, &refused):
-		op.Output = answer{refused: true, missing: errors.As(err, &missing)}
+		op.Output = result{refused: true, missing: errors.As(err, &missing)}
 	default:
 		t.Errorf("untyped error %v", err)
 		return
@@ -159,32 +159,30 @@
 	r.add(op, catalogue.EditID{})
 }
 
-// Symptom: an accepted edit is not there, a refused one is, or one is there
-// twice.
-// Events: four operators race on three entries while the store goes down,
-// is slow and loses answers after the write took effect.
-// Cause: a write repeated blindly, or an outcome told without reading back.
+// Guards against accepted edits that are missing or applied twice, and refused edits that are
+// applied: four operators edit three entries concurrently while the store has outages, is slow
+// and loses responses to completed writes. An unknown outcome must be read back, not retried.
 func TestEditsAreLinearizable(t *testing.T) {
 	s := standin.New(standin.Config{Reads: 1 << 20, Writes: 1 << 20})
 	hs := httptest.NewServer(s.Handler())
 	defer hs.Close()
 	r := &recorder{start: time.Now(), edits: make(map[catalogue.EditID]bool)}
 	var wg sync.WaitGroup
-	for who := range 4 {
-		wg.Go(func() { r.operate(t, hs.URL, s, who, 60) })
+	for operator := range 4 {
+		wg.Go(func() { r.operate(t, hs.URL, s, operator, 60) })
 	}
 	wg.Wait()
 	if res := porcupine.CheckOperationsTimeout(model, r.history, time.Minute); res != porcupine.Ok {
-		t.Fatalf("history of %d operations is %v", len(r.history), res)
+		t.Fatalf("linearizability check of %d operations: %v", len(r.history), res)
 	}
 	s.SetFaults(standin.Faults{})
-	checkDense(t, hs.URL, r)
+	checkHistory(t, hs.URL, r)
 	t.Logf("%d operations, %d accepted edits, %d unknown", len(r.history), len(r.edits), r.unknown)
 }
 
-// checkDense reads the whole history: revisions without gaps, every accepted
-// edit in it, each edit ID once.
-func checkDense(t *testing.T, url string, r *recorder) {
+// checkHistory reads the store's whole history and checks that it has no gaps in its
+// revisions, contains every accepted edit, and contains each edit ID once.
+func checkHistory(t *testing.T, url string, r *recorder) {
 	t.Helper()
 	client, err := store.New(store.Config{URL: url})
 	if err != nil {
@@ -193,12 +191,12 @@
 	defer client.Close()
 	changes, oldest, err := (&catalogue.Editor{Store: store.ForCatalogue(client)}).History(context.Background(), 0)
 	if err != nil || oldest != 0 {
-		t.Fatalf("history from %d: %v", oldest, err)
+		t.Fatalf("history starts at revision %d, want 0: %v", oldest, err)
 	}
 	seen := make(map[catalogue.EditID]bool)
 	for i, ch := range changes {
 		if ch.Revision != uint64(i+1) || seen[ch.Edit] {
-			t.Fatalf("change %d: revision %d, edit %s", i, ch.Revision, ch.Edit)
+			t.Fatalf("change %d: revision %d is out of order, or edit %s is repeated", i, ch.Revision, ch.Edit)
 		}
 		seen[ch.Edit] = true
 	}
