--- a/flow/agent_restart_test.go
+++ b/flow/agent_restart_test.go
@@ -9,7 +9,7 @@
 // Guards against a flow that is never found although its server holds it: the server's agent
 // is restarted, and the packet with which another balancer looks up the flow has no data, so
 // the server does not answer it.
-func TestFlowSoughtByAcknowledgementIsFoundAfterAgentRestart(t *testing.T) {
+func TestFlowLookedUpByAcknowledgementIsFoundAfterAgentRestart(t *testing.T) {
 	const down, repeat, tries = 400 * time.Millisecond, 400 * time.Millisecond, 8
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// The same for an agent, where a flow is opened, used and removed.
+// Guards against a flood of packets that takes a small VM's processor from open flows at
+// an agent. It allocates nothing when a flow is opened, used and removed.
 func TestAgentsPacketsAllocateNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
--- a/flow/cold.go
+++ b/flow/cold.go
@@ -38,15 +38,15 @@
 // After a power loss, a release, or when an evacuated zone returns to service, servers
 // start cold and process a fraction of their usual rate for some seconds, while callers
 // send requests at the full rate and retry those that fail. A server that receives more
-// than it can process crashes, starts cold again and is overloaded again; a tenth of all
-// requests failed for as long as the load lasted.
+// than it can process crashes, starts cold again and is overloaded again. Without a limit
+// a tenth of all requests fail for as long as the load lasts.
 //
 // The limit is enforced by the agent, through which all requests to its server pass, in
 // every sliding second, so no coordination between processes is needed. A token bucket
 // would admit the requests of two seconds within one.
 
-// isCold reports whether the server counts as cold: its heartbeat said so, or it may have
-// become cold since its latest heartbeat.
+// isCold reports whether the server counts as cold: its latest heartbeat reported it as
+// cold, or it may have become cold since.
 func (g *Gate) isCold(now time.Time) bool {
 	return g.server.coldUnknown || now.Before(g.server.coldUntil)
 }
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -71,8 +71,8 @@
 	c.collect()
 }
 
-// most returns the highest number of packets that reached the server within any second.
-func (c *coldGate) most() (most int) {
+// maxPerSecond returns the highest number of packets to the server within any second.
+func (c *coldGate) maxPerSecond() (most int) {
 	for i, from := range c.sentAt {
 		n := 0
 		for _, at := range c.sentAt[i:] {
@@ -88,7 +88,7 @@
 // Guards against recently started servers that crash and start cold again and again while
 // the load lasts: a cold server with free slots is offered thirty times the rate that it
 // can process, and only its slots limit what it receives.
-func TestColdServerGetsWhatItBears(t *testing.T) {
+func TestColdServerStaysWithinLimit(t *testing.T) {
 	c := newColdGate(time.Unix(1000, 0))
 	c.heartbeat(10 * time.Second)
 	for ms := range 4000 {
@@ -102,7 +102,7 @@
 		c.Tick(c.now)
 		c.finish()
 	}
-	if most := c.most(); most > coldLimit {
+	if most := c.maxPerSecond(); most > coldLimit {
 		t.Errorf("%d requests in a second, want %d at most", most, coldLimit)
 	}
 	if len(c.sentAt) < 3*coldLimit {
@@ -129,7 +129,7 @@
 		restarted.offer(0, 2)
 		restarted.finish()
 	}
-	if most := restarted.most(); most > coldLimit {
+	if most := restarted.maxPerSecond(); most > coldLimit {
 		t.Errorf("%d requests in a second, want %d at most", most, coldLimit)
 	}
 	if len(restarted.sentAt) == len(sentBefore) {
@@ -152,7 +152,7 @@
 		c.offer(0, 2)
 		c.finish()
 	}
-	if most := c.most(); most != coldLimit {
+	if most := c.maxPerSecond(); most != coldLimit {
 		t.Errorf("%d requests in a second before the next heartbeat, want %d", most, coldLimit)
 	}
 	c.heartbeat(0)
@@ -267,7 +267,7 @@
 				c.FromBalancer(c.now, balancerB, &Message{Kind: Hello, Service: records, Revision: 1, ZoneOrder: o}, nil, nil)
 			}
 		}
-		if most := c.most(); most > coldLimit {
+		if most := c.maxPerSecond(); most > coldLimit {
 			t.Fatalf("%d packets in a second, want %d at most", most, coldLimit)
 		}
 	})
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -100,10 +100,10 @@
 	d := NewDirector(time.Unix(1000, 0), DirectorConfig{}, nil)
 	for _, c := range []struct {
 		revision uint64
-		taken    bool
+		accepted bool
 	}{{3, true}, {3, false}, {2, false}, {7, true}, {6, false}} {
-		if got := d.SetRoutes(testRoutes(c.revision)); got != c.taken {
-			t.Errorf("revision %d: accepted %v, want %v", c.revision, got, c.taken)
+		if got := d.SetRoutes(testRoutes(c.revision)); got != c.accepted {
+			t.Errorf("revision %d: accepted %v, want %v", c.revision, got, c.accepted)
 		}
 	}
 	if got := d.Routes().Revision; got != 7 {
--- a/flow/fleet_start.go
+++ b/flow/fleet_start.go
@@ -20,14 +20,14 @@
 // holds no flow that its agent has not seen.
 //
 // Without this, an agent that starts a little after its server doesn't know whether the
-// server holds a flow until it has passed on one of its packets. On 65 machines the
-// packets of ended flows to every agent took a 10 Mbit/s link for 15 s, and resets came
-// 4 to 10 s after their lookups began.
+// server holds a flow until it has forwarded one of the flow's packets to the server. In
+// a fleet of 65 machines the packets of ended flows to every agent fill a 10 Mbit/s link
+// for 15 s, and resets are sent 4 to 10 s after their lookups began.
 //
 // The report of a single agent is not enough: its process may have restarted beside a
 // server that is a second old. Only if every known agent reports a recent start has the
-// whole fleet started. Whether it knows all agents a balancer determines as after any
-// start, but sooner if the other balancers have recently started too.
+// whole fleet started. A balancer determines whether it knows all agents as after any
+// other start, but sooner if the other balancers have recently started too.
 func (d *Director) detectFleetStart(now time.Time) {
 	before := d.fleetRecentlyStarted
 	d.reportersRecentlyStarted, d.fleetRecentlyStarted = false, false
--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -54,11 +54,11 @@
 		draining bool
 	}
 	for _, c := range []struct {
-		name  string
-		beats []beat
-		after time.Duration // between the last two heartbeats
-		taken bool          // the last heartbeat is accepted
-		state ServerState
+		name     string
+		beats    []beat
+		after    time.Duration // between the last two heartbeats
+		accepted bool          // the last heartbeat is accepted
+		state    ServerState
 	}{
 		{"first", []beat{{"a", 7, false}}, 0, true, ServerReady},
 		{"next", []beat{{"a", 7, false}, {"a", 8, true}}, 0, true, ServerDraining},
@@ -73,15 +73,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			g := NewGate(now, GateConfig{}, nil)
-			taken := false
+			accepted := false
 			for i, b := range c.beats {
 				if i == len(c.beats)-1 {
 					now = now.Add(c.after)
 				}
-				taken = g.Heartbeat(now, Heartbeat{Instance: b.instance, Sequence: b.sequence, Draining: b.draining})
+				accepted = g.Heartbeat(now, Heartbeat{Instance: b.instance, Sequence: b.sequence, Draining: b.draining})
 			}
-			if taken != c.taken || g.State(now) != c.state {
-				t.Fatalf("accepted %v, state %v; want %v, %v", taken, g.State(now), c.taken, c.state)
+			if accepted != c.accepted || g.State(now) != c.state {
+				t.Fatalf("accepted %v, state %v; want %v, %v", accepted, g.State(now), c.accepted, c.state)
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 // second before its server, and a balancer looks up a flow that it does not know. If the
 // agent sends the packet to the address where no server runs yet, the VM answers with a
 // reset that the caller accepts as its server's.
-func TestNothingReachesServerThatNobodyHasSeen(t *testing.T) {
+func TestNoPacketToUnseenServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
 	s := Segment{Key: Key{CallerPort: 1}, Seq: 5, Ack: 9, HasAck: true, Data: 10}
@@ -120,7 +120,7 @@
 // packet later than AnswerTimeout, and the flow is opened at another server. Another
 // balancer's lookup then reaches the slow server, which has the flow half open and answers
 // with a reset, unless the agent still has the entry of the refused first packet.
-func TestPacketsOfAnothersFlowStayAway(t *testing.T) {
+func TestPacketsOfFlowAtOtherServerAreNotDelivered(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
 	for n := range 2 {
@@ -155,7 +155,7 @@
 // Guards against a new flow at a draining server: a caller reuses its port while the agent
 // still has the port's old flow. If flows are distinguished by addresses and ports alone,
 // the new first packet is forwarded as a copy of the old one.
-func TestPortUsedAgainIsNewFlow(t *testing.T) {
+func TestReusedPortOpensNewFlow(t *testing.T) {
 	w := newWorld(t, 1)
 	c := w.caller(1000, listingPort)
 	c.open(balancerA, 0)
@@ -271,7 +271,7 @@
 // server's first heartbeat, and the agent is killed and restarted before the second one.
 // If the second heartbeat, the first that the new agent process receives, counts as proof
 // that the agent has seen all flows of the instance, it reports the flows as not held.
-func TestAgentRestartedEarlyIsNotSure(t *testing.T) {
+func TestAgentRestartedEarlyIsNotComplete(t *testing.T) {
 	w := newWorld(t, 1)
 	w.server(0).instance = "i-new"
 	w.heartbeat(0, 1, false)
@@ -309,7 +309,7 @@
 // probes its server, which does not answer; then a new instance of that server starts, and
 // the lookup comes again. If a probed flow counts as lost with the old instance, the
 // balancer ends the lookup and resets the flow.
-func TestSoughtFlowIsNotLostWithAnInstance(t *testing.T) {
+func TestLookedUpFlowIsNotLostWithInstance(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1, listingPort)
 	c.open(balancerA, 0)
--- a/flow/lab/lab_test.go
+++ b/flow/lab/lab_test.go
@@ -9,7 +9,7 @@
 )
 
 // credits runs an experiment and returns the credit of each window, and the bound.
-func credits(t *testing.T, name string, c Config) (got, most []float64) {
+func credits(t *testing.T, name string, c Config) (got, bounds []float64) {
 	t.Helper()
 	list, err := figure.Run(Experiments, []string{name}, c)
 	if err != nil {
@@ -19,10 +19,10 @@
 		if f.Quantity == "credit" {
 			got = append(got, f.Value)
 		} else {
-			most = append(most, f.Value)
+			bounds = append(bounds, f.Value)
 		}
 	}
-	return got, most
+	return got, bounds
 }
 
 // Guards against an overload that sustains itself after a power loss of 1.3 s of the
@@ -56,15 +56,15 @@
 	c := DefaultConfig()
 	c.Seeds = 1
 	for _, x := range Experiments {
-		got, most := credits(t, x.Name, c)
-		var sumGot, sumMost float64
+		got, bounds := credits(t, x.Name, c)
+		var sumGot, sumBounds float64
 		for i := range got {
 			sumGot += got[i]
-			sumMost += most[i]
+			sumBounds += bounds[i]
 		}
 		// The work of each request is random, and the bound uses its mean.
-		if sumGot > 1.02*sumMost {
-			t.Errorf("%s: total credit %.3f, bound %.3f", x.Name, sumGot, sumMost)
+		if sumGot > 1.02*sumBounds {
+			t.Errorf("%s: total credit %.3f, bound %.3f", x.Name, sumGot, sumBounds)
 		}
 	}
 }
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -8,8 +8,7 @@
 
 // Guards against the reset of an open flow. A balancer looks up an unknown flow while
 // one agent can't be reached, or right after its own start, when it does not know all
-// agents. That no agent which answered holds the flow does not mean that no agent holds
-// it.
+// agents. If none of the agents that answered holds the flow, another one may hold it.
 func TestResetOnlyWhenAllHaveAnswered(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
@@ -292,9 +291,9 @@
 
 // Guards against callers of ended flows waiting for their deadlines for a minute. The
 // server of an agent has ended, and its VM fails. One balancer notices a moment before
-// another, whose member list still names the agent. What counts is when that other one
-// last received a message: it does not show that the agent, whose server held no flows,
-// may hold flows now.
+// another, whose member list still names the agent. The list gives the time of the last
+// message that the other balancer received from the agent; a message from before the
+// failure does not show that the agent, whose server held no flows, may hold flows now.
 func TestOldContactInMemberListDoesNotBlockLookups(t *testing.T) {
 	w := newWorld(t, 3)
 	w.advance(fleetStartWindow)
--- a/flow/member_check.go
+++ b/flow/member_check.go
@@ -4,8 +4,8 @@
 
 // memberListCheck tracks whether other balancers confirm that this one knows all
 // agents. A new agent is announced by a single message. If that gets lost, this
-// balancer would take the agent's flows for lost, and callers would see resets of flows
-// that their servers hold.
+// balancer would treat the agent's flows as lost and reset flows that their servers
+// hold.
 type memberListCheck struct {
 	request     uint64    // number of the latest request
 	requestedAt time.Time // when it was sent
--- a/flow/members.go
+++ b/flow/members.go
@@ -149,8 +149,8 @@
 }
 
 // sendMemberList answers a request with the agents that this balancer itself has
-// received messages from. A recently started balancer says so: otherwise the few agents
-// that it knows would be taken for all.
+// received messages from. A recently started balancer marks its answer as such:
+// otherwise the few agents that it knows would be taken for all.
 func (d *Director) sendMemberList(now time.Time, to netip.AddrPort, request uint64) {
 	m := Message{Kind: MemberList, Incarnation: request}
 	if !d.discoveryDone(now) {
@@ -189,8 +189,8 @@
 
 // announceInterval is how long newly discovered agents are collected before they are
 // announced to other balancers. After a power loss of the whole fleet each of 17
-// balancers discovers 65 agents at once; announced one by one they took 100 KB in and
-// out of each balancer.
+// balancers discovers 65 agents at once; announced one by one they would cost 100 KB
+// into and out of each balancer.
 const announceInterval = 10 * time.Millisecond
 
 // announceFanout is the number of balancers that an announcement is sent to. Each sends
@@ -203,7 +203,7 @@
 
 // queueAnnouncement schedules the announcement of an agent that has sent its first
 // message. An agent that starts while the store is unavailable may reach only some of
-// the balancers, and the others must not take its flows for lost.
+// the balancers, and the others must not treat its flows as lost.
 func (d *Director) queueAnnouncement(now time.Time, a *agent) {
 	if len(d.announcements) == 0 {
 		d.announceAt = now.Add(announceInterval)
--- a/flow/order_test.go
+++ b/flow/order_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Guards against the same delay by new flows. A slot becomes free while the caller of
-// an ended flow waits, and a late flow is offered before the caller is notified. The
-// late flow must not take the slot.
+// Guards against new requests on long flows being late after a power loss because new
+// flows that are late already take the slots. A slot becomes free while the caller of an
+// ended flow waits, and a late flow is offered before the caller is notified.
 func TestLateFlowWaitsBehindCaller(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := fullGate(now)
@@ -80,10 +80,10 @@
 	}
 }
 
-// Guards against nearly all callers being late that retry after a power loss. At first
-// a packet of an ended flow may be a repeat of one from before, such repeats arrive
-// first, and more callers wait than can be served. Served in order of arrival, new
-// requests would wait behind the old ones.
+// Guards against late answers to nearly all callers that retry after a power loss. At
+// first a packet of an ended flow may be a repeat of one sent before the loss, such
+// repeats arrive first, and more callers wait than can be served. Served in order of
+// arrival, new requests would wait behind the old ones.
 func TestNewestPossibleRepeatGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wait := func(onTime time.Duration, older bool) queueEntry {
--- a/flow/orders_test.go
+++ b/flow/orders_test.go
@@ -141,8 +141,9 @@
 	}
 }
 
-// Guards against callers that wait for servers that they can't get: flows that wait for
-// capacity at an agent have to be refused when its zone is evacuated, like new offers.
+// Guards against callers that wait for a server that gets no new flows: flows that wait
+// for capacity at an agent have to be refused when its zone is evacuated, like new
+// offers.
 func TestWaitingFlowsLeaveEvacuatedZone(t *testing.T) {
 	w := newWorld(t, 1)
 	w.server(0).deferRequest = func(Segment) {}
@@ -186,8 +187,8 @@
 	}
 }
 
-// A zone that is put back into service is offered flows again as soon as one of its own
-// balancers knows, and elsewhere with the next hello message.
+// A zone that is put back into service is offered flows again as soon as a balancer in
+// the zone has received the new orders; without one, at the next hello message.
 func TestZonePutBackIntoService(t *testing.T) {
 	w := newWorld(t, 1)
 	w.setOrders(balancerA, 5, "a")
@@ -208,7 +209,7 @@
 		now := time.Unix(1000, 0)
 		g := NewGate(now, GateConfig{Zone: "a", Service: listing}, nil)
 		g.Heartbeat(now, Heartbeat{Instance: "i", Sequence: 1, Service: listing, Slots: 5})
-		// What the store held: orders by their number, each the zone's state.
+		// The orders that the store has held: the order for the zone, by number.
 		state := rapid.SliceOfN(rapid.SampledFrom([]ZoneOrder{ZoneInService, ZoneEvacuated}), 1, 8).Draw(t, "orders")
 		newest := 0
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
--- a/flow/query.go
+++ b/flow/query.go
@@ -25,7 +25,7 @@
 	// have the rest.
 	lookupLinkShare = 0.3
 	// maxLookupMessages bounds the lookup messages per second: on VMs with a fifth of a
-	// core they and their answers took the processor from offers.
+	// core more of them, with their answers, leave no processor time for offers.
 	maxLookupMessages = 2500
 	// roundSpan is the amount of queries sent at once, as time at the lookups' share of
 	// the link: queries to all of 65 agents together would occupy a 10 Mbit/s link for
@@ -71,8 +71,8 @@
 //
 // After a power loss hundreds of flows per second are held by no server, and every
 // agent is queried for each of them. Sent one by one with the caller's packet these
-// queries filled a 10 Mbit/s link, offers of new flows ran into their timeouts, and
-// callers retried because they got no answer: the overload sustained itself for 14 s.
+// queries fill a 10 Mbit/s link, offers of new flows run into their timeouts, and
+// callers retry because they get no answer: the overload sustains itself for 14 s.
 //
 // So a lookup sends the packet at once only if no other one was sent recently. All
 // others wait for a round, in which an agent is queried for many flows in one message.
--- a/flow/region_test.go
+++ b/flow/region_test.go
@@ -17,9 +17,9 @@
 		want    int      // agent that is offered the flow, negative for none
 	}{
 		{"any region", nil, []string{"n1"}, 0},
-		{"only the second is in it", []uint32{south}, []string{"n1", "s1"}, 1},
+		{"only the second is in the region", []uint32{south}, []string{"n1", "s1"}, 1},
 		{"several regions", []uint32{south, north}, []string{"n1"}, 0},
-		{"none is in it", []uint32{south}, []string{"n1", "n2"}, -1},
+		{"none is in the region", []uint32{south}, []string{"n1", "n2"}, -1},
 		{"region of no zone", []uint32{ZoneID("moon")}, []string{"n1", "s1"}, -1},
 		{"zone of no region", []uint32{south}, []string{"x"}, -1},
 	} {
--- a/flow/server.go
+++ b/flow/server.go
@@ -41,7 +41,7 @@
 	return s.instance != "" && s.instance == b.Instance && (s.timeMs == b.StartTimeMs || s.timeMs == 0 || b.StartTimeMs == 0)
 }
 
-// currentStart returns the start that the present state is of.
+// currentStart returns the start that the known state belongs to.
 func (v *server) currentStart() serverStart { return serverStart{v.instance, v.startTimeMs} }
 
 // State returns the state of the server at now.
@@ -210,7 +210,8 @@
 	g.stateChanged(now, before, "deregistered")
 }
 
-// Close records the end of the agent process, which follows the end of its server.
+// Close reports the server as ended, because the agent process ends and an agent is
+// assumed to be stopped only after its server.
 func (g *Gate) Close(now time.Time) {
 	before := g.State(now)
 	g.server.ended = true
--- a/flow/server_restart_test.go
+++ b/flow/server_restart_test.go
@@ -17,12 +17,12 @@
 // a draining server: a server crashes and restarts under its old identity, its sequence
 // numbers start again, and a delayed heartbeat of the old start arrives. If the identity
 // alone identifies a start, the new heartbeats look old and the delayed one looks new.
-func TestServerStartsAgainUnderItsIdentity(t *testing.T) {
+func TestServerRestartsUnderSameIdentity(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		beats []startHeartbeat
-		taken bool // the last heartbeat is accepted
-		state ServerState
+		name     string
+		beats    []startHeartbeat
+		accepted bool // the last heartbeat is accepted
+		state    ServerState
 	}{
 		{"first of the new start", []startHeartbeat{{100, 40, false}, {200, 1, false}}, true, ServerReady},
 		{"the old start was draining", []startHeartbeat{{100, 40, true}, {200, 1, false}}, true, ServerReady},
@@ -34,12 +34,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			g := NewGate(now, GateConfig{Service: listing}, nil)
-			taken := false
+			accepted := false
 			for _, b := range c.beats {
-				taken = g.Heartbeat(now, Heartbeat{Instance: "i-1", StartTimeMs: b.startTimeMs, Sequence: b.sequence, Service: listing, Draining: b.draining})
+				accepted = g.Heartbeat(now, Heartbeat{Instance: "i-1", StartTimeMs: b.startTimeMs, Sequence: b.sequence, Service: listing, Draining: b.draining})
 			}
-			if taken != c.taken || g.State(now) != c.state {
-				t.Errorf("accepted %v, state %v; want %v, %v", taken, g.State(now), c.taken, c.state)
+			if accepted != c.accepted || g.State(now) != c.state {
+				t.Errorf("accepted %v, state %v; want %v, %v", accepted, g.State(now), c.accepted, c.state)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 
 // Guards against a restarted server that is recorded as ended: the deregistration of its
 // old start arrives late, and the identity alone decides which start it is of.
-func TestOldStartsFarewellIsNotTheNewOnes(t *testing.T) {
+func TestDeregistrationOfOldStartIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGate(now, GateConfig{Service: listing}, nil)
 	g.Heartbeat(now, Heartbeat{Instance: "i-1", StartTimeMs: 200, Sequence: 1, Service: listing})
@@ -85,7 +85,7 @@
 // Guards against a server whose flows are recorded as lost and that gets flows of another
 // service: another program sends heartbeats to the agent, with another address or another
 // service, and any heartbeat with a low sequence number is accepted as a restart.
-func TestHeartbeatsOfOtherWriters(t *testing.T) {
+func TestHeartbeatsOfOtherServersAreRejected(t *testing.T) {
 	server := netip.MustParseAddrPort("10.0.0.5:8080")
 	for _, c := range []struct {
 		name string
--- a/flow/waiting_callers_test.go
+++ b/flow/waiting_callers_test.go
@@ -34,7 +34,7 @@
 // Guards against callers that all open new flows at the same moment after a power loss
 // everywhere, are refused as busy and use up their attempts at once. This happens if each
 // caller is notified as soon as its flow is known to be lost.
-func TestCallersComeBackAsThereIsRoom(t *testing.T) {
+func TestCallersAreNotifiedWithinCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 3)
 	notified := 0
@@ -63,7 +63,7 @@
 // Guards against a caller that waits until its deadline although its request can't be
 // served: more callers of ended flows wait than the server has capacity for. This happens
 // if a waiting caller is notified only once there is capacity.
-func TestCallersWithoutRoomAreTold(t *testing.T) {
+func TestCallersWithoutCapacityAreRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := readyGate(now, 1)
 	full := waitingCallersPerSlot + g.callerCapacity()
