--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -139,7 +139,7 @@
 	want(t, c.Offer(t0, request(6, "a")), Admitted, 0)
 }
 
-func TestLongFlowsOfOneOwnerLeaveRoom(t *testing.T) {
+func TestLongFlowsOfOneOwnerLeaveCapacity(t *testing.T) {
 	c := New(t0, Config{Slots: 2, LongFlows: 18})
 	id := uint64(0)
 	open := func(owner string) Decision {
--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -44,7 +44,7 @@
 // Guards against a first choice that depends on the balancer's load reports: the
 // handshake fails if the two Initial packets of a flow reach balancers with
 // different reports and are sent to different agents.
-func TestEqualRostersSplitNoHandshake(t *testing.T) {
+func TestEqualMemberListsSplitNoHandshake(t *testing.T) {
 	if r := mustRun(t, testCase(), "placement"); r.Split != 0 {
 		t.Errorf("a share of %.4f of the handshakes reached two agents", r.Split)
 	}
