--- a/cmd/hemlock-agent/main.go
+++ b/cmd/hemlock-agent/main.go
@@ -66,22 +66,22 @@
 	admin := s.String("admin", "127.0.0.1:0", "TCP address of metrics, readiness and status")
 	s.StringVar(&cfg.daemon.Level, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "where spans go: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
-	s.Float64Var(&cfg.daemon.Trace.Sample, "trace-sample", 1, "share of requests of the flows that a balancer picked that is traced, 0 to 1")
+	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 1, "share of requests of the flows that a balancer picked that is traced, 0 to 1")
 	s.BoolVar(&cfg.platform, "platform", false, "pass the packet flows of the users' platform to the server beside; the platform's settings file tells the rest, and of the other settings only -admin, -log-level and -trace count")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
 	}
 	cfg.daemon.Role = "agent"
-	cfg.daemon.Stops = stop.Signals
+	cfg.daemon.StopSignals = stop.Signals
 	if cfg.platform {
-		return cfg, settings.First(
+		return cfg, settings.FirstError(
 			cfg.daemon.Trace.Check,
 			func() error { return settings.Level("log-level", cfg.daemon.Level) },
 			func() (err error) { cfg.daemon.Admin, err = settings.AddrPort("admin", *admin); return },
 		)
 	}
 	cfg.daemon.Trace.Zone = a.Zone
-	return cfg, settings.First(
+	return cfg, settings.FirstError(
 		cfg.daemon.Trace.Check,
 		func() error { return settings.Required("internal", *internal) },
 		func() error { return settings.Required("service", a.Service) },
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	d.ReadyWhen(a.Ready)
+	d.SetReadyFunc(a.Ready)
 	d.Log.Info("started", zap.String("service", cfg.agent.Service), zap.String("zone", cfg.agent.Zone), zap.Stringer("internal", a.Internal()), zap.String("admin", d.AdminAddr()))
 	return d.Run(a, cfg.drain)
 }
--- a/cmd/hemlock-balancer/main.go
+++ b/cmd/hemlock-balancer/main.go
@@ -56,26 +56,26 @@
 	admin := s.String("admin", "127.0.0.1:0", "TCP address of metrics, readiness and status")
 	s.StringVar(&cfg.daemon.Level, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "where spans go: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
-	s.Float64Var(&cfg.daemon.Trace.Sample, "trace-sample", 0.01, "share of flows that is traced, 0 to 1")
+	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 0.01, "share of flows that is traced, 0 to 1")
 	s.BoolVar(&cfg.platform, "platform", false, "forward the packet flows of the users' platform, whose settings file tells the rest; of the other settings only -admin, -log-level and -trace count")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
 	}
 	cfg.daemon.Role = "balancer"
-	cfg.daemon.Stops = stop.Signals
+	cfg.daemon.StopSignals = stop.Signals
 	cfg.memory = *memory << 20
 	if *memory < 0 {
 		return cfg, &settings.Error{Setting: "memory-limit", Reason: "negative", Remedy: "give MiB, or 0 for no limit"}
 	}
 	if cfg.platform {
-		return cfg, settings.First(
+		return cfg, settings.FirstError(
 			cfg.daemon.Trace.Check,
 			func() error { return settings.Level("log-level", cfg.daemon.Level) },
 			func() (err error) { cfg.daemon.Admin, err = settings.AddrPort("admin", *admin); return },
 		)
 	}
 	cfg.daemon.Trace.Zone = cfg.balancer.Zone
-	return cfg, settings.First(
+	return cfg, settings.FirstError(
 		cfg.daemon.Trace.Check,
 		func() error { return settings.Required("internal", *internal) },
 		func() error { return settings.Required("zone", cfg.balancer.Zone) },
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	d.ReadyWhen(b.Ready)
+	d.SetReadyFunc(b.Ready)
 	d.Mux.HandleFunc("GET /catalogue", b.ServeStatus)
 	d.Log.Info("started", zap.String("zone", cfg.balancer.Zone), zap.Stringer("public", b.Public()), zap.Stringer("internal", b.Internal()), zap.String("admin", d.AdminAddr()))
 	return d.Run(b, cfg.drain)
--- a/cmd/hemlock-demo/load.go
+++ b/cmd/hemlock-demo/load.go
@@ -160,7 +160,7 @@
 
 func (l *load) fail(service string, err error) {
 	var e *caller.Error
-	broken := !errors.As(err, &e) || e.Kind == caller.Broken
+	broken := !errors.As(err, &e) || e.Kind == caller.BrokenFlow
 	l.count(service, func(t *tally) {
 		if broken {
 			t.broken++
--- a/cmd/hemlock-demo/main.go
+++ b/cmd/hemlock-demo/main.go
@@ -66,8 +66,8 @@
 		Seed: seed, Log: log, Balancers: 4,
 		Zones: []string{"etimesgut-a", "etimesgut-b", "odtu-tekno", "sincan-dc"},
 		Services: []deployment.Service{
-			{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 7, Work: 5 * time.Millisecond},
-			{Name: "records", Owner: "archive", Class: catalogue.ClassDownload, Backends: 4, Work: 5 * time.Millisecond},
+			{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 7, RequestDuration: 5 * time.Millisecond},
+			{Name: "records", Owner: "archive", Class: catalogue.ClassDownload, Backends: 4, RequestDuration: 5 * time.Millisecond},
 		},
 	}
 }
@@ -78,8 +78,8 @@
 		Seed: seed, Log: log, Balancers: 3,
 		Zones: []string{"qro-a", "qro-b", "qro-c"},
 		Services: []deployment.Service{
-			{Name: "catalogo", Owner: "skills", Class: catalogue.ClassInteractive, Backends: 7, Work: 5 * time.Millisecond},
-			{Name: "paquetes", Owner: "packages", Class: catalogue.ClassDownload, Backends: 3, Work: 5 * time.Millisecond},
+			{Name: "catalogo", Owner: "skills", Class: catalogue.ClassInteractive, Backends: 7, RequestDuration: 5 * time.Millisecond},
+			{Name: "paquetes", Owner: "packages", Class: catalogue.ClassDownload, Backends: 3, RequestDuration: 5 * time.Millisecond},
 		},
 	}
 }
--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -81,7 +81,7 @@
 	if _, err := u.dep.AddBalancer(); err != nil {
 		return err
 	}
-	u.load.background(func() { u.dep.Retire(ctx, u.dep.Balancers[0]) })
+	u.load.background(func() { u.dep.StopBalancer(ctx, u.dep.Balancers[0]) })
 	return nil
 }
 
--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -57,7 +57,7 @@
 }
 
 func (s *placementSettings) check() error {
-	return settings.First(
+	return settings.FirstError(
 		bounds("agents", s.agents, 2, 1_000_000),
 		bounds("balancers", s.balancers, 1, 1_000_000),
 		bounds("zones", s.zones, 1, 1_000_000),
--- a/cmd/hemlock-store/main.go
+++ b/cmd/hemlock-store/main.go
@@ -52,8 +52,8 @@
 	fs.SetOutput(io.Discard) // main prints one line
 	showVersion := fs.Bool("version", false, "print the version and exit")
 	listen := fs.String("listen", "127.0.0.1:7000", "TCP address to serve on")
-	fs.IntVar(&cfg.Reads, "reads", store.DefaultReads, "reads a second, watches included")
-	fs.IntVar(&cfg.Writes, "writes", store.DefaultWrites, "writes a second, lease calls included")
+	fs.IntVar(&cfg.ReadRate, "reads", store.DefaultReadRate, "reads a second, watches included")
+	fs.IntVar(&cfg.WriteRate, "writes", store.DefaultWriteRate, "writes a second, lease calls included")
 	fs.DurationVar(&cfg.WatchWait, "watch-wait", store.DefaultWatchWait, "how long a watch waits for a newer version")
 	err := ff.Parse(fs, args, ff.WithEnvVarPrefix("HEMLOCK_STORE"))
 	switch {
@@ -71,7 +71,7 @@
 	if fs.NArg() > 0 {
 		return cfg, "", fmt.Errorf("unexpected argument %q; remove it", fs.Arg(0))
 	}
-	if cfg.Reads <= 0 || cfg.Writes <= 0 || cfg.WatchWait <= 0 {
+	if cfg.ReadRate <= 0 || cfg.WriteRate <= 0 || cfg.WatchWait <= 0 {
 		return cfg, "", errors.New("-reads, -writes and -watch-wait must be above 0; correct the setting")
 	}
 	return cfg, *listen, nil
--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -167,7 +167,7 @@
 
 // getJSON reads a page of a process.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, out any) error {
-	ctx, e := transfer.Begin(ctx, transfer.Limits{Answer: nodeTimeout, Step: nodeTimeout})
+	ctx, e := transfer.Begin(ctx, transfer.Limits{ResponseTimeout: nodeTimeout, ProgressTimeout: nodeTimeout})
 	defer e.End()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -180,8 +180,8 @@
 			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
 				c.voter.Report(now, m)
 			}
-		case seal.TopicRosterIs:
-			var m control.RosterAnswer
+		case seal.TopicMemberList:
+			var m control.MemberListResponse
 			if err = cbor.Unmarshal(b, &m); err == nil {
 				c.receiveMemberList(now, m)
 			}
@@ -193,12 +193,12 @@
 // receiveMemberList handles the response to the latest request and ignores any other. The
 // member list is as old as the request: the response may have waited in the socket buffer
 // while this process was suspended.
-func (c *claims) receiveMemberList(now time.Time, m control.RosterAnswer) {
+func (c *claims) receiveMemberList(now time.Time, m control.MemberListResponse) {
 	if m.Seq != c.memberListSeq {
 		return
 	}
 	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
-	for _, g := range m.Gone {
+	for _, g := range m.Departed {
 		r.Departed = append(r.Departed, idempotency.DepartedMember{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
 	}
 	c.recordService(now, m)
@@ -210,7 +210,7 @@
 	}
 }
 
-func (c *claims) recordService(now time.Time, m control.RosterAnswer) {
+func (c *claims) recordService(now time.Time, m control.MemberListResponse) {
 	if !slices.Contains(m.Live, c.self) {
 		return
 	}
@@ -229,7 +229,7 @@
 		if now.Sub(c.memberListRequestedAt) >= c.freshness/memberListRequestsPerFreshness && balancer.IsValid() {
 			c.memberListSeq++
 			c.memberListRequestedAt = now
-			c.link.Send(seal.TopicRoster, balancer, control.RosterRequest{Service: service, Seq: c.memberListSeq})
+			c.link.Send(seal.TopicMemberListRequest, balancer, control.MemberListRequest{Service: service, Seq: c.memberListSeq})
 		}
 		if c.voter != nil && now.Sub(c.tickedAt) >= voterTickInterval {
 			c.tickedAt = now
--- a/internal/agent/contacts.go
+++ b/internal/agent/contacts.go
@@ -29,13 +29,13 @@
 		l.slots.RequestContacts(now)
 	}
 	if call, ok := l.slots.Next(now); ok {
-		l.contacts.Make(ctx, call)
+		l.contacts.Start(ctx, call)
 	}
 }
 
 // receiveContact handles the result of reading a contact slot.
 func (l *controlLoop) receiveContact(now time.Time, r contact.Result) {
-	l.slots.Done(now, l.contacts.Done(r))
+	l.slots.Done(now, l.contacts.Complete(r))
 	l.seeds = append(l.slots.Contacts(), l.a.cfg.Seeds...)
 	if l.announcer != nil {
 		l.announcer.SetSeeds(l.seeds)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -28,7 +28,7 @@
 
 	held           *catalogue.HeldEntry
 	slots          *membership.Slots // nil without a store
-	contacts       *contact.Caller
+	contacts       *contact.Client
 	seeds          []netip.AddrPort // from the settings and the contact slots
 	requestedAt    time.Time
 	newerFrom      netip.AddrPort // a balancer that has another version of the entry; zero if none is known
@@ -50,7 +50,7 @@
 		seeds:         a.cfg.Seeds,
 	}
 	if a.cfg.Store != nil {
-		l.contacts = contact.NewCaller(a.cfg.Store)
+		l.contacts = contact.NewClient(a.cfg.Store)
 		l.slots = membership.NewSlots(time.Now(), membership.SlotsConfig{Zone: a.cfg.Zone, Self: a.cfg.Internal, Seed: l.rng.Uint64()})
 	}
 	return l
@@ -144,7 +144,7 @@
 		l.receiveMembership(now, m.From, b)
 	case seal.TopicCatalogue:
 		l.receiveEntry(now, b)
-	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicRosterIs:
+	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicMemberList:
 		if !l.a.claims.receive(topic, m.From, b) {
 			l.a.metrics.controlRejected.Inc()
 		}
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -80,11 +80,11 @@
 		f.recent.current.Add(1)
 		return netip.AddrPort{}, false
 	}
-	if h.Flags&frame.FlagHandedOn != 0 {
+	if h.Flags&frame.FlagForwarded != 0 {
 		h.Flags |= frame.FlagReturned
 		return d.To, true
 	}
-	h.Flags |= frame.FlagHandedOn
+	h.Flags |= frame.FlagForwarded
 	h.Alternate = f.self
 	h.Load = byte(own)
 	return d.To, true
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -208,7 +208,7 @@
 	}
 	r.receivedAt, t.newest = now, now
 	// The echo in a packet forwarded by another agent belongs to that agent.
-	if h.Flags&frame.FlagHandedOn == 0 {
+	if h.Flags&frame.FlagForwarded == 0 {
 		r.receiveEcho(now, h.Echo)
 	}
 	key := pathKey{caller: h.Caller, address: h.Address}
--- a/internal/agent/tracing.go
+++ b/internal/agent/tracing.go
@@ -31,8 +31,8 @@
 // tracedFlow holds what the forwarding headers contain about a traced flow.
 type tracedFlow struct {
 	at  time.Time
-	via []netip.AddrPort // balancers that forwarded first packets
-	ids []tracing.Flow   // IDs of the spans of via, in the same order
+	via []netip.AddrPort   // balancers that forwarded first packets
+	ids []tracing.FlowSpan // IDs of the spans of via, in the same order
 
 	mu      sync.Mutex // guards claimed and ids after attach
 	claimed bool       // a traced request has claimed the spans
@@ -43,7 +43,7 @@
 type tracedFlows struct {
 	spans  *tracing.Provider
 	link   *control.Link
-	hash   *tracing.Flows // used by the receive loop only
+	hash   *tracing.FlowHasher // used by the receive loop only
 	packet quicwire.Packet
 
 	mu    sync.Mutex // guards byKey and its flows until attach
@@ -52,10 +52,10 @@
 
 // newTracedFlows returns nil if tracing is off.
 func newTracedFlows(p *tracing.Provider, ring fleetkey.Ring, link *control.Link) (*tracedFlows, error) {
-	if !p.On() {
+	if !p.Enabled() {
 		return nil, nil
 	}
-	hash, err := tracing.NewFlows(ring, p.Sample())
+	hash, err := tracing.NewFlowHasher(ring, p.SampleRatio())
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	if t == nil || h.Flags&frame.FlagSampled == 0 || !quicwire.Parse(packet, connid.Len, &t.packet) {
 		return
 	}
-	flow := t.hash.Of(t.packet.ID, h.Via)
+	flow := t.hash.Identity(t.packet.ID, h.Via)
 	key := pathKey{caller: h.Caller, address: h.Address}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +140,7 @@
 // those for its trace, since later requests were forwarded without a first packet.
 func (t *tracedFlows) spanLinks(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool) {
 	f, ok := r.Context().Value(tracedFlowKey{}).(*tracedFlow)
-	if !ok || !t.spans.Picks(parent) {
+	if !ok || !t.spans.ShouldSample(parent) {
 		return nil, false
 	}
 	f.mu.Lock()
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -51,7 +51,7 @@
 	addresses   *addresses
 	digest      atomic.Pointer[catalogue.Digest] // of the catalogue in force; nil if none is
 	usesInterim atomic.Bool                      // agents' copies of their entries are in force because the catalogue is not available
-	bulk        *bulk.Port
+	bulk        *bulk.Endpoint
 	metrics     *metrics
 	reg         prometheus.Registerer
 	control     *controlLoop
--- a/internal/balancer/catalogue.go
+++ b/internal/balancer/catalogue.go
@@ -80,7 +80,7 @@
 			return
 		}
 		q.reply <- l.replica.Bulk(have).Write
-	case bulk.KindRoster:
+	case bulk.KindMemberList:
 		all, err := l.machine.EncodeAll()
 		q.reply <- func(w io.Writer) error {
 			if err == nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	if peer, ok := l.machine.BulkSource(); ok {
-		go l.fetch(ctx, bulkResult{from: peer.Addr, kind: bulk.KindRoster}, nil)
+		go l.fetch(ctx, bulkResult{from: peer.Addr, kind: bulk.KindMemberList}, nil)
 	}
 }
 
@@ -134,7 +134,7 @@
 		}
 		return
 	}
-	if a.kind == bulk.KindRoster {
+	if a.kind == bulk.KindMemberList {
 		l.machine.MergeAll(now, a.records)
 		return
 	}
--- a/internal/balancer/controlloop.go
+++ b/internal/balancer/controlloop.go
@@ -30,7 +30,7 @@
 	interim      catalogue.Interim // agents' copies of their entries, used while the replica is empty
 	slots        *membership.Slots
 	storeCalls   *catalogueCalls
-	contacts     *contact.Caller
+	contacts     *contact.Client
 	rng          *rand.Rand
 	peers        *peerSet
 	placedAgents map[netip.AddrPort]struct{} // agents that accept new flows
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, err
 	}
-	link.Sent = func(n int) { b.metrics.controlSent.Add(float64(n)) }
+	link.OnSent = func(n int) { b.metrics.controlSent.Add(float64(n)) }
 	now := time.Now()
 	l := &controlLoop{
 		b:            b,
 		link:         link,
 		storeCalls:   newCatalogueCalls(b.cfg.Store),
-		contacts:     contact.NewCaller(b.cfg.Store),
+		contacts:     contact.NewClient(b.cfg.Store),
 		rng:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		placedAgents: make(map[netip.AddrPort]struct{}),
 		voters:       newVoters(now, b.cfg.Retention),
@@ -122,7 +122,7 @@
 		case r := <-l.storeCalls.results:
 			l.follower.Done(time.Now(), r)
 		case r := <-l.contacts.Results:
-			l.slots.Done(time.Now(), l.contacts.Done(r))
+			l.slots.Done(time.Now(), l.contacts.Complete(r))
 		case q := <-l.bulkRequests:
 			l.replyBulk(q)
 		case a := <-l.bulkResults:
@@ -158,7 +158,7 @@
 // callStore starts the calls of the platform's store that are due.
 func (l *controlLoop) callStore(ctx context.Context, now time.Time) {
 	if call, ok := l.slots.Next(now); ok {
-		l.contacts.Make(ctx, call)
+		l.contacts.Start(ctx, call)
 	}
 	if l.followingStore {
 		l.storeCalls.make(ctx, l.follower.Next(now))
@@ -189,7 +189,7 @@
 		l.machine.Receive(now, m.From, msg)
 	case seal.TopicCatalogue:
 		l.receiveCatalogue(now, m.From, b)
-	case seal.TopicRoster:
+	case seal.TopicMemberListRequest:
 		l.sendVoters(now, m.From, b)
 	case seal.TopicTrace:
 		if !l.b.data.forwarder.traces.receiveClaim(b) {
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -177,7 +177,7 @@
 			clock := &f.chooser.(*placer).clock
 			if c.on {
 				var err error
-				p := tracing.New(tracing.Config{Sample: c.sample}, tracetest.NewNoopExporter(), prometheus.NewRegistry())
+				p := tracing.New(tracing.Config{SampleRatio: c.sample}, tracetest.NewNoopExporter(), prometheus.NewRegistry())
 				defer p.Close(context.Background())
 				if f.traces, err = newFlowTracer(p, ring, f.via, clock, prometheus.NewRegistry()); err != nil {
 					b.Fatal(err)
--- a/internal/balancer/tracing.go
+++ b/internal/balancer/tracing.go
@@ -32,7 +32,7 @@
 
 // firstPacket is a forwarded first packet of a traced flow.
 type firstPacket struct {
-	flow       tracing.Flow
+	flow       tracing.FlowSpan
 	service    uint32
 	agent      netip.AddrPort
 	began, end time.Time
@@ -45,7 +45,7 @@
 // claimTimeout has passed.
 type flowTracer struct {
 	spans        *tracing.Provider
-	flows        *tracing.Flows // used only by the goroutine that receives from callers
+	flows        *tracing.FlowHasher // used only by the goroutine that receives from callers
 	via          netip.AddrPort
 	clock        *batchClock
 	firstPackets chan firstPacket
@@ -59,10 +59,10 @@
 
 // newFlowTracer returns a tracer, or nil if tracing is off.
 func newFlowTracer(p *tracing.Provider, ring fleetkey.Ring, via netip.AddrPort, clock *batchClock, reg prometheus.Registerer) (*flowTracer, error) {
-	if !p.On() {
+	if !p.Enabled() {
 		return nil, nil
 	}
-	flows, err := tracing.NewFlows(ring, p.Sample())
+	flows, err := tracing.NewFlowHasher(ring, p.SampleRatio())
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	if t == nil || !t.flows.Sampled(id) {
 		return false
 	}
-	p := firstPacket{flow: t.flows.Of(id, t.via), service: service, agent: agent, began: t.clock.now(), end: time.Now()}
+	p := firstPacket{flow: t.flows.Identity(id, t.via), service: service, agent: agent, began: t.clock.now(), end: time.Now()}
 	select {
 	case t.firstPackets <- p:
 	default:
@@ -191,7 +191,7 @@
 
 // export exports the span of a first packet, as a child of parent if that is valid.
 func (t *flowTracer) export(p firstPacket, parent trace.SpanContext) {
-	ctx := tracing.WithFlow(context.Background(), p.flow)
+	ctx := tracing.WithFlowSpan(context.Background(), p.flow)
 	if parent.IsValid() {
 		ctx = trace.ContextWithRemoteSpanContext(ctx, parent)
 	}
--- a/internal/balancer/tracing_test.go
+++ b/internal/balancer/tracing_test.go
@@ -22,7 +22,7 @@
 func testTracer(t testing.TB) (*flowTracer, func() tracetest.SpanStubs) {
 	t.Helper()
 	e := tracetest.NewInMemoryExporter()
-	p := tracing.New(tracing.Config{Sample: 1}, retainingExporter{e}, prometheus.NewRegistry())
+	p := tracing.New(tracing.Config{SampleRatio: 1}, retainingExporter{e}, prometheus.NewRegistry())
 	tracer, err := newFlowTracer(p, benchRing(t), netip.MustParseAddrPort("10.0.0.9:7700"), &batchClock{}, prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	id := []byte("first-id")
 	tracer.recordFirstPacket(id, benchService, testAgent)
 	tracer.recordFirstPacket(id, benchService, testAgent)
-	claim := tracing.Claim{Span: tracer.flows.Of(id, tracer.via).Span, Trace: trace.TraceID{1}, Parent: trace.SpanID{2}}
+	claim := tracing.Claim{Span: tracer.flows.Identity(id, tracer.via).Span, Trace: trace.TraceID{1}, Parent: trace.SpanID{2}}
 	b, err := cbor.Marshal(claim)
 	if err != nil || !tracer.receiveClaim(b) {
 		t.Fatalf("valid claim not accepted: %v", err)
@@ -95,7 +95,7 @@
 		t.Errorf("dropped %v first packets, want 3", n)
 	}
 	for i := range maxPendingSpans + 5 {
-		tracer.addPending(firstPacket{flow: tracer.flows.Of(id(i), tracer.via), began: time.Now()})
+		tracer.addPending(firstPacket{flow: tracer.flows.Identity(id(i), tracer.via), began: time.Now()})
 	}
 	if len(tracer.pending) != maxPendingSpans || len(tracer.order) != maxPendingSpans {
 		t.Errorf("%d spans are pending and %d keys are in order, want %d", len(tracer.pending), len(tracer.order), maxPendingSpans)
--- a/internal/balancer/voters.go
+++ b/internal/balancer/voters.go
@@ -75,8 +75,8 @@
 }
 
 // answer returns the response to a request for the voters of a service.
-func (v *voters) answer(q control.RosterRequest, now time.Time) control.RosterAnswer {
-	a := control.RosterAnswer{Seq: q.Seq, Complete: now.Sub(v.started) > v.retention}
+func (v *voters) answer(q control.MemberListRequest, now time.Time) control.MemberListResponse {
+	a := control.MemberListResponse{Seq: q.Seq, Complete: now.Sub(v.started) > v.retention}
 	list := v.services[q.Service]
 	list = slices.DeleteFunc(list, func(e voter) bool { return !e.departedAt.IsZero() && now.Sub(e.departedAt) > v.retention })
 	v.services[q.Service] = list
@@ -87,8 +87,8 @@
 		switch {
 		case e.departedAt.IsZero() && len(a.Live) < control.MaxVoters:
 			a.Live = append(a.Live, e.addr)
-		case !e.departedAt.IsZero() && len(a.Gone) < control.MaxVoters:
-			a.Gone = append(a.Gone, control.GoneVoter{Addr: e.addr, Age: uint32(now.Sub(e.departedAt) / time.Second), Left: e.stoppedVoting})
+		case !e.departedAt.IsZero() && len(a.Departed) < control.MaxVoters:
+			a.Departed = append(a.Departed, control.DepartedVoter{Addr: e.addr, Age: uint32(now.Sub(e.departedAt) / time.Second), Left: e.stoppedVoting})
 		}
 	}
 	return a
@@ -96,12 +96,12 @@
 
 // sendVoters answers an agent's request for the voters on its service's idempotency keys.
 func (l *controlLoop) sendVoters(now time.Time, to netip.AddrPort, b []byte) {
-	var q control.RosterRequest
+	var q control.MemberListRequest
 	if err := cbor.Unmarshal(b, &q); err != nil {
 		l.b.metrics.controlRejected.Inc()
 		return
 	}
-	if err := l.link.Send(seal.TopicRosterIs, to, l.voters.answer(q, now)); err != nil {
+	if err := l.link.Send(seal.TopicMemberList, to, l.voters.answer(q, now)); err != nil {
 		l.b.log.Error("list of voters could not be sent to an agent", zap.Error(err))
 	}
 }
--- a/internal/bulk/bulk.go
+++ b/internal/bulk/bulk.go
@@ -1,8 +1,8 @@
-// Package bulk carries transfers too large for control datagrams between the
-// system's processes: one request and one answer a QUIC stream.
+// Package bulk transfers data that is too large for control datagrams between the
+// system's processes: one request and one response per QUIC stream.
 //
-// Both ends prove by their certificate that they hold a fleet key: the
-// certificate's key pair is derived from it.
+// Client and server authenticate each other with certificates whose key pair is
+// derived from a fleet key.
 package bulk
 
 import (
@@ -27,49 +27,49 @@
 )
 
 const (
-	protocol    = "hemlock-bulk/1"
-	certificate = 100 * 365 * 24 * time.Hour // the fleet key, not the date, ends its use
-	// maxRequest bounds a request in bytes.
-	maxRequest = 1 << 10
-	// maxServed bounds the transfers served at once. One more is refused at
-	// once: the asker turns to another process, and the memory of this one
-	// stays within its share.
-	maxServed   = 4
-	idleTimeout = 5 * time.Second
-	// answerTimeout is the time in which an answer has to begin, and stepTimeout that in
-	// which more of it has to arrive: how long the whole takes depends on the catalogue and
-	// on the link.
-	answerTimeout = 5 * time.Second
-	stepTimeout   = 3 * time.Second
-
-	codeBusy  quic.ApplicationErrorCode = 1
-	codeDone  quic.ApplicationErrorCode = 0
-	streamCut quic.StreamErrorCode      = 1
+	protocol            = "hemlock-bulk/1"
+	certificateValidity = 100 * 365 * 24 * time.Hour // long, since the fleet key, not the date, ends the use of the certificate
+	// maxRequestSize is the maximum size of a request in bytes.
+	maxRequestSize = 1 << 10
+	// maxServedTransfers is the maximum number of transfers served concurrently, which
+	// bounds the memory used. A further one is refused immediately, so that the client
+	// can try another process.
+	maxServedTransfers = 4
+	idleTimeout        = 5 * time.Second
+	// responseTimeout is the time in which a response must begin, and progressTimeout the
+	// time in which more of it must arrive. There is no limit on the total time, which
+	// depends on the size of the catalogue and on the link.
+	responseTimeout = 5 * time.Second
+	progressTimeout = 3 * time.Second
+
+	codeBusy    quic.ApplicationErrorCode = 1
+	codeDone    quic.ApplicationErrorCode = 0
+	codeAborted quic.StreamErrorCode      = 1
 )
 
-// Kind tells what a request asks for.
+// Kind is the type of data that a request asks for.
 type Kind byte
 
-// The kinds of request.
+// The kinds of requests.
 const (
-	KindCatalogue Kind = 1 // the request is a catalogue.Digest, the answer a catalogue.Bulk
-	KindRoster    Kind = 2 // the answer is what membership.Machine.EncodeAll returns
+	KindCatalogue  Kind = 1 // the request is a catalogue.Digest, the response a catalogue.Bulk
+	KindMemberList Kind = 2 // the response is encoded by membership.Machine.EncodeAll
 )
 
-// PeerError reports a peer that does not hold a fleet key.
+// PeerError reports a peer whose certificate does not belong to any fleet key.
 type PeerError struct{}
 
 func (*PeerError) Error() string {
-	return "bulk: the peer holds no fleet key; give all processes of the fleet the same keys"
+	return "bulk: the peer has none of the fleet keys; configure the same keys on all processes of the fleet"
 }
 
-// Handler writes the answer to a request.
+// Handler writes the response to a request.
 type Handler func(ctx context.Context, kind Kind, request []byte, w io.Writer) error
 
-// tlsConfig returns the configuration of both ends.
+// tlsConfig returns the TLS configuration of clients and servers.
 func tlsConfig(ring fleetkey.Ring) (*tls.Config, error) {
 	key := keyPair(ring[0])
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(certificate)}
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(certificateValidity)}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 		Certificates:       []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}},
 		NextProtos:         []string{protocol},
 		ClientAuth:         tls.RequireAnyClientCert,
-		InsecureSkipVerify: true, // names mean nothing here; VerifyConnection compares the keys
+		InsecureSkipVerify: true, // host names are not used; VerifyConnection checks the public key
 		VerifyConnection:   verify,
 	}, nil
 }
@@ -95,8 +95,8 @@
 	return ed25519.NewKeyFromSeed(k.Derive("bulk", ed25519.SeedSize))
 }
 
-// Port is the socket for transfers of one process, both ways.
-type Port struct {
+// Endpoint is the socket on which one process serves and fetches transfers.
+type Endpoint struct {
 	socket    *net.UDPConn
 	transport *quic.Transport
 	listener  *quic.Listener
@@ -107,8 +107,8 @@
 	wg        sync.WaitGroup
 }
 
-// Listen opens a port at addr.
-func Listen(ring fleetkey.Ring, addr netip.AddrPort, h Handler) (*Port, error) {
+// Listen opens an endpoint at addr.
+func Listen(ring fleetkey.Ring, addr netip.AddrPort, h Handler) (*Endpoint, error) {
 	t, err := tlsConfig(ring)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Port{socket: socket, transport: &quic.Transport{Conn: socket}, tls: t, handler: h, limits: transfer.Limits{Answer: answerTimeout, Step: stepTimeout}, served: make(chan struct{}, maxServed)}
+	p := &Endpoint{socket: socket, transport: &quic.Transport{Conn: socket}, tls: t, handler: h, limits: transfer.Limits{ResponseTimeout: responseTimeout, ProgressTimeout: progressTimeout}, served: make(chan struct{}, maxServedTransfers)}
 	p.listener, err = p.transport.Listen(t, quicConfig())
 	if err != nil {
 		socket.Close()
@@ -130,8 +130,8 @@
 	return &quic.Config{MaxIdleTimeout: idleTimeout, MaxIncomingStreams: 1, MaxIncomingUniStreams: -1}
 }
 
-// Serve answers requests until Close.
-func (p *Port) Serve() error {
+// Serve serves requests until Close.
+func (p *Endpoint) Serve() error {
 	for {
 		conn, err := p.listener.Accept(context.Background())
 		if errors.Is(err, quic.ErrServerClosed) {
@@ -152,26 +152,26 @@
 	}
 }
 
-func (p *Port) serve(conn *quic.Conn) {
+func (p *Endpoint) serve(conn *quic.Conn) {
 	stream, err := conn.AcceptStream(conn.Context())
 	if err != nil {
 		return
 	}
-	request, err := io.ReadAll(io.LimitReader(stream, maxRequest))
+	request, err := io.ReadAll(io.LimitReader(stream, maxRequestSize))
 	if err != nil || len(request) == 0 {
 		conn.CloseWithError(codeDone, "")
 		return
 	}
 	if err := p.handler(conn.Context(), Kind(request[0]), request[1:], stream); err != nil {
-		stream.CancelWrite(streamCut)
+		stream.CancelWrite(codeAborted)
 	}
 	stream.Close()
-	<-conn.Context().Done() // the asker closes once it has everything
+	<-conn.Context().Done() // the client closes the connection after it has read the response
 }
 
-// Fetch asks the port at addr and passes the answer to read. Errors:
-// *transfer.StalledError.
-func (p *Port) Fetch(ctx context.Context, addr netip.AddrPort, kind Kind, request []byte, read func(io.Reader) error) error {
+// Fetch sends a request to the endpoint at addr and passes the response to read. A
+// transfer that makes no progress is aborted with a *transfer.StalledError.
+func (p *Endpoint) Fetch(ctx context.Context, addr netip.AddrPort, kind Kind, request []byte, read func(io.Reader) error) error {
 	ctx, e := transfer.Begin(ctx, p.limits)
 	defer e.End()
 	if err := p.exchange(ctx, e, addr, append([]byte{byte(kind)}, request...), read); err != nil {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-func (p *Port) exchange(ctx context.Context, e *transfer.Exchange, addr netip.AddrPort, request []byte, read func(io.Reader) error) error {
+func (p *Endpoint) exchange(ctx context.Context, e *transfer.Exchange, addr netip.AddrPort, request []byte, read func(io.Reader) error) error {
 	conn, err := p.transport.Dial(ctx, net.UDPAddrFromAddrPort(addr), p.tls, quicConfig())
 	if err != nil {
 		return err
@@ -199,8 +199,8 @@
 	return read(e.Body(stream, -1))
 }
 
-// Close ends Serve and every transfer, and waits for them.
-func (p *Port) Close() {
+// Close ends Serve and all transfers, and waits for the transfers served.
+func (p *Endpoint) Close() {
 	p.listener.Close()
 	p.transport.Close()
 	p.socket.Close()
--- a/internal/bulk/bulk_test.go
+++ b/internal/bulk/bulk_test.go
@@ -23,7 +23,7 @@
 	keyTwo = "2:101112131415161718191a1b1c1d1e1f"
 )
 
-func listen(t *testing.T, keys string, h Handler) *Port {
+func listen(t *testing.T, keys string, h Handler) *Endpoint {
 	t.Helper()
 	ring, err := fleetkey.Parse(keys)
 	if err != nil {
@@ -44,18 +44,20 @@
 	return p
 }
 
-func (p *Port) local() netip.AddrPort { return netip.MustParseAddrPort(p.socket.LocalAddr().String()) }
+func (p *Endpoint) local() netip.AddrPort {
+	return netip.MustParseAddrPort(p.socket.LocalAddr().String())
+}
 
-// echo answers with the request, many times over.
+// echo responds with the request repeated 100,000 times.
 func echo(_ context.Context, kind Kind, request []byte, w io.Writer) error {
 	_, err := w.Write(bytes.Repeat(append([]byte{byte(kind)}, request...), 100_000))
 	return err
 }
 
-func fetch(p, from *Port) (answer []byte, err error) {
+func fetch(p, from *Endpoint) (answer []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	err = p.Fetch(ctx, from.local(), KindRoster, []byte("abc"), func(r io.Reader) (err error) {
+	err = p.Fetch(ctx, from.local(), KindMemberList, []byte("abc"), func(r io.Reader) (err error) {
 		answer, err = io.ReadAll(r)
 		return err
 	})
@@ -74,22 +76,22 @@
 	}
 }
 
-// TestStrangerIsRefused: symptom: a process outside the fleet reads the
-// catalogue and the roster. Sequence: it connects to the bulk port with a
-// certificate of its own. Cause: the port did not ask for proof of a fleet key.
-func TestStrangerIsRefused(t *testing.T) {
+// TestPeerWithoutFleetKeyIsRefused guards against a process outside the fleet that
+// reads the catalogue and the member list, by connecting to the bulk port with a
+// certificate that is not derived from a fleet key.
+func TestPeerWithoutFleetKeyIsRefused(t *testing.T) {
 	served := listen(t, keyOne, echo)
 	stranger := listen(t, keyTwo, echo)
 	if got, err := fetch(stranger, served); err == nil {
-		t.Fatalf("a stranger got %d bytes", len(got))
+		t.Fatalf("a peer without fleet key got %d bytes", len(got))
 	}
 }
 
-// testLimits are short, so that a transfer outlasts them soon.
-var testLimits = transfer.Limits{Answer: 300 * time.Millisecond, Step: 300 * time.Millisecond}
+// testLimits are short, so that a transfer soon takes longer than they allow.
+var testLimits = transfer.Limits{ResponseTimeout: 300 * time.Millisecond, ProgressTimeout: 300 * time.Millisecond}
 
-// Guards against a process that can never take a catalogue that its link does not carry
-// within a fixed time.
+// Guards against a process that can never fetch a catalogue because its link does not
+// transfer it within a fixed total time.
 func TestLongTransferEnds(t *testing.T) {
 	const part, parts, partsPerS = 64 << 10, 20, 20
 	pace := rate.NewLimiter(partsPerS, 1)
@@ -107,11 +109,12 @@
 	asker := listen(t, keyOne, echo)
 	asker.limits = testLimits
 	if got, err := fetch(asker, slow); err != nil || len(got) != part*parts {
-		t.Fatalf("%d bytes, %v", len(got), err)
+		t.Fatalf("got %d bytes, error %v", len(got), err)
 	}
 }
 
-// Guards against a process that stops in the middle of its answer, and holds its asker.
+// Guards against a client that is blocked because the server stops in the middle of its
+// response.
 func TestStalledTransferIsGivenUp(t *testing.T) {
 	stalled := listen(t, keyOne, func(ctx context.Context, _ Kind, _ []byte, w io.Writer) error {
 		if _, err := w.Write(make([]byte, 64<<10)); err != nil {
--- a/internal/contact/contact.go
+++ b/internal/contact/contact.go
@@ -1,5 +1,5 @@
-// Package contact makes the calls to the platform's store that
-// membership.Slots asks for.
+// Package contact executes the calls to the platform's store that
+// membership.Slots requests.
 package contact
 
 import (
@@ -12,36 +12,36 @@
 )
 
 const (
-	// results is above the number of calls under way, which is one, so that
-	// no result waits for its reader.
-	results     = 2
-	callTimeout = 4 * time.Second
+	// resultsCapacity exceeds the number of calls in progress, which is one, so that
+	// sending a result does not block.
+	resultsCapacity = 2
+	callTimeout     = 4 * time.Second
 )
 
-// Result is the outcome of one call, with the lease that it was granted.
+// Result is the outcome of one call, with the lease if one was granted.
 type Result struct {
 	membership.Result
 	granted store.LeaseID
 }
 
-// Caller makes calls, each in a goroutine of its own. Make and Done are called
-// by one goroutine, which reads Results.
-type Caller struct {
+// Client makes the calls, each in its own goroutine. Start and Complete must be called
+// by the goroutine that reads Results.
+type Client struct {
 	Results chan Result
 
 	store store.Interface
-	// lease is the newest lease granted, which Slots knows as number leaseNo.
-	lease   store.LeaseID
-	leaseNo uint64
+	// lease is the newest lease granted; Slots identifies it by leaseNumber.
+	lease       store.LeaseID
+	leaseNumber uint64
 }
 
-// NewCaller returns a caller of s.
-func NewCaller(s store.Interface) *Caller {
-	return &Caller{Results: make(chan Result, results), store: s}
+// NewClient returns a client of s.
+func NewClient(s store.Interface) *Client {
+	return &Client{Results: make(chan Result, resultsCapacity), store: s}
 }
 
-// Make makes one call; its outcome comes over Results.
-func (c *Caller) Make(ctx context.Context, call membership.Call) {
+// Start starts one call; its result is sent to Results unless ctx ends first.
+func (c *Client) Start(ctx context.Context, call membership.Call) {
 	lease := c.lease
 	go func() {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
@@ -54,17 +54,18 @@
 	}()
 }
 
-// Done returns what Slots is told of a result.
-func (c *Caller) Done(r Result) membership.Result {
+// Complete returns the result in the form that Slots expects. A granted lease is used
+// for the calls started from now on.
+func (c *Client) Complete(r Result) membership.Result {
 	if r.granted != "" {
 		c.lease = r.granted
-		c.leaseNo++
-		r.Lease = c.leaseNo
+		c.leaseNumber++
+		r.Lease = c.leaseNumber
 	}
 	return r.Result
 }
 
-func (c *Caller) call(ctx context.Context, call membership.Call, lease store.LeaseID) Result {
+func (c *Client) call(ctx context.Context, call membership.Call, lease store.LeaseID) Result {
 	r := Result{Result: membership.Result{ID: call.ID}}
 	var err error
 	switch call.Op {
@@ -83,7 +84,7 @@
 	return r
 }
 
-// outcomeOf translates the store's errors.
+// outcomeOf maps an error of the store to the outcome of a call.
 func outcomeOf(err error) membership.Outcome {
 	var notFound *store.NotFoundError
 	var expired *store.LeaseExpiredError
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control carries control messages between the system's processes:
-// CBOR, sealed under the fleet key, one message a datagram.
+// Package control sends and receives control messages between the system's processes.
+// Each datagram is one message, encoded as CBOR and encrypted with the fleet key.
 package control
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// Datagram is a control datagram as it arrived.
+// Datagram is a received control datagram, still encrypted.
 type Datagram struct {
 	From netip.AddrPort
 	Data []byte
 }
 
-// Link sends and opens control datagrams on one socket. It is safe for
-// concurrent use.
+// Link sends control datagrams on one socket and decrypts received ones. It is safe
+// for concurrent use.
 type Link struct {
 	box    *seal.Box
 	socket *udp.Conn
-	// Sent, if not nil, is told the bytes of each datagram sent.
-	Sent func(bytes int)
+	// OnSent, if not nil, is called with the size of each datagram sent.
+	OnSent func(bytes int)
 }
 
-// NewLink returns a link over socket.
+// NewLink returns a link that sends on socket.
 func NewLink(ring fleetkey.Ring, socket *udp.Conn) (*Link, error) {
 	box, err := seal.NewBox(ring)
 	if err != nil {
@@ -36,17 +36,17 @@
 	return &Link{box: box, socket: socket}, nil
 }
 
-// SendBytes sends an encoded message. A datagram that the kernel refuses is
-// lost, as any may be.
+// SendBytes encrypts and sends an encoded message. Errors of the socket are ignored,
+// since any datagram may be lost.
 func (l *Link) SendBytes(t seal.Topic, to netip.AddrPort, b []byte) {
 	d := l.box.Seal(t, b)
-	if l.Sent != nil {
-		l.Sent(len(d))
+	if l.OnSent != nil {
+		l.OnSent(len(d))
 	}
 	l.socket.WriteTo(d, to)
 }
 
-// Send encodes and sends a message.
+// Send encodes, encrypts and sends a message. Its errors are those of the encoding.
 func (l *Link) Send(t seal.Topic, to netip.AddrPort, message any) error {
 	b, err := cbor.Marshal(message)
 	if err != nil {
@@ -56,39 +56,41 @@
 	return nil
 }
 
-// Open returns the topic and the encoded message of a datagram.
+// Open decrypts a datagram and returns the topic and the encoded message. The result is
+// false if the datagram is malformed or was not encrypted with a fleet key.
 func (l *Link) Open(d Datagram) (seal.Topic, []byte, bool) { return l.box.Open(d.Data) }
 
-// What a membership ack says of the subject's catalogue entry, beside the
-// entry's version.
+// Values of a membership ack's field for the version of the subject's catalogue entry,
+// if there is no such version.
 const (
 	NoCatalogue uint64 = 0       // the balancer has no catalogue
-	NoEntry     uint64 = 1 << 63 // its catalogue has no entry for the service number
+	NoEntry     uint64 = 1 << 63 // the balancer's catalogue has no entry for the service number
 )
 
-// RosterRequest asks a balancer which agents of a service vote on idempotency
-// keys.
-type RosterRequest struct {
+// MemberListRequest requests from a balancer the agents of a service that vote on
+// idempotency keys.
+type MemberListRequest struct {
 	Service uint32 `cbor:"1,keyasint"`
-	Seq     uint64 `cbor:"2,keyasint"` // comes back in the answer
+	Seq     uint64 `cbor:"2,keyasint"` // returned in the response
 }
 
-// MaxVoters bounds each list of a RosterAnswer, so that it fits one datagram.
+// MaxVoters is the maximum length of each list in a MemberListResponse, so that it fits
+// into one datagram.
 const MaxVoters = 32
 
-// GoneVoter is an agent that voted and is not live any more.
-type GoneVoter struct {
+// DepartedVoter is an agent that voted earlier and is no longer live.
+type DepartedVoter struct {
 	Addr netip.AddrPort `cbor:"1,keyasint"`
-	Age  uint32         `cbor:"2,keyasint"` // seconds since it vanished or left
+	Age  uint32         `cbor:"2,keyasint"` // seconds since it failed or deregistered
 	Left bool           `cbor:"3,keyasint,omitempty"`
 }
 
-// RosterAnswer is the balancer's view of a service's voters: the MaxVoters
-// agents of lowest hash, live and gone.
-type RosterAnswer struct {
+// MemberListResponse lists a service's voters as the balancer knows them: of the live and
+// of the departed agents, the MaxVoters ones with the lowest hash.
+type MemberListResponse struct {
 	Seq      uint64           `cbor:"1,keyasint"`
 	Live     []netip.AddrPort `cbor:"2,keyasint"`
-	Gone     []GoneVoter      `cbor:"3,keyasint,omitempty"`
-	Complete bool             `cbor:"4,keyasint,omitempty"` // Gone reaches back over the whole retention
-	Serving  uint32           `cbor:"5,keyasint,omitempty"` // agents of the service that take new flows
+	Departed []DepartedVoter  `cbor:"3,keyasint,omitempty"`
+	Complete bool             `cbor:"4,keyasint,omitempty"` // Departed covers the whole retention time
+	Serving  uint32           `cbor:"5,keyasint,omitempty"` // number of agents of the service that accept new flows
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is what every process of the system has in common: its log,
-// its metrics and readiness page, its signals, and the group of its duties.
+// Package daemon implements what all processes of the system share: the log,
+// the metrics and readiness pages, signal handling, and the group of the process's
+// goroutines.
 package daemon
 
 import (
@@ -28,37 +29,37 @@
 
 const adminHeaderTimeout = 5 * time.Second
 
-// Config is the settings that every process has.
+// Config holds the settings that all processes share.
 type Config struct {
 	Role  string
-	Admin netip.AddrPort // address of the metrics and readiness page
+	Admin netip.AddrPort // address of the metrics and readiness pages
 	Level string         // log level: debug, info, warn or error
-	Trace tracing.Config // its Role is filled in
-	// Output, if not nil, takes the log in place of standard error, by a ring
-	// that never blocks.
+	Trace tracing.Config // New sets its Role
+	// Output, if not nil, receives the log instead of standard error, through a
+	// buffer that never blocks the process.
 	Output io.Writer
-	// Stops delivers the signals that stop the process, SIGTERM and SIGINT. Nil: they
-	// are taken from Run on, and one that comes before ends the process.
-	Stops <-chan os.Signal
+	// StopSignals delivers the signals that stop the process, SIGTERM and SIGINT. If
+	// it is nil, Run registers for them, and a signal before Run kills the process.
+	StopSignals <-chan os.Signal
 }
 
-// Daemon is one process.
+// Daemon is the runtime of one process.
 type Daemon struct {
-	Log      *zap.Logger
-	Registry *prometheus.Registry
-	Mux      *http.ServeMux // pages of the admin address
-	Traces   *tracing.Provider
-	admin    net.Listener
-	ready    func() bool
-	draining atomic.Bool
-	group    run.Group
-	ring     *LogRing // nil if the log goes to standard error
-	reload   func() error
-	changed  func() bool // nil: only SIGHUP asks for a reload
-	stops    <-chan os.Signal
+	Log             *zap.Logger
+	Registry        *prometheus.Registry
+	Mux             *http.ServeMux // pages of the admin address
+	Traces          *tracing.Provider
+	admin           net.Listener
+	ready           func() bool
+	draining        atomic.Bool
+	group           run.Group
+	ring            *LogRing // nil if the log goes to standard error
+	reload          func() error
+	settingsChanged func() bool // nil: only SIGHUP starts a reload
+	stops           <-chan os.Signal
 }
 
-// New opens the log, the admin address and the exporter of traces.
+// New opens the log, the admin address and the trace exporter.
 func New(cfg Config) (*Daemon, error) {
 	log, ring, err := openLog(cfg)
 	if err != nil {
@@ -68,10 +69,10 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Log: log, Registry: prometheus.NewRegistry(), Mux: http.NewServeMux(), admin: ln, stops: cfg.Stops}
+	d := &Daemon{Log: log, Registry: prometheus.NewRegistry(), Mux: http.NewServeMux(), admin: ln, stops: cfg.StopSignals}
 	d.ring = ring
 	d.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Name: "hemlock_log_lines_dropped_total", Help: "log lines dropped because their reader was too slow",
+		Name: "hemlock_log_lines_dropped_total", Help: "Log lines dropped because the log buffer was full.",
 	}, ring.droppedMetric))
 	d.Mux.Handle("GET /metrics", metricsPage(d.Registry))
 	d.Mux.HandleFunc("GET /ready", d.serveReady)
@@ -83,13 +84,13 @@
 	return d, nil
 }
 
-// metricsPage serves the metrics of own and then those of the Go runtime and the process.
-// Monitoring that keeps the first kilobytes of a page was left without any of the system's
-// own metrics: sorted by name, some fifty lines on the runtime go before them.
+// metricsPage serves the metrics of own, followed by those of the Go runtime and the process.
+// Sorted by name, some fifty lines on the runtime would come first, and monitoring that keeps
+// only the first kilobytes of a page would lose the system's own metrics.
 func metricsPage(own prometheus.Gatherer) http.Handler {
 	runtime := prometheus.NewRegistry()
 	runtime.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	opts := promhttp.HandlerOpts{DisableCompression: true} // one body from two handlers
+	opts := promhttp.HandlerOpts{DisableCompression: true} // two handlers write to one body
 	first, second := promhttp.HandlerFor(own, opts), promhttp.HandlerFor(runtime, opts)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		first.ServeHTTP(w, r)
@@ -97,7 +98,8 @@
 	})
 }
 
-// NewLog returns a JSON log on standard error.
+// NewLog returns a logger that writes JSON to standard error. level is the name of a zap
+// level, such as debug or info.
 func NewLog(role, level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return log.With(zap.String("role", role)), nil
 }
 
-// openLog returns the log, and its ring if cfg names an output.
+// openLog returns the log, and its buffer if cfg names an output.
 func openLog(cfg Config) (*zap.Logger, *LogRing, error) {
 	if cfg.Output == nil {
 		log, err := NewLog(cfg.Role, cfg.Level)
@@ -128,38 +130,41 @@
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	core := zapcore.NewTee(
-		zapcore.NewSamplerWithOptions(zapcore.NewCore(zapcore.NewJSONEncoder(enc), ring, ordinary(level)), time.Second, sampleFirst, sampleThen),
-		zapcore.NewCore(zapcore.NewJSONEncoder(enc), ring, exceptional(level)),
+		zapcore.NewSamplerWithOptions(zapcore.NewCore(zapcore.NewJSONEncoder(enc), ring, belowWarn(level)), time.Second, sampleFirst, sampleThereafter),
+		zapcore.NewCore(zapcore.NewJSONEncoder(enc), ring, warnOrAbove(level)),
 	)
 	return zap.New(core).With(zap.String("role", cfg.Role)), ring, nil
 }
 
-// Of each ordinary message, sampleFirst lines a second are written and then every
-// sampleThen-th: a storm of refusals would else take a small VM's processor.
+// Messages below level warn are sampled: per second and message, the first sampleFirst lines
+// are written and then every sampleThereafter-th. Otherwise logging a burst of refusals could
+// use up the CPU of a small VM.
 const (
-	sampleFirst = 100
-	sampleThen  = 50
+	sampleFirst      = 100
+	sampleThereafter = 50
 )
 
-// ordinary enables the levels below warn from least on, exceptional the others.
-func ordinary(least zapcore.Level) zap.LevelEnablerFunc {
+// belowWarn enables the levels from least up to but not including warn.
+func belowWarn(least zapcore.Level) zap.LevelEnablerFunc {
 	return func(l zapcore.Level) bool { return l >= least && l < zapcore.WarnLevel }
 }
 
-func exceptional(least zapcore.Level) zap.LevelEnablerFunc {
+// warnOrAbove enables the levels from warn on that are not below least.
+func warnOrAbove(least zapcore.Level) zap.LevelEnablerFunc {
 	return func(l zapcore.Level) bool { return l >= least && l >= zapcore.WarnLevel }
 }
 
-// ReloadWhen makes SIGHUP call reload, which reads the settings anew, and so does
-// every change that changed reports, for settings that change without a signal.
-// Call it before Run. Without it SIGHUP changes nothing; it never ends the
-// process.
-func (d *Daemon) ReloadWhen(reload func() error, changed func() bool) {
-	d.reload, d.changed = reload, changed
+// OnReload registers reload, which reads the settings again. It is called on
+// SIGHUP and whenever changed, which is polled, reports changed settings. OnReload
+// must be called before Run. Without it SIGHUP has no effect; SIGHUP never ends
+// the process.
+func (d *Daemon) OnReload(reload func() error, changed func() bool) {
+	d.reload, d.settingsChanged = reload, changed
 }
 
-// ReadyWhen makes the readiness page ask ready. Call it before Run.
-func (d *Daemon) ReadyWhen(ready func() bool) { d.ready = ready }
+// SetReadyFunc sets the function that the readiness page reports. It must be called
+// before Run; without it the process is never ready.
+func (d *Daemon) SetReadyFunc(ready func() bool) { d.ready = ready }
 
 func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if d.draining.Load() || d.ready == nil || !d.ready() {
@@ -174,25 +179,25 @@
 
 // Part is one part of a process with its own lifecycle.
 type Part interface {
-	// Run does the part's duties until Close, or until one of them fails.
+	// Run runs the part until Close is called or one of its goroutines fails.
 	Run() error
-	// Drain is the graceful end: it returns when no work is left or ctx ends.
+	// Drain shuts down gracefully: it returns when no work is left or ctx ends.
 	Drain(ctx context.Context)
-	// Close ends Run.
+	// Close makes Run return.
 	Close()
 }
 
-// Run runs p until a signal or a failure. SIGTERM and SIGINT drain p for at
+// Run runs p until a signal arrives or p fails. SIGTERM and SIGINT drain p for at
 // most drain and then close it. A second SIGINT, from an operator at a
-// terminal, ends the drain; a second SIGTERM changes nothing, because a
-// supervisor that repeats itself must not cut the requests in flight.
+// terminal, ends the drain; a second SIGTERM is ignored, because a
+// supervisor that repeats the signal must not abort the requests in flight.
 func (d *Daemon) Run(p Part, drain time.Duration) error {
 	d.group.Add(p.Run, func(error) { p.Close() })
 	d.addAdmin()
 	d.addSignals(p, drain)
 	d.addReload()
 	err := d.group.Run()
-	d.Traces.End()
+	d.Traces.CloseWithTimeout()
 	d.Log.Info("stopped", zap.Error(err))
 	d.Log.Sync()
 	d.ring.Close()
@@ -235,24 +240,25 @@
 	}, func(error) { close(done) })
 }
 
-// lookForChange is the time between two looks whether the settings have changed
-// without a signal: reading a file of 2 KB costs 20 us, and nothing in it has to
-// be in force sooner.
-const lookForChange = 3 * time.Second
+// settingsPollInterval is the time between two checks for settings that have changed
+// without a signal. Reading a file of 2 KB takes 20 us, and no setting has to
+// take effect sooner.
+const settingsPollInterval = 3 * time.Second
 
-// addReload is the duty that answers SIGHUP and notices changed settings.
+// addReload adds the goroutine that reloads the settings on SIGHUP and when they have
+// changed.
 func (d *Daemon) addReload() {
 	done := make(chan struct{})
-	look := time.NewTicker(lookForChange)
+	look := time.NewTicker(settingsPollInterval)
 	d.group.Add(func() error {
 		defer look.Stop()
 		for {
 			select {
 			case <-reload.Signals:
-				d.reloadNow("signal")
+				d.runReload("signal")
 			case <-look.C:
-				if d.changed != nil && d.changed() {
-					d.reloadNow("settings changed")
+				if d.settingsChanged != nil && d.settingsChanged() {
+					d.runReload("settings changed")
 				}
 			case <-done:
 				return nil
@@ -261,13 +267,13 @@
 	}, func(error) { close(done) })
 }
 
-func (d *Daemon) reloadNow(why string) {
+func (d *Daemon) runReload(why string) {
 	if d.reload == nil {
-		d.Log.Info("reload: no settings that change while the process runs")
+		d.Log.Info("reload ignored: no setting can be changed while the process runs")
 		return
 	}
 	if err := d.reload(); err != nil {
-		d.Log.Error("reload refused; the settings in force stay", zap.String("why", why), zap.Error(err))
+		d.Log.Error("reload refused; keeping the current settings", zap.String("why", why), zap.Error(err))
 		return
 	}
 	d.Log.Info("reloaded", zap.String("why", why))
--- a/internal/daemon/log_test.go
+++ b/internal/daemon/log_test.go
@@ -8,31 +8,30 @@
 	"go.uber.org/zap"
 )
 
-// stuck is a reader of the log that has stopped.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a log destination that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Symptom: packets stand still although the process has work.
-// Sequence: whoever reads the process's standard output stops reading.
-// Cause: a line written to a full pipe waits.
-func TestStuckLogBlocksNobody(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+// Guards against a process that stops forwarding packets because a write to its log
+// blocks: the reader of its standard output has stopped, and the pipe is full.
+func TestStalledLogReaderDoesNotBlock(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	r := NewLogRing(out)
-	for range 3 * logLines {
+	for range 3 * maxPendingLines {
 		r.Write([]byte("line\n"))
 	}
-	if r.Dropped() < logLines {
-		t.Errorf("%d lines dropped", r.Dropped())
+	if r.Dropped() < maxPendingLines {
+		t.Errorf("%d lines dropped, want more", r.Dropped())
 	}
 	close(out.release)
 	r.Close()
 }
 
-// The ordinary is sampled when it comes in storms, the exceptional never is.
+// Bursts of lines below level warn are sampled; lines at warn and above never are.
 func TestOrdinaryLinesAreSampled(t *testing.T) {
 	var out bytes.Buffer
 	log, ring, err := openLog(Config{Role: "test", Level: "info", Output: &out})
@@ -46,9 +45,9 @@
 	}
 	ring.Close()
 	if n := strings.Count(out.String(), `"exceptional"`); n != lines {
-		t.Errorf("%d of %d exceptional lines", n, lines)
+		t.Errorf("%d of %d warn lines were written, want all", n, lines)
 	}
 	if n := strings.Count(out.String(), `"ordinary"`); n < sampleFirst || n > lines/2 {
-		t.Errorf("%d of %d ordinary lines", n, lines)
+		t.Errorf("%d of %d info lines were written, want a sample", n, lines)
 	}
 }
--- a/internal/daemon/logring.go
+++ b/internal/daemon/logring.go
@@ -7,16 +7,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// logLines is the number of lines that wait for the writer at most, about 1 MB.
-const logLines = 4096
+// maxPendingLines is the maximum number of lines that wait to be written, about 1 MB.
+const maxPendingLines = 4096
 
-// batchSize bounds what one call writes, in bytes, and with it what the ring
-// holds besides its lines.
-const batchSize = 16 << 10
+// maxBatchSize is the size in bytes from which no further line is added to a write. It
+// bounds the memory that the ring uses besides its pending lines.
+const maxBatchSize = 16 << 10
 
-// LogRing takes log lines without blocking: a goroutine writes them, and lines
-// that find the ring full are dropped and counted. A reader of the log that
-// stops must not stop the packets.
+// LogRing accepts log lines without blocking. A goroutine writes them; a line that
+// arrives while the ring is full is dropped and counted. Otherwise a stopped reader
+// of the log would stop the forwarding of packets.
 type LogRing struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -25,7 +25,7 @@
 
 // NewLogRing returns a ring that writes to w until Close.
 func NewLogRing(w io.Writer) *LogRing {
-	r := &LogRing{lines: make(chan []byte, logLines), done: make(chan struct{})}
+	r := &LogRing{lines: make(chan []byte, maxPendingLines), done: make(chan struct{})}
 	go r.run(w)
 	return r
 }
@@ -43,7 +43,8 @@
 // Sync implements zapcore.WriteSyncer.
 func (r *LogRing) Sync() error { return nil }
 
-// Close writes what waits and ends the ring. The log must not be used any more.
+// Close writes the pending lines and stops the writer. The log must not be used
+// afterwards. Close does nothing on a nil ring.
 func (r *LogRing) Close() {
 	if r == nil {
 		return
@@ -52,7 +53,7 @@
 	<-r.done
 }
 
-// droppedMetric is the counter's value; a nil ring drops nothing.
+// droppedMetric returns the number of dropped lines, 0 for a nil ring.
 func (r *LogRing) droppedMetric() float64 {
 	if r == nil {
 		return 0
@@ -68,8 +69,8 @@
 	var batch []byte
 	for line := range r.lines {
 		batch = append(batch[:0], line...)
-		// One call for what has gathered.
-		for more := true; more && len(batch) < batchSize; {
+		// Write all pending lines in one call, up to maxBatchSize.
+		for more := true; more && len(batch) < maxBatchSize; {
 			select {
 			case next, ok := <-r.lines:
 				batch = append(batch, next...)
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -11,7 +11,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// part does nothing until it is closed.
+// part is a Part that does nothing until it is closed.
 type part struct {
 	end     chan struct{}
 	drained bool
@@ -26,15 +26,13 @@
 
 func (p *part) Close() { close(p.end) }
 
-// Symptom: a process that was stopped as planned ends by the signal, as if it had been
-// killed.
-// Sequence: SIGTERM comes between the program's start and its duties.
-// Cause: the signals were taken with the duties only.
-func TestStopBeforeDutiesBegin(t *testing.T) {
+// Guards against a planned stop that looks like a crash: SIGTERM arrives between the
+// start of the program and Run, and kills the process because no handler is registered yet.
+func TestStopSignalBeforeRun(t *testing.T) {
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	d, err := New(Config{Role: "test", Level: "error", Trace: tracing.Config{Exporter: tracing.Off}, Admin: netip.MustParseAddrPort("127.0.0.1:0"), Stops: stop.Signals})
+	d, err := New(Config{Role: "test", Level: "error", Trace: tracing.Config{Exporter: tracing.Off}, Admin: netip.MustParseAddrPort("127.0.0.1:0"), StopSignals: stop.Signals})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +42,9 @@
 	select {
 	case err := <-ended:
 		if err != nil || !p.drained {
-			t.Errorf("ended with %v, drained: %v", err, p.drained)
+			t.Errorf("Run returned %v, drained: %v", err, p.drained)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the signal was lost")
+		t.Fatal("Run did not return: the signal was lost")
 	}
 }
--- a/internal/earlysignal/reload/reload.go
+++ b/internal/earlysignal/reload/reload.go
@@ -1,9 +1,9 @@
-// Package reload takes the signal that has a process read its settings anew, from the
-// program's first instruction on: SIGHUP ends a program that does not take it. One that
-// came while a process started ended it without a line in its log.
+// Package reload receives SIGHUP, which makes a process read its settings again, from
+// package initialisation on. A SIGHUP that arrives before a handler is registered kills
+// the process without a line in its log.
 //
-// The package imports nothing that has to be initialised, so that it goes before the
-// libraries of a program, whose initialisation takes most of its start.
+// The package imports only packages that need little initialisation, so that it is
+// initialised before the libraries of the program, which take most of the start time.
 package reload
 
 import (
@@ -12,8 +12,8 @@
 	"syscall"
 )
 
-// Signals delivers SIGHUP. Of several that were not read yet one is kept: the settings
-// are read once for all of them.
+// Signals delivers SIGHUP. Of several pending signals only one is kept, since the
+// settings are read once for all of them.
 var Signals = make(chan os.Signal, 1)
 
 func init() { signal.Notify(Signals, syscall.SIGHUP) }
--- a/internal/earlysignal/stop/stop.go
+++ b/internal/earlysignal/stop/stop.go
@@ -1,13 +1,12 @@
-// Package stop takes the signals that stop a process from the program's first
-// instruction on. A program that imports it has to read Signals, or nothing but
-// SIGKILL ends it.
+// Package stop receives the signals that stop a process, from package initialisation on.
+// A program that imports it must read Signals, or only SIGKILL ends it.
 //
-// Without it SIGTERM ended a process that had not come to its duties yet: its exit code
-// said that the signal had killed it, and a supervisor took a planned stop for a crash.
-// It showed when processes were restarted in turn on a busy VM.
+// Without it, a SIGTERM that arrives while a process is starting kills it, as during
+// rolling restarts on a busy VM: the exit code reports a death by signal, and a supervisor
+// takes the planned stop for a crash.
 //
-// The package imports nothing that has to be initialised, so that it goes before the
-// libraries of a program, whose initialisation takes most of its start.
+// The package imports only packages that need little initialisation, so that it is
+// initialised before the libraries of the program, which take most of the start time.
 package stop
 
 import (
@@ -16,8 +15,8 @@
 	"syscall"
 )
 
-// pending is the number of signals that are kept until they are read: one that stops
-// the process, and one that ends its drain.
+// pending is the number of signals that are buffered: one that stops the process, and
+// one that ends its drain.
 const pending = 2
 
 // Signals delivers SIGTERM and SIGINT.
--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleetkey/fleetkey.go
@@ -1,5 +1,5 @@
-// Package fleetkey reads the fleet's keys from settings and derives from each
-// the keys for one purpose alone, so that no two uses share a key.
+// Package fleetkey parses the fleet keys in the settings and derives a separate key
+// from them for each purpose.
 package fleetkey
 
 import (
@@ -15,31 +15,33 @@
 
 const (
 	secretLen = 16
-	// Max is how many keys may be valid at once: the one in use and the one
+	// Max is the maximum number of valid keys: the one in use and the one
 	// being rotated in or out.
 	Max = 2
 )
 
-// Key is one fleet key: a number that travels in the clear, and a secret.
+// Key is one fleet key: a number, which is sent unencrypted, and a secret.
 type Key struct {
 	Number byte
 	secret [secretLen]byte
 }
 
-// Ring holds the fleet keys. The first one seals, all of them open.
+// Ring holds the fleet keys. The first one is used for encryption and authentication, all
+// of them for decryption and verification.
 type Ring []Key
 
-// Error tells what is wrong with a fleet key setting. It never holds the secret.
+// Error reports an invalid fleet key setting. It never contains the secret.
 type Error struct {
 	Position int // counted from 1
 	Reason   string
 }
 
 func (e *Error) Error() string {
-	return fmt.Sprintf("fleet key %d: %s; write NUMBER:HEX with NUMBER 0 to 255 and 32 hexadecimal digits, two keys at most, separated by a comma", e.Position, e.Reason)
+	return fmt.Sprintf("fleet key %d: %s; write NUMBER:HEX with NUMBER from 0 to 255 and HEX of 32 hexadecimal digits, at most two keys, separated by a comma", e.Position, e.Reason)
 }
 
-// Parse reads "1:00112233445566778899aabbccddeeff,2:...".
+// Parse parses a list of keys like "1:00112233445566778899aabbccddeeff,2:...". Errors are
+// of type *Error.
 func Parse(s string) (Ring, error) {
 	parts := strings.Split(s, ",")
 	if len(parts) > Max {
@@ -62,11 +64,11 @@
 func parseKey(s string) (k Key, reason string) {
 	number, secret, found := strings.Cut(strings.TrimSpace(s), ":")
 	if !found {
-		return k, "no colon"
+		return k, "missing colon"
 	}
 	n, err := strconv.ParseUint(number, 10, 8)
 	if err != nil {
-		return k, "the number is not 0 to 255"
+		return k, "the number is not from 0 to 255"
 	}
 	b, err := hex.DecodeString(secret)
 	if err != nil || len(b) != secretLen {
@@ -77,11 +79,11 @@
 	return k, ""
 }
 
-// Derive returns n bytes of key for the purpose named by label.
+// Derive returns a key of n bytes for the purpose named by label.
 func (k Key) Derive(label string, n int) []byte {
 	out, err := hkdf.Key(sha256.New, k.secret[:], nil, "hemlockscale "+label, n)
 	if err != nil {
-		panic(err) // only for n beyond HKDF's bound, a constant of the calling code
+		panic(err) // only if n exceeds HKDF's limit; callers pass constants
 	}
 	return out
 }
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -154,8 +154,8 @@
 	a.addSeeds(s.Seeds)
 }
 
-// Beliefs implements process.Part.
-func (a *Agent) Beliefs() node.Snapshot {
+// Snapshot implements process.Part.
+func (a *Agent) Snapshot() node.Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	snapshot := a.gate.Snapshot(node.Now())
--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -165,8 +165,8 @@
 	b.addSeeds(s.Seeds)
 }
 
-// Beliefs implements process.Part.
-func (b *Balancer) Beliefs() node.Snapshot {
+// Snapshot implements process.Part.
+func (b *Balancer) Snapshot() node.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	snapshot := b.director.Snapshot(node.Now())
--- a/internal/flowframe/frame.go
+++ b/internal/flowframe/frame.go
@@ -1,8 +1,8 @@
 // Package flowframe encodes the messages between balancers and agents that
-// forward packet flows: a header of fixed length, then a packet or nothing.
+// forward packet flows: a header of fixed length, optionally followed by a packet.
 //
-// Frames carry no authentication: the platform's network keeps the ports of the
-// system's own use apart from callers.
+// Frames are not authenticated, because callers can't reach the system's internal
+// ports on the platform's network.
 package flowframe
 
 import (
@@ -17,29 +17,30 @@
 // Size is the length of the header in bytes.
 const Size = 56
 
-// version tells frames of this layout from others and from stray datagrams.
+// version is the first byte of a frame. It distinguishes frames of this layout from other
+// layouts and from unrelated datagrams.
 const version = 0xb2
 
 const (
-	atKind        = 1
-	atReason      = 2
-	atState       = 3
-	atPriority    = 4
-	atOccupancy   = 5
-	atReadAge     = 6
-	atService     = 8
-	atRevision    = 16
-	atIncarnation = 24
-	atZone        = 32
-	atKey         = 36
-	atOnTime      = 48 // milliseconds
-	atWait        = 50 // milliseconds
-	atHeard       = 52 // milliseconds
-	atColdRate    = 54
+	atKind         = 1
+	atReason       = 2
+	atState        = 3
+	atPriority     = 4
+	atOccupancy    = 5
+	atReadAge      = 6
+	atService      = 8
+	atRevision     = 16
+	atIncarnation  = 24
+	atZone         = 32
+	atKey          = 36
+	atOnTime       = 48 // milliseconds
+	atWait         = 50 // milliseconds
+	atLastReceived = 52 // milliseconds
+	atColdRate     = 54
 )
 
-// The byte at atState holds a server's state, which agents send, and in its upper half
-// the order for an availability zone, which balancers send.
+// The byte at atState holds a server's state in its lower half, sent by agents, and the
+// order for an availability zone in its upper half, sent by balancers.
 const (
 	stateMask      = 0x0f
 	zoneOrderShift = 4
@@ -63,18 +64,18 @@
 	m.Key.Append(h[atKey:atKey])
 	le.PutUint16(h[atOnTime:], millis(m.OnTime))
 	le.PutUint16(h[atWait:], millis(m.Wait))
-	le.PutUint16(h[atHeard:], millis(m.LastReceived))
+	le.PutUint16(h[atLastReceived:], millis(m.LastReceived))
 	le.PutUint16(h[atColdRate:], uint16(m.ColdRate))
 	return append(b, h[:]...)
 }
 
-// millis returns d in milliseconds, as far as 16 bits hold it.
+// millis returns d in milliseconds, limited to the range of uint16.
 func millis(d time.Duration) uint16 {
 	return uint16(min(max(d.Milliseconds(), 0), math.MaxUint16))
 }
 
-// Decode reads a frame and returns the packet after the header, empty if there
-// is none. ok is false for a datagram that is no frame.
+// Decode decodes a frame and returns the packet after the header, empty if there
+// is none. ok is false if b is not a valid frame.
 func Decode(b []byte) (m flow.Message, packet []byte, ok bool) {
 	if len(b) < Size || b[0] != version {
 		return m, nil, false
@@ -102,7 +103,7 @@
 	m.Zone = le.Uint32(b[atZone:])
 	m.Key, _ = flow.DecodeKey(b[atKey:])
 	m.OnTime = time.Duration(le.Uint16(b[atOnTime:])) * time.Millisecond
-	m.LastReceived = time.Duration(le.Uint16(b[atHeard:])) * time.Millisecond
+	m.LastReceived = time.Duration(le.Uint16(b[atLastReceived:])) * time.Millisecond
 	m.ColdRate = flow.ColdRate(le.Uint16(b[atColdRate:]))
 	m.Wait = time.Duration(le.Uint16(b[atWait:])) * time.Millisecond
 	return m, b[Size:], true
--- a/internal/flowframe/frame_test.go
+++ b/internal/flowframe/frame_test.go
@@ -33,7 +33,7 @@
 		}
 		again, rest, ok := Decode(append(Append(nil, &m), packet...))
 		if !ok || again != m || !bytes.Equal(rest, packet) {
-			t.Fatalf("decoded %+v, again %+v", m, again)
+			t.Fatalf("decoded %+v, after encoding and decoding again %+v", m, again)
 		}
 	})
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,8 +1,8 @@
-// Package frame is the header that balancers and agents put before a caller's
-// datagram when they pass it to one another.
+// Package frame encodes the header that balancers and agents prepend to a caller's
+// datagram when they forward it to each other.
 //
-// The header is authenticated by a MAC under the fleet key; the caller's
-// packet behind it is protected by QUIC itself.
+// The header is authenticated with a MAC under the fleet key; the caller's
+// packet after it is protected by QUIC itself.
 package frame
 
 import (
@@ -15,30 +15,30 @@
 	"github.com/hemlockscale/hemlockscale/internal/fleetkey"
 )
 
-// Kind tells the datagrams between the system's processes apart.
+// Kind is the type of a datagram between the system's processes.
 type Kind byte
 
-// The kinds of datagram. The values leave QUIC's fixed bit (0x40) clear.
+// The kinds of datagrams. The values leave QUIC's fixed bit (0x40) clear.
 const (
-	KindForward Kind = 1 // balancer or agent to agent, a caller's packet follows
-	KindReturn  Kind = 2 // agent to balancer, a packet for the caller follows
-	KindControl Kind = 3 // a sealed control message, see package seal
+	KindForward Kind = 1 // from a balancer or an agent to an agent; a packet from the caller follows
+	KindReturn  Kind = 2 // from an agent to a balancer; a packet to the caller follows
+	KindControl Kind = 3 // an encrypted control message, see package seal
 )
 
 // Flags of a header.
 const (
-	// FlagHandedOn marks a first packet that one agent has already handed on.
-	// Alternate and Load are then that agent and its occupancy. The receiver
-	// keeps it or sends it back, so that no packet circles.
-	FlagHandedOn byte = 1 << 0
+	// FlagForwarded marks a first packet that an agent has forwarded. Alternate
+	// and Load are then that agent and its occupancy. The receiver accepts the
+	// packet or returns it, but does not forward it again, which prevents loops.
+	FlagForwarded byte = 1 << 0
 	// FlagSampled marks the first packet of a flow whose path is traced.
 	FlagSampled byte = 1 << 1
 	// FlagFirst marks a packet routed by the caller's own connection ID.
 	FlagFirst byte = 1 << 2
-	// FlagReturned marks a handed-on packet that came back: the agent that it
-	// was handed on to is the busier one. It is kept by whoever gets it.
+	// FlagReturned marks a forwarded packet that the second agent has returned,
+	// because it is busier than the first. The receiver must accept it.
 	FlagReturned byte = 1 << 4
-	// FlagAlternate says that Alternate and Load name another agent.
+	// FlagAlternate is set if Alternate and Load describe another agent.
 	FlagAlternate byte = 1 << 3
 )
 
@@ -58,32 +58,32 @@
 	offAlternate = 24
 	offSeq       = 30
 	offEcho      = 34
-	offMAC       = 40 // the two bytes before it stay zero
+	offMAC       = 40 // the two bytes before it are zero
 	macLen       = Len - offMAC
 
-	// MaxPacket is the largest caller packet that is passed on, in bytes. With
-	// the header it stays below the 9,000 bytes of the read buffers.
+	// MaxPacket is the maximum size of a caller's packet that is forwarded, in bytes.
+	// With the header it fits into the read buffers of 9,000 bytes.
 	MaxPacket = 1500
 )
 
-// Header is what travels before a caller's packet.
+// Header is the header before a caller's packet.
 type Header struct {
 	Kind      Kind
 	Flags     byte
-	Load      byte           // return: the agent's occupancy; forward: the alternate's, as the balancer believes it
+	Load      byte           // return: the agent's occupancy; forward: the alternate's, as known to the balancer
 	Service   uint32         // service number
-	Caller    netip.AddrPort // where the packet came from or goes to
+	Caller    netip.AddrPort // the source (forward) or the destination (return) of the packet
 	Address   netip.Addr     // the service address that the caller uses
-	Via       netip.AddrPort // balancer that took the packet in; the way back
+	Via       netip.AddrPort // balancer that received the packet from the caller, and returns the responses
 	Alternate netip.AddrPort // forward with FlagAlternate: another agent of the service
-	// Seq counts the return datagrams from this agent to this balancer; Echo
-	// on a forward datagram is the newest Seq that arrived. An agent whose
-	// Seq is not echoed knows that its way to that balancer is cut although
-	// the balancer's datagrams still arrive.
+	// Seq numbers the return datagrams from an agent to a balancer. Echo in a
+	// forward datagram is the newest Seq that the balancer has received, so that
+	// the agent detects that its return path to the balancer is broken although
+	// datagrams from the balancer still arrive.
 	Seq, Echo uint32
 }
 
-// Codec writes and checks headers. It is used by one goroutine at a time.
+// Codec encodes and decodes headers. It is not safe for concurrent use.
 type Codec struct {
 	key    byte
 	blocks [256]cipher.Block
@@ -91,8 +91,8 @@
 	pad    [Len]byte
 }
 
-// NewCodec returns a codec that authenticates under the ring's first key and
-// accepts all of its keys.
+// NewCodec returns a codec that authenticates headers with the ring's first key and
+// accepts headers under any of its keys.
 func NewCodec(ring fleetkey.Ring) (*Codec, error) {
 	c := &Codec{key: ring[0].Number}
 	for _, k := range ring {
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-// Put writes h into the first Len bytes of b.
+// Put encodes h into the first Len bytes of b. It panics if b is shorter.
 func (c *Codec) Put(b []byte, h *Header) {
 	_ = b[Len-1]
 	b[offKind] = byte(h.Kind)
@@ -125,8 +125,8 @@
 	copy(b[offMAC:Len], c.mac[:macLen])
 }
 
-// Get reads the header at the start of b. ok is false when b is too short, is
-// of another kind, or was not made under a fleet key.
+// Get decodes the header at the start of b. ok is false if b is too short, is
+// of another kind, or is not authenticated under a fleet key.
 func (c *Codec) Get(b []byte, h *Header) (ok bool) {
 	if len(b) < Len {
 		return false
@@ -152,7 +152,7 @@
 	return h.Kind == KindForward || h.Kind == KindReturn
 }
 
-// sum leaves the CBC-MAC of the header's fields in c.mac. All inputs have one
+// sum stores the CBC-MAC of the header's fields in c.mac. All inputs have the same
 // length, for which CBC-MAC is a pseudorandom function.
 func (c *Codec) sum(block cipher.Block, b []byte) {
 	copy(c.pad[:offMAC], b[:offMAC])
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// FuzzGet: what was not made under a fleet key is no header. Only what Put
-// wrote is read, and it is read back as it was written.
+// FuzzGet checks that Get accepts only headers that are authenticated under a fleet key,
+// and that encoding a decoded header gives the same bytes.
 func FuzzGet(f *testing.F) {
 	c := newTestCodec(f, testKey)
 	valid := make([]byte, Len)
@@ -53,12 +53,12 @@
 		again := make([]byte, Len)
 		c.Put(again, &h)
 		if !bytes.Equal(again, b[:Len]) {
-			t.Fatalf("% x was read, and is written as % x", b[:Len], again)
+			t.Fatalf("% x was decoded, and is encoded as % x", b[:Len], again)
 		}
 	})
 }
 
-// FuzzFlip: a header with any part changed on the way is dropped.
+// FuzzFlip checks that a header with any byte changed is rejected.
 func FuzzFlip(f *testing.F) {
 	c := newTestCodec(f, testKey)
 	f.Add(uint8(0), uint8(1))
@@ -75,13 +75,13 @@
 	})
 }
 
-// TestStrangersHeader: a header under a key that is not the fleet's is dropped,
-// also when the key has the same number.
-func TestStrangersHeader(t *testing.T) {
+// TestHeaderUnderOtherKeyIsDropped checks that a header under a key that is not a fleet
+// key is rejected, even if the key has the same number.
+func TestHeaderUnderOtherKeyIsDropped(t *testing.T) {
 	b := make([]byte, Len)
 	h := testHeader()
 	newTestCodec(t, "1:ffffffffffffffffffffffffffffffff").Put(b, &h)
 	if newTestCodec(t, testKey).Get(b, &h) {
-		t.Fatal("accepted")
+		t.Fatal("header under another key was accepted")
 	}
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -121,7 +121,7 @@
 	processes = processes[:min(len(processes), MaxParallelRequests)]
 	requestCtx, cancelAll := context.WithCancel(ctx)
 	defer cancelAll()
-	limits := transfer.Limits{Answer: responseTimeout << min(c.unanswered, maxTimeoutDoublings), Step: progressTimeout}
+	limits := transfer.Limits{ResponseTimeout: responseTimeout << min(c.unanswered, maxTimeoutDoublings), ProgressTimeout: progressTimeout}
 	responses := make(chan valueResponse)
 	cancels := make([]context.CancelFunc, len(processes))
 	for i, p := range processes {
--- a/internal/node/spans.go
+++ b/internal/node/spans.go
@@ -14,16 +14,16 @@
 // tracing is off.
 type Spans struct {
 	provider *tracing.Provider
-	flows    *tracing.Flows
+	flows    *tracing.FlowHasher
 	id       []byte
 }
 
 // NewSpans returns nil if tracing is off in p.
 func NewSpans(p *tracing.Provider) (*Spans, error) {
-	if !p.On() {
+	if !p.Enabled() {
 		return nil, nil
 	}
-	flows, err := tracing.NewOpenFlows(p.Sample())
+	flows, err := tracing.NewUnkeyedFlowHasher(p.SampleRatio())
 	if err != nil {
 		return nil, err
 	}
@@ -38,7 +38,7 @@
 		return
 	}
 	s.id = id.Append(s.id[:0])
-	s.provider.Record(s.flows, tracing.Hop{Name: "offer", Flow: s.id, Via: self, Root: true, Took: took, Failed: failed, Attrs: attrs})
+	s.provider.Record(s.flows, tracing.Hop{Name: "offer", Flow: s.id, Via: self, Root: true, Duration: took, FailureReason: failed, Attrs: attrs})
 }
 
 // Agent records the span in which an agent opened a flow that the balancer at via offered.
@@ -48,5 +48,5 @@
 		return
 	}
 	s.id = id.Append(s.id[:0])
-	s.provider.Record(s.flows, tracing.Hop{Name: "open", Flow: s.id, Via: via, Took: took, Attrs: attrs})
+	s.provider.Record(s.flows, tracing.Hop{Name: "open", Flow: s.id, Via: via, Duration: took, Attrs: attrs})
 }
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -29,7 +29,7 @@
 func newTestSpans(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
 	t.Helper()
 	k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
-	p := tracing.New(tracing.Config{Sample: sample}, k, prometheus.NewRegistry())
+	p := tracing.New(tracing.Config{SampleRatio: sample}, k, prometheus.NewRegistry())
 	s, err := NewSpans(p)
 	if err != nil {
 		t.Fatal(err)
@@ -100,8 +100,8 @@
 				for range k.spans {
 				}
 			}()
-			p := tracing.New(tracing.Config{Sample: c.sample}, k, prometheus.NewRegistry())
-			defer p.End()
+			p := tracing.New(tracing.Config{SampleRatio: c.sample}, k, prometheus.NewRegistry())
+			defer p.CloseWithTimeout()
 			s, err := NewSpans(p)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,6 +1,6 @@
-// Package process is what the programs have in common when they run on the
-// users' platform: the settings file, the log on standard output, the store's
-// client, and settings that change while the process runs.
+// Package process implements what the programs share when they run on the
+// users' platform: the settings file, the log on standard output, the store
+// client, and the reload of changed settings.
 package process
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// Process is one program that runs on the users' platform.
+// Process is one running program on the users' platform.
 type Process struct {
 	Daemon   *daemon.Daemon
 	Settings node.Settings
@@ -22,17 +22,17 @@
 	file     *platform.SettingsFile
 }
 
-// Part is the program's own work.
+// Part is the program's own part of the process, such as the balancer or the agent.
 type Part interface {
 	daemon.Part
 	Ready() bool
-	// Apply takes settings that have changed.
+	// Apply applies changed settings.
 	Apply(node.Settings)
-	// Beliefs tells what the part believes now.
-	Beliefs() node.Snapshot
+	// Snapshot returns the state as the part knows it now.
+	Snapshot() node.Snapshot
 }
 
-// Open reads the settings file and opens the log and the metrics page.
+// Open reads the settings file and opens the log and the admin pages.
 func Open(cfg daemon.Config) (*Process, error) {
 	file, settings, err := platform.OpenSettings()
 	if err != nil {
@@ -53,25 +53,26 @@
 	}, nil
 }
 
-// Run runs part until the process is told to stop. A stop lasts for drain at
-// most.
+// Run runs part until a signal stops the process or part fails. After a stop signal,
+// part is drained for at most drain.
 func (p *Process) Run(part Part, drain time.Duration) error {
-	p.Daemon.ReadyWhen(part.Ready)
-	p.Daemon.ReloadWhen(func() error { return p.reload(part) }, p.file.Changed)
-	p.Daemon.Mux.HandleFunc("GET "+node.SnapshotPath, node.ServeSnapshot(part.Beliefs))
+	p.Daemon.SetReadyFunc(part.Ready)
+	p.Daemon.OnReload(func() error { return p.reload(part) }, p.file.Changed)
+	p.Daemon.Mux.HandleFunc("GET "+node.SnapshotPath, node.ServeSnapshot(part.Snapshot))
 	s := &p.Settings
 	p.Daemon.Log.Info("started", append(s.Fields(), zap.Stringer("packets", s.Packets), zap.Stringer("store", s.Store))...)
 	return p.Daemon.Run(part, drain)
 }
 
-// reload puts changed settings in force.
+// reload reads the settings file again and applies the settings to part. It logs the
+// changed settings that need a restart.
 func (p *Process) reload(part Part) error {
 	settings, err := p.file.Read()
 	if err != nil {
 		return err
 	}
 	if later := p.Settings.ChangesNeedingRestart(&settings); len(later) > 0 {
-		p.Daemon.Log.Warn("settings that count from the next start have changed", zap.Strings("settings", later))
+		p.Daemon.Log.Warn("changed settings take effect only after a restart", zap.Strings("settings", later))
 	}
 	part.Apply(settings)
 	p.Daemon.Log.Info("settings in force", settings.Fields()...)
--- a/internal/quicwire/fuzz_test.go
+++ b/internal/quicwire/fuzz_test.go
@@ -4,8 +4,8 @@
 
 const testIDLen = 17
 
-// FuzzParse: a datagram of a stranger must never take a balancer down, nor
-// make it read an ID that is not in the datagram.
+// FuzzParse checks that no datagram makes Parse panic or return an ID that is not in the
+// datagram.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0x40})
@@ -32,7 +32,7 @@
 			offset = 6
 		}
 		if len(p.ID) > 0 && &p.ID[0] != &b[offset] {
-			t.Fatal("ID is not at its place in the datagram")
+			t.Fatal("ID is not the destination connection ID of the datagram")
 		}
 	})
 }
--- a/internal/quicwire/quicwire.go
+++ b/internal/quicwire/quicwire.go
@@ -1,16 +1,16 @@
-// Package quicwire reads the part of a QUIC packet that is in the clear and
-// the same in every version (RFC 8999), and tells first packets from others.
+// Package quicwire parses the unencrypted, version-independent part of a QUIC packet
+// (RFC 8999), and distinguishes first packets of a connection from others.
 package quicwire
 
 import "encoding/binary"
 
-// Packet is what a datagram's first QUIC packet shows without any key.
+// Packet holds the unencrypted fields of a datagram's first QUIC packet.
 type Packet struct {
-	// ID is the destination connection ID, a part of the datagram. For a
+	// ID is the destination connection ID, a slice of the datagram. For a
 	// short header it has the length given to Parse.
 	ID []byte
-	// First is set when the caller may have chosen ID itself: Initial and
-	// 0-RTT packets, and all long headers of versions unknown here.
+	// First is set if the caller may have chosen ID itself: for Initial and
+	// 0-RTT packets, and for all long headers of unknown versions.
 	First bool
 }
 
@@ -21,17 +21,17 @@
 	maxIDLen      = 20
 	minCallerID   = 8 // RFC 9000, 7.2: a caller's first ID has at least 8 bytes
 
-	// MinInitial is the least size of a datagram with an Initial packet
-	// (RFC 9000, 14.1). A shorter one is dropped: answering it would let
-	// forged sources have the fleet amplify their traffic.
+	// MinInitial is the minimum size of a datagram with an Initial packet
+	// (RFC 9000, 14.1). Shorter ones are dropped: responses to packets with a
+	// forged source address would make the fleet a traffic amplifier.
 	MinInitial = 1200
 
 	version1 = 0x00000001
 	version2 = 0x6b3343cf
 )
 
-// Parse reads datagram b. ok is false for what no QUIC caller sends: empty or
-// truncated datagrams, a version negotiation packet, a first packet below
+// Parse parses datagram b into p. ok is false for datagrams that no QUIC client sends:
+// empty or truncated ones, version negotiation packets, and first packets shorter than
 // MinInitial.
 func Parse(b []byte, shortIDLen int, p *Packet) (ok bool) {
 	if len(b) == 0 {
@@ -65,8 +65,8 @@
 	return true
 }
 
-// callerMayChooseID reports whether a long header is of a type whose
-// destination ID may be the caller's own choice.
+// callerMayChooseID reports whether a long header is of a packet type whose
+// destination connection ID may be chosen by the caller.
 func callerMayChooseID(version uint32, first byte) bool {
 	kind := first >> 4 & 3
 	switch version {
--- a/internal/seal/fuzz_test.go
+++ b/internal/seal/fuzz_test.go
@@ -20,7 +20,8 @@
 	return b
 }
 
-// FuzzOpen: a control datagram that is changed, cut or made up is not opened.
+// FuzzOpen checks that a control datagram that is modified, truncated or forged is
+// rejected.
 func FuzzOpen(f *testing.F) {
 	const key = "1:000102030405060708090a0b0c0d0e0f"
 	box := newTestBox(f, key)
@@ -31,15 +32,15 @@
 	f.Add([]byte{}, uint16(0), uint8(0), uint16(31))
 	f.Fuzz(func(t *testing.T, plain []byte, at uint16, bits uint8, cut uint16) {
 		if topic, _, ok := box.Open(plain); ok {
-			t.Fatalf("opened what was never sealed, topic %d", topic)
+			t.Fatalf("opened a forged datagram, topic %d", topic)
 		}
 		d := box.Seal(TopicMembership, plain)
 		d[int(at)%len(d)] ^= bits
 		d = d[:len(d)-int(cut)%(len(d)+1)]
-		whole := bits == 0 && len(d) == Overhead+len(plain)
+		intact := bits == 0 && len(d) == Overhead+len(plain)
 		topic, got, ok := box.Open(d)
-		if ok != whole {
-			t.Fatalf("opened %v, want %v", ok, whole)
+		if ok != intact {
+			t.Fatalf("opened %v, want %v", ok, intact)
 		}
 		if ok && (topic != TopicMembership || !bytes.Equal(got, plain)) {
 			t.Fatalf("opened as %d, %q", topic, got)
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -1,5 +1,5 @@
 // Package seal encrypts and authenticates control messages between the
-// system's processes under the fleet key.
+// system's processes with the fleet key.
 package seal
 
 import (
@@ -11,31 +11,31 @@
 	"github.com/hemlockscale/hemlockscale/internal/frame"
 )
 
-// Topic tells which part of the system a control message is for.
+// Topic identifies the type and the receiver of a control message.
 type Topic byte
 
 // The topics.
 const (
-	TopicMembership Topic = iota + 1
-	TopicCatalogue        // a catalogue.Message
-	TopicRoster           // a RosterRequest to a balancer
-	TopicRosterIs         // a RosterAnswer to an agent
-	TopicClaim            // an idempotency.Claim to a home
-	TopicVote             // an idempotency.Vote to a requester
-	TopicReport           // an idempotency.Report to a home
-	TopicTrace            // a tracing.Claim to a balancer
+	TopicMembership        Topic = iota + 1
+	TopicCatalogue               // a catalogue.Message
+	TopicMemberListRequest       // a control.MemberListRequest to a balancer
+	TopicMemberList              // a control.MemberListResponse to an agent
+	TopicClaim                   // an idempotency.Claim to a voter
+	TopicVote                    // an idempotency.Vote to a requester
+	TopicReport                  // an idempotency.Report to a voter
+	TopicTrace                   // a tracing.Claim to a balancer
 )
 
 const (
 	keyLen    = 16
 	nonceLen  = 12
 	headerLen = 3 // kind, key number, topic
-	// Overhead is how many bytes sealing adds to a message.
+	// Overhead is the number of bytes that encryption adds to a message.
 	Overhead = headerLen + nonceLen + 16
 )
 
-// Box seals under its first key and opens under any of its keys. It is safe
-// for concurrent use.
+// Box encrypts messages with its first key and decrypts them with any of its keys. It
+// is safe for concurrent use.
 type Box struct {
 	key  byte
 	aead [256]cipher.AEAD
@@ -56,7 +56,7 @@
 	return b, nil
 }
 
-// Seal returns plain as one control datagram.
+// Seal encrypts plain and returns it as one control datagram.
 func (b *Box) Seal(t Topic, plain []byte) []byte {
 	out := make([]byte, headerLen+nonceLen, Overhead+len(plain))
 	out[0] = byte(frame.KindControl)
@@ -66,8 +66,8 @@
 	return b.aead[b.key].Seal(out, out[headerLen:], plain, out[:headerLen])
 }
 
-// Open returns the message in datagram d. ok is false when d is malformed or
-// was not sealed under a fleet key.
+// Open decrypts datagram d. ok is false if d is malformed or was not encrypted
+// with a fleet key.
 func (b *Box) Open(d []byte) (t Topic, plain []byte, ok bool) {
 	if len(d) < Overhead || d[0] != byte(frame.KindControl) {
 		return 0, nil, false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads a program's settings from flags and environment
-// variables and reports what is wrong with them in one line.
+// variables and reports an invalid setting in one line.
 package settings
 
 import (
@@ -16,13 +16,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ExitUsage is the exit code of a program with wrong settings.
+// ExitUsage is the exit code of a program with invalid settings.
 const ExitUsage = 2
 
-// Version is the version that --version prints; the build may set it.
+// Version is the version that --version prints. The build may override it.
 var Version = "0.1.0-dev"
 
-// Error names a setting that can't be used and what to do about it.
+// Error reports an invalid setting and its remedy.
 type Error struct {
 	Setting string
 	Reason  string
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("setting -%s: %s; %s", e.Setting, e.Reason, e.Remedy)
 }
 
-// Set is the settings of one program.
+// Set holds the settings of one program.
 type Set struct {
 	*flag.FlagSet
 	program string
@@ -42,14 +42,15 @@
 	version bool
 }
 
-// New returns the empty settings of a program. Each flag -some-name is also
-// read from the environment variable PREFIX_SOME_NAME; a flag goes first.
+// New returns the settings of a program, which defines its flags on them. Each flag
+// -some-name is also read from the environment variable PREFIX_SOME_NAME; a flag takes
+// precedence.
 func New(program, prefix, summary string) *Set {
 	s := &Set{FlagSet: flag.NewFlagSet(program, flag.ContinueOnError), program: program, prefix: prefix, summary: summary}
 	s.SetOutput(io.Discard)
 	s.BoolVar(&s.version, "version", false, "print the version and exit")
-	// The flag package calls Usage for each wrong flag too: pages of settings
-	// would bury the line that says what is wrong. Parse answers -h itself.
+	// The flag package also calls Usage for each invalid flag. Its long list of
+	// settings would hide the error message, so Parse handles -h itself.
 	s.FlagSet.Usage = func() {}
 	return s
 }
@@ -60,10 +61,10 @@
 	s.PrintDefaults()
 }
 
-// ErrDone is returned by Parse when -h or --version has been answered.
+// ErrDone is returned by Parse after it has printed the help or the version.
 var ErrDone = errors.New("settings: help or version printed")
 
-// Parse reads args and the environment.
+// Parse reads the settings from args and the environment.
 func (s *Set) Parse(args []string) error {
 	if err := s.checkEnvironment(); err != nil {
 		return err
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// checkEnvironment refuses variables under the program's prefix that are no
-// setting. A misspelt variable would else be passed over in silence, and the
-// process would run with a default that its operator believes replaced.
+// checkEnvironment rejects variables with the program's prefix that are not a
+// setting. A misspelt variable would otherwise be ignored silently, and the
+// process would run with the default value.
 func (s *Set) checkEnvironment() error {
 	for _, kv := range os.Environ() {
 		name, _, _ := strings.Cut(kv, "=")
@@ -98,7 +99,7 @@
 		}
 		flagName := strings.ReplaceAll(strings.ToLower(rest), "_", "-")
 		if s.Lookup(flagName) == nil {
-			return fmt.Errorf("environment variable %s is no setting of %s; unset it or run %s -h for the settings", name, s.program, s.program)
+			return fmt.Errorf("environment variable %s is not a setting of %s; unset it or run %s -h for the settings", name, s.program, s.program)
 		}
 	}
 	return nil
@@ -112,7 +113,8 @@
 	return info.GoVersion
 }
 
-// Exit ends the program for an error of Parse or of a later check.
+// Exit ends the program after an error from Parse or from a later check. For ErrDone the
+// exit code is 0, otherwise the error is printed and the exit code is ExitUsage.
 func Exit(program string, err error) {
 	if errors.Is(err, ErrDone) {
 		os.Exit(0)
@@ -121,17 +123,17 @@
 	os.Exit(ExitUsage)
 }
 
-// AddrPort checks an IPv4 address with port.
+// AddrPort parses an IPv4 address with port. Errors are of type *Error.
 func AddrPort(setting, value string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(value)
 	if err != nil || !a.Addr().Is4() {
-		return a, &Error{Setting: setting, Reason: fmt.Sprintf("%q is no IPv4 address with port", value), Remedy: "write it like 10.0.0.1:7700"}
+		return a, &Error{Setting: setting, Reason: fmt.Sprintf("%q is not an IPv4 address with port", value), Remedy: "write it like 10.0.0.1:7700"}
 	}
 	return a, nil
 }
 
-// AddrPorts checks a comma-separated list of IPv4 addresses with ports. An
-// empty value is an empty list.
+// AddrPorts parses a comma-separated list of IPv4 addresses with ports. An
+// empty value gives an empty list.
 func AddrPorts(setting, value string) ([]netip.AddrPort, error) {
 	if value == "" {
 		return nil, nil
@@ -147,36 +149,37 @@
 	return list, nil
 }
 
-// PEM returns PEM text given in a setting, or read from the file that it names.
+// PEM returns the value if it is PEM text, and otherwise the content of the file that it
+// names.
 func PEM(setting, value string) ([]byte, error) {
 	if strings.HasPrefix(value, "-----BEGIN") {
 		return []byte(value), nil
 	}
 	b, err := os.ReadFile(value)
 	if err != nil {
-		return nil, &Error{Setting: setting, Reason: err.Error(), Remedy: "give PEM text or a file that this process may read"}
+		return nil, &Error{Setting: setting, Reason: err.Error(), Remedy: "give PEM text or the name of a file that this process can read"}
 	}
 	return b, nil
 }
 
-// Required refuses an empty value.
+// Required returns an *Error if the value is empty.
 func Required(setting, value string) error {
 	if value == "" {
-		return &Error{Setting: setting, Reason: "no value given", Remedy: "set it; -h tells what it is"}
+		return &Error{Setting: setting, Reason: "no value given", Remedy: "set it; -h describes it"}
 	}
 	return nil
 }
 
-// Level checks the name of a log level.
+// Level returns an *Error if the value is not the name of a log level.
 func Level(setting, value string) error {
 	if _, err := zapcore.ParseLevel(value); err != nil {
-		return &Error{Setting: setting, Reason: fmt.Sprintf("%q is no log level", value), Remedy: "give debug, info, warn or error"}
+		return &Error{Setting: setting, Reason: fmt.Sprintf("%q is not a log level", value), Remedy: "give debug, info, warn or error"}
 	}
 	return nil
 }
 
-// First runs checks in order and returns the first error.
-func First(checks ...func() error) error {
+// FirstError runs the checks in order until one fails and returns its error.
+func FirstError(checks ...func() error) error {
 	for _, check := range checks {
 		if err := check(); err != nil {
 			return err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Symptom: the line that says which flag is wrong is lost above pages of
-// settings. Sequence: a program is started with an unknown flag. Cause: the
-// flag package prints the usage for each wrong flag.
+// Guards against hiding the error message for an unknown flag: the flag package prints
+// the whole list of settings after it.
 func TestWrongFlagPrintsNoUsage(t *testing.T) {
 	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
@@ -19,13 +18,13 @@
 	os.Stdout = out
 	defer func() { os.Stdout = stdout }()
 	if err := New("p", "P", "does p").Parse([]string{"-no-such"}); err == nil || err == ErrDone {
-		t.Errorf("got %v", err)
+		t.Errorf("Parse returned %v", err)
 	}
 	if info, _ := out.Stat(); info.Size() > 0 {
-		t.Errorf("%d bytes were printed", info.Size())
+		t.Errorf("%d bytes were printed for an unknown flag, want none", info.Size())
 	}
 	if err := New("p", "P", "does p").Parse([]string{"-h"}); err != ErrDone {
-		t.Errorf("got %v", err)
+		t.Errorf("Parse returned %v", err)
 	}
 	if info, _ := out.Stat(); info.Size() == 0 {
 		t.Error("-h printed nothing")
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -22,18 +22,18 @@
 
 // Config is the settings of a backend server.
 type Config struct {
-	Listen      string // address and port
-	Name        string // told to callers in the header Backend-Server
-	Service     string // told to callers in the header Backend-Service
-	Slots       int    // short requests at work at once
-	Connections int
-	Work        time.Duration     // time that a short request takes
-	LoadLag     time.Duration     // age of what /load says
-	Traces      *tracing.Provider // nil is off
+	Listen          string // address and port
+	Name            string // told to callers in the header Backend-Server
+	Service         string // told to callers in the header Backend-Service
+	Slots           int    // short requests at work at once
+	Connections     int
+	RequestDuration time.Duration     // time that a short request takes
+	LoadLag         time.Duration     // age of what /load says
+	Traces          *tracing.Provider // nil is off
 }
 
-// Run is one line of the journal: work that was started.
-type Run struct {
+// JournalEntry is one line of the journal: work that was started.
+type JournalEntry struct {
 	Key    string `json:"key"` // Idempotency-Key of the request
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -52,7 +52,7 @@
 	fault atomic.Int32 // a Fault
 
 	mu      sync.Mutex
-	journal []Run
+	journal []JournalEntry
 	load    []loadSample
 }
 
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	s := &Server{cfg: cfg, ln: ln, slots: make(chan struct{}, cfg.Slots)}
-	s.SetWork(cfg.Work)
+	s.SetRequestDuration(cfg.RequestDuration)
 	s.http = &http.Server{Handler: cfg.Traces.Wrap(s.handler(), traced), ConnState: s.connState}
 	go s.http.Serve(ln)
 	return s, nil
@@ -89,8 +89,8 @@
 // Close ends the server and its connections.
 func (s *Server) Close() { s.http.Close() }
 
-// SetWork changes how long a short request takes.
-func (s *Server) SetWork(d time.Duration) { s.work.Store(int64(d)) }
+// SetRequestDuration changes how long a short request takes.
+func (s *Server) SetRequestDuration(d time.Duration) { s.work.Store(int64(d)) }
 
 // SetShed makes the server answer every short request with 503.
 func (s *Server) SetShed(on bool) { s.shed.Store(on) }
@@ -99,10 +99,10 @@
 func (s *Server) SetStall(on bool) { s.stall.Store(on) }
 
 // Journal returns the work that was started, oldest first.
-func (s *Server) Journal() []Run {
+func (s *Server) Journal() []JournalEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Run(nil), s.journal...)
+	return append([]JournalEntry(nil), s.journal...)
 }
 
 func (s *Server) connState(_ net.Conn, state http.ConnState) {
@@ -139,10 +139,10 @@
 			s.refuse(w)
 			return
 		}
-		s.sample()
+		s.recordLoad()
 		defer func() {
 			<-s.slots
-			s.sample()
+			s.recordLoad()
 		}()
 		if s.shed.Load() {
 			s.refuse(w)
@@ -157,7 +157,7 @@
 	http.Error(w, "no free slot", http.StatusServiceUnavailable)
 }
 
-func (s *Server) spend(r *http.Request) {
+func (s *Server) simulateWork(r *http.Request) {
 	if s.stall.Load() {
 		<-r.Context().Done()
 		return
@@ -169,8 +169,8 @@
 }
 
 func (s *Server) card(w http.ResponseWriter, r *http.Request) {
-	s.spend(r)
-	if s.failed(w, r) {
+	s.simulateWork(r)
+	if s.injectFault(w, r) {
 		return
 	}
 	io.WriteString(w, content.Card(s.cfg.Service, r.PathValue("id")))
@@ -179,14 +179,14 @@
 func (s *Server) reserve(w http.ResponseWriter, r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
 	s.mu.Lock()
-	s.journal = append(s.journal, Run{Key: key, Method: r.Method, Path: r.URL.Path})
+	s.journal = append(s.journal, JournalEntry{Key: key, Method: r.Method, Path: r.URL.Path})
 	s.mu.Unlock()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	s.spend(r)
-	if s.failed(w, r) {
+	s.simulateWork(r)
+	if s.injectFault(w, r) {
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
@@ -247,8 +247,8 @@
 	return n
 }
 
-// sample remembers the busy slots for /load.
-func (s *Server) sample() {
+// recordLoad remembers the busy slots for /load.
+func (s *Server) recordLoad() {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/backend/fault.go
+++ b/internal/standin/backend/fault.go
@@ -24,8 +24,8 @@
 // SetFault makes the server fail short requests from now on.
 func (s *Server) SetFault(f Fault) { s.fault.Store(int32(f)) }
 
-// failed answers a request with the fault that is set, if there is one.
-func (s *Server) failed(w http.ResponseWriter, r *http.Request) bool {
+// injectFault answers a request with the fault that is set, if there is one.
+func (s *Server) injectFault(w http.ResponseWriter, r *http.Request) bool {
 	f := Fault(s.fault.Load())
 	if f == FaultNone {
 		return false
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -25,11 +25,11 @@
 
 // Config is the settings of a caller.
 type Config struct {
-	Address netip.AddrPort // service address and the fabric's port
-	Service string         // name on the certificate and in the answers
-	Roots   *x509.CertPool
-	Traces  *tracing.Provider // nil is off
-	Idle    time.Duration     // after how much silence a connection is given up; default 30 s
+	Address     netip.AddrPort // service address and the fabric's port
+	Service     string         // name on the certificate and in the answers
+	Roots       *x509.CertPool
+	Traces      *tracing.Provider // nil is off
+	IdleTimeout time.Duration     // after how much silence a connection is given up; default 30 s
 }
 
 // Caller is one caller with one connection at a time.
@@ -49,12 +49,12 @@
 // ErrorKind sorts what went wrong.
 type ErrorKind string
 
-// The kinds of error. Wrong and Cut must never happen; a Broken flow ended
+// The kinds of error. WrongAnswer and TruncatedAnswer must never happen; a BrokenFlow flow ended
 // visibly before its end.
 const (
-	Wrong  ErrorKind = "wrong answer"
-	Cut    ErrorKind = "cut answer that looked whole"
-	Broken ErrorKind = "broken flow"
+	WrongAnswer     ErrorKind = "wrong answer"
+	TruncatedAnswer ErrorKind = "cut answer that looked whole"
+	BrokenFlow      ErrorKind = "broken flow"
 )
 
 func (e *Error) Error() string { return string(e.Kind) + ": " + e.Detail }
@@ -63,8 +63,8 @@
 
 // New returns a caller; it connects with its first request.
 func New(cfg Config) (*Caller, error) {
-	if cfg.Idle == 0 {
-		cfg.Idle = defaultIdle
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = defaultIdle
 	}
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -73,7 +73,7 @@
 	c := &Caller{cfg: cfg, socket: socket, quic: &quic.Transport{Conn: socket}}
 	c.transport = &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: cfg.Roots, ServerName: cfg.Service, NextProtos: []string{http3.NextProtoH3}},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: cfg.Idle, KeepAlivePeriod: cfg.Idle / 4, HandshakeIdleTimeout: cfg.Idle / 3},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: cfg.IdleTimeout, KeepAlivePeriod: cfg.IdleTimeout / 4, HandshakeIdleTimeout: cfg.IdleTimeout / 3},
 		Dial:            c.dial,
 	}
 	return c, nil
@@ -109,7 +109,7 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, &Error{Kind: Broken, Detail: err.Error()}
+		return nil, &Error{Kind: BrokenFlow, Detail: err.Error()}
 	}
 	return &Answer{
 		Status:     resp.StatusCode,
@@ -135,11 +135,11 @@
 	}
 	resp, err := c.cfg.Traces.Call(req, c.transport.RoundTrip)
 	if err != nil {
-		return nil, &Error{Kind: Broken, Detail: err.Error()}
+		return nil, &Error{Kind: BrokenFlow, Detail: err.Error()}
 	}
 	if s := resp.Header.Get("Backend-Service"); s != "" && s != c.cfg.Service {
 		resp.Body.Close()
-		return nil, &Error{Kind: Wrong, Detail: fmt.Sprintf("asked %s, answered by %s", c.cfg.Service, s)}
+		return nil, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("asked %s, answered by %s", c.cfg.Service, s)}
 	}
 	return resp, nil
 }
@@ -151,7 +151,7 @@
 		return a, err
 	}
 	if want := content.Card(c.cfg.Service, id); string(a.Body) != want {
-		return a, &Error{Kind: Wrong, Detail: fmt.Sprintf("card %s: %q", id, a.Body)}
+		return a, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("card %s: %q", id, a.Body)}
 	}
 	return a, nil
 }
@@ -164,7 +164,7 @@
 		return a, err
 	}
 	if !strings.Contains(string(a.Body), item+" for "+key) {
-		return a, &Error{Kind: Wrong, Detail: fmt.Sprintf("reservation %s: %q", key, a.Body)}
+		return a, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("reservation %s: %q", key, a.Body)}
 	}
 	return a, nil
 }
@@ -184,7 +184,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return "", &Error{Kind: Broken, Detail: resp.Status}
+		return "", &Error{Kind: BrokenFlow, Detail: resp.Status}
 	}
 	return resp.Header.Get("Backend-Server"), c.checkBody(resp.Body, size, seed, progress)
 }
@@ -197,7 +197,7 @@
 		n, err := body.Read(got)
 		want.Read(expected[:n])
 		if !bytes.Equal(got[:n], expected[:n]) {
-			return &Error{Kind: Wrong, Detail: fmt.Sprintf("download differs after %d bytes", total)}
+			return &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("download differs after %d bytes", total)}
 		}
 		total += uint64(n)
 		if progress != nil {
@@ -207,11 +207,11 @@
 			break
 		}
 		if err != nil {
-			return &Error{Kind: Broken, Detail: fmt.Sprintf("after %d bytes: %v", total, err)}
+			return &Error{Kind: BrokenFlow, Detail: fmt.Sprintf("after %d bytes: %v", total, err)}
 		}
 	}
 	if total != size {
-		return &Error{Kind: Cut, Detail: fmt.Sprintf("%d of %d bytes", total, size)}
+		return &Error{Kind: TruncatedAnswer, Detail: fmt.Sprintf("%d of %d bytes", total, size)}
 	}
 	return nil
 }
@@ -227,17 +227,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return "", &Error{Kind: Broken, Detail: resp.Status}
+		return "", &Error{Kind: BrokenFlow, Detail: resp.Status}
 	}
 	server = resp.Header.Get("Backend-Server")
 	lines := bufio.NewReader(resp.Body)
 	for n := range events {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return server, &Error{Kind: Broken, Detail: fmt.Sprintf("feed ended after %d of %d events: %v", n, events, err)}
+			return server, &Error{Kind: BrokenFlow, Detail: fmt.Sprintf("feed ended after %d of %d events: %v", n, events, err)}
 		}
 		if line != content.Event(c.cfg.Service, seed, n) {
-			return server, &Error{Kind: Wrong, Detail: fmt.Sprintf("event %d: %q", n, line)}
+			return server, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("event %d: %q", n, line)}
 		}
 		if progress != nil {
 			progress(n + 1)
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -33,12 +33,12 @@
 
 // Service is one service of a deployment.
 type Service struct {
-	Name     string
-	Owner    string
-	Class    catalogue.Class
-	Limits   catalogue.Limits
-	Backends int
-	Work     time.Duration // of a short request
+	Name            string
+	Owner           string
+	Class           catalogue.Class
+	Limits          catalogue.Limits
+	Backends        int
+	RequestDuration time.Duration // of a short request
 }
 
 // Config is the make-up of a deployment.
@@ -106,12 +106,12 @@
 
 const (
 	internalPort = 7700
-	trialKey     = "1:000102030405060708090a0b0c0d0e0f"
+	testFleetKey = "1:000102030405060708090a0b0c0d0e0f"
 )
 
-// shortRepeats lets a trial begin after a few seconds: by default an agent whose
+// shortIdempotency lets a trial begin after a few seconds: by default an agent whose
 // service has just begun refuses requests with keys for more than a minute.
-var shortRepeats = idempotency.Config{
+var shortIdempotency = idempotency.Config{
 	Window:    500 * time.Millisecond,
 	Expiry:    300 * time.Millisecond,
 	Skew:      300 * time.Millisecond,
@@ -140,7 +140,7 @@
 }
 
 func (d *Deployment) startStore() (err error) {
-	if d.keys, err = fleetkey.Parse(trialKey); err != nil {
+	if d.keys, err = fleetkey.Parse(testFleetKey); err != nil {
 		return err
 	}
 	if d.authority, err = pki.NewAuthority(); err != nil {
@@ -233,12 +233,12 @@
 		defer close(running.done)
 		b.Run()
 	}()
-	d.hand()
+	d.updateFabric()
 	return running, nil
 }
 
-// hand tells the fabric which balancers there are. d.mu is held.
-func (d *Deployment) hand() {
+// updateFabric tells the fabric which balancers there are. d.mu is held.
+func (d *Deployment) updateFabric() {
 	var ports []uint16
 	for _, b := range d.Balancers {
 		if b.Zone != "" {
@@ -254,12 +254,12 @@
 	<-b.done
 }
 
-// Retire stops a balancer as planned: the fabric stops handing it packets
+// StopBalancer stops a balancer as planned: the fabric stops handing it packets
 // while it lingers.
-func (d *Deployment) Retire(ctx context.Context, b *Balancer) {
+func (d *Deployment) StopBalancer(ctx context.Context, b *Balancer) {
 	d.mu.Lock()
 	b.Zone = ""
-	d.hand()
+	d.updateFabric()
 	d.mu.Unlock()
 	b.Drain(ctx)
 	b.Kill()
@@ -276,7 +276,7 @@
 	}
 	server, err := backend.Start(backend.Config{
 		Listen: "127.0.0.1:0", Name: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name,
-		Slots: slots, Connections: catalogue.DefaultConnections, Work: s.Work,
+		Slots: slots, Connections: catalogue.DefaultConnections, RequestDuration: s.RequestDuration,
 		Traces: d.traces(RoleBackend),
 	})
 	if err != nil {
@@ -295,7 +295,7 @@
 		Certificate: cert,
 		Keys:        d.keys,
 		Seeds:       d.seeds(),
-		Idempotency: shortRepeats,
+		Idempotency: shortIdempotency,
 		Traces:      d.traces(RoleAgent),
 	}, d.cfg.Log, prometheus.NewRegistry())
 	if err != nil {
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -16,13 +16,13 @@
 
 // Faults is what goes wrong in the fabric. The zero value is a sound fabric.
 type Faults struct {
-	Loss      float64       // share of datagrams lost, each way
-	Duplicate float64       // share of datagrams sent twice
-	Reorder   float64       // share of datagrams held back by Hold
-	Hold      time.Duration // how long a reordered datagram is held back
-	Delay     time.Duration // added to every datagram, each way
-	// LoseFirst is a silence of a caller after which its next datagram is lost, 0 for none.
-	LoseFirst time.Duration
+	Loss         float64       // share of datagrams lost, each way
+	Duplicate    float64       // share of datagrams sent twice
+	Reorder      float64       // share of datagrams held back by Hold
+	ReorderDelay time.Duration // how long a reordered datagram is held back
+	Delay        time.Duration // added to every datagram, each way
+	// LoseAfterIdle is a silence of a caller after which its next datagram is lost, 0 for none.
+	LoseAfterIdle time.Duration
 	// CutTo and CutFrom list balancer ports whose datagrams are lost towards
 	// and from the balancer.
 	CutTo, CutFrom []uint16
@@ -69,9 +69,9 @@
 	sentAt time.Time // last datagram of the caller; used by the duty that reads callers
 }
 
-// breaksSilence notes a datagram of the caller, and reports whether it comes after a silence
+// firstAfterIdle notes a datagram of the caller, and reports whether it comes after a silence
 // of at least d.
-func (s *session) breaksSilence(d time.Duration) bool {
+func (s *session) firstAfterIdle(d time.Duration) bool {
 	now := time.Now()
 	silent := now.Sub(s.sentAt) >= d
 	s.sentAt = now
@@ -175,7 +175,7 @@
 	f.mu.Lock()
 	port := ports[f.rng.IntN(len(ports))]
 	plan := f.plan(faults, faults.CutTo, port)
-	if s.breaksSilence(faults.LoseFirst) {
+	if s.firstAfterIdle(faults.LoseAfterIdle) {
 		plan = delivery{}
 		f.counts.Lost++
 	}
@@ -197,12 +197,12 @@
 		plan := f.plan(faults, faults.CutFrom, from.Port())
 		f.counts.ToCallers++
 		f.mu.Unlock()
-		plan.run(b[:n], func(b []byte) { f.answer(s, b) })
+		plan.run(b[:n], func(b []byte) { f.sendToCaller(s, b) })
 	}
 }
 
-// answer sends b to the session's caller from the service address.
-func (f *Fabric) answer(s *session, b []byte) {
+// sendToCaller sends b to the session's caller from the service address.
+func (f *Fabric) sendToCaller(s *session, b []byte) {
 	w := f.writers.Get().(*udp.Writer)
 	defer f.writers.Put(w)
 	w.Add(b, s.key.caller, netip.AddrFrom4(s.key.service))
@@ -232,7 +232,7 @@
 		d.copies = 2
 	}
 	if x.Reorder > 0 && f.rng.Float64() < x.Reorder {
-		d.after += x.Hold
+		d.after += x.ReorderDelay
 	}
 	return d
 }
--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -13,17 +13,17 @@
 const (
 	first = 10
 	count = 200
-	// heldPort is the port of 127.net.0.1 that tells a network as taken.
-	heldPort = 7700
+	// lockPort is the port of 127.net.0.1 that tells a network as taken.
+	lockPort = 7700
 	// firstPort is above the ports that programs of the trials listen on by
 	// default, and all that Port returns is below 32768, where Linux begins to
 	// give ports to sockets that ask for any.
 	firstPort = 20000
-	// portsEach is the number of ports of one network.
-	portsEach = 32
+	// portsPerNetwork is the number of ports of one network.
+	portsPerNetwork = 32
 )
 
-var drawn atomic.Uint32
+var reservations atomic.Uint32
 
 // Network is the addresses 127.n.x.y for one n. It is held by a listener: were
 // networks only told apart by a number drawn, two trials on one machine would
@@ -43,8 +43,8 @@
 // Reserve returns a network that no other trial has.
 func Reserve() (*Network, error) {
 	for range count {
-		w := &Network{n: byte(first + (uint32(os.Getpid())+drawn.Add(1))%count)}
-		ln, err := net.Listen("tcp4", netip.AddrPortFrom(w.Addr(0, 0), heldPort).String())
+		w := &Network{n: byte(first + (uint32(os.Getpid())+reservations.Add(1))%count)}
+		ln, err := net.Listen("tcp4", netip.AddrPortFrom(w.Addr(0, 0), lockPort).String())
 		if err == nil {
 			w.ln = ln
 			return w, nil
@@ -63,10 +63,10 @@
 // looked may be taken a moment later by any socket that asks for one; these are
 // given to no socket that does not name them, and to no other trial.
 func (w *Network) Port(i int) uint16 {
-	if i < 0 || i >= portsEach {
-		panic(fmt.Sprintf("loopback: port %d of %d; raise portsEach", i, portsEach))
+	if i < 0 || i >= portsPerNetwork {
+		panic(fmt.Sprintf("loopback: port %d of %d; raise portsEach", i, portsPerNetwork))
 	}
-	return firstPort + uint16(w.n)*portsEach + uint16(i)
+	return firstPort + uint16(w.n)*portsPerNetwork + uint16(i)
 }
 
 // Release gives the network back.
--- a/internal/standin/platform/caller.go
+++ b/internal/standin/platform/caller.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	probeEvery = 100 * time.Millisecond
-	maxMisses  = 2
+	probeInterval = 100 * time.Millisecond
+	maxMisses     = 2
 )
 
 // NewRouter returns a router over balancers, whose readiness is asked at pages.
@@ -47,7 +47,7 @@
 }
 
 func (r *Router) probe(i int) {
-	c := http.Client{Timeout: 5 * probeEvery, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: 5 * probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		resp, err := c.Get(fmt.Sprintf("http://%s/api/readiness", r.pages[i]))
 		ready := err == nil && resp.StatusCode == http.StatusOK
@@ -61,7 +61,7 @@
 		}
 		r.mu.Unlock()
 		select {
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		case <-r.stop:
 			return
 		}
@@ -157,10 +157,10 @@
 
 func (e *NoAnswerError) Error() string { return "no answer to " + e.What + "; open a new flow" }
 
-// copyAfter is when a first packet is sent, and answerLimit when it is given up.
-var copyAfter = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+// firstPacketTimes is when a first packet is sent, and answerLimit when it is given up.
+var firstPacketTimes = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-const answerLimit = 1400 * time.Millisecond
+const openTimeout = 1400 * time.Millisecond
 
 // Open opens a flow to a service address.
 func (c *Caller) Open(ctx context.Context, service netip.AddrPort) (*Flow, error) {
@@ -170,10 +170,10 @@
 	c.flows[c.port] = f
 	c.mu.Unlock()
 	start := time.Now()
-	for i, after := range copyAfter {
-		until := answerLimit
-		if i+1 < len(copyAfter) {
-			until = copyAfter[i+1]
+	for i, after := range firstPacketTimes {
+		until := openTimeout
+		if i+1 < len(firstPacketTimes) {
+			until = firstPacketTimes[i+1]
 		}
 		f.send(Header{Seq: f.seq, Ack: uint32(i), Flags: FlagSyn})
 		h, err := f.wait(ctx, until-after, func(h Header) bool { return h.Flags&(FlagSyn|FlagRst) != 0 })
@@ -222,7 +222,7 @@
 	request := Header{Seq: f.seq, Flags: FlagAck, Data: line}
 	f.seq += uint32(len(line))
 	var body []byte
-	pause := copyAfter[1]
+	pause := firstPacketTimes[1]
 	for len(body) < size {
 		if len(body) == 0 {
 			request.Ack = f.ack
@@ -239,7 +239,7 @@
 			f.send(Header{Seq: f.seq, Ack: f.ack, Flags: FlagAck})
 			continue
 		case h.Flags&FlagRst != 0:
-			return f.reset(h)
+			return f.handleReset(h)
 		}
 		if h.Seq == f.ack {
 			body = append(body, h.Data...)
@@ -248,7 +248,7 @@
 		f.send(Header{Seq: f.seq, Ack: f.ack, Flags: FlagAck})
 	}
 	if got, _, _ := strings.Cut(string(body), "\n"); got != id || len(body) != size {
-		f.c.journal.Violate("caller of %s got %d bytes of the answer to %q", id, len(body), got)
+		f.c.journal.RecordViolation("caller of %s got %d bytes of the answer to %q", id, len(body), got)
 	}
 	return nil
 }
@@ -256,17 +256,17 @@
 // resetWindow is how near to what the caller acknowledged a reset must be.
 const resetWindow = 76800
 
-// reset takes a reset on the open flow: one that the system sent must not end a
+// handleReset takes a handleReset on the open flow: one that the system sent must not end a
 // flow that its server holds.
-func (f *Flow) reset(h Header) error {
+func (f *Flow) handleReset(h Header) error {
 	if d := int32(h.Seq - f.ack); d > resetWindow || d < -resetWindow {
 		return &NoAnswerError{What: "a request; a reset was out of place"}
 	}
 	f.c.journal.mu.Lock()
-	s := f.c.journal.living[f.first]
+	s := f.c.journal.openFlows[f.first]
 	f.c.journal.mu.Unlock()
 	if s != nil && s.holds(f.src, f.first) {
-		f.c.journal.Violate("flow %v was reset while server %s holds it", f.src, s.instance)
+		f.c.journal.RecordViolation("flow %v was reset while server %s holds it", f.src, s.instance)
 	}
 	return &ResetError{Open: true}
 }
@@ -288,7 +288,7 @@
 		}
 		h, genuine, ok := Decode(b[:n])
 		if !ok || !genuine && h.Flags&FlagRst == 0 {
-			c.journal.Violate("caller %v got a packet that no server wrote: %+v", c.addr, h)
+			c.journal.RecordViolation("caller %v got a packet that no server wrote: %+v", c.addr, h)
 			continue
 		}
 		c.mu.Lock()
--- a/internal/standin/platform/endpoint.go
+++ b/internal/standin/platform/endpoint.go
@@ -21,7 +21,7 @@
 
 	mu    sync.Mutex
 	link  *Link
-	conns []*silentConn
+	conns []*droppingConn
 }
 
 // endpointKey marks a request's context with its Endpoint.
@@ -44,7 +44,7 @@
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	d.fault = f
-	d.store.wake()
+	d.store.notifyWatches()
 }
 
 // SetLink sets the link that those who come by this endpoint read answers by.
@@ -54,53 +54,53 @@
 	d.link = l
 }
 
-// Silence makes the connections that are open now go silent for good, without
+// DropOpenConnections makes the connections that are open now go silent for good, without
 // an end; new ones work.
-func (d *Endpoint) Silence() {
+func (d *Endpoint) DropOpenConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.conns {
-		c.silent.Store(true)
+		c.dropping.Store(true)
 	}
 	d.conns = nil
 }
 
-// silencer accepts connections that can go silent.
-type silencer struct {
+// droppingListener accepts connections that can go silent.
+type droppingListener struct {
 	net.Listener
 	endpoint *Endpoint
 }
 
-func (l *silencer) Accept() (net.Conn, error) {
+func (l *droppingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.endpoint.mu.Lock()
 	defer l.endpoint.mu.Unlock()
-	s := &silentConn{Conn: c, endpoint: l.endpoint}
+	s := &droppingConn{Conn: c, endpoint: l.endpoint}
 	l.endpoint.conns = append(l.endpoint.conns, s)
 	return s, nil
 }
 
-// silentConn swallows what comes and goes once it is silent.
-type silentConn struct {
+// droppingConn swallows what comes and goes once it is silent.
+type droppingConn struct {
 	net.Conn
 	endpoint *Endpoint
-	silent   atomic.Bool
+	dropping atomic.Bool
 }
 
-func (c *silentConn) Read(b []byte) (int, error) {
+func (c *droppingConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.silent.Load() {
+		if err != nil || !c.dropping.Load() {
 			return n, err
 		}
 	}
 }
 
-func (c *silentConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+func (c *droppingConn) Write(b []byte) (int, error) {
+	if c.dropping.Load() {
 		return len(b), nil
 	}
 	c.endpoint.mu.Lock()
--- a/internal/standin/platform/restore.go
+++ b/internal/standin/platform/restore.go
@@ -10,20 +10,20 @@
 // eraHeader tells, in every answer, how often the store has come back from an older copy.
 const eraHeader = "Store-Era"
 
-// Copy is what the store held at one moment.
-type Copy struct {
+// Backup is what the store held at one moment.
+type Backup struct {
 	revision, oldest uint64
 	items            map[string]item
 	history          []item
 	leases           map[uint64]lease
 }
 
-// Copy returns what the store holds now.
-func (s *Store) Copy() *Copy {
+// Backup returns what the store holds now.
+func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	c := &Copy{revision: s.revision, oldest: s.oldest, items: maps.Clone(s.items), history: slices.Clone(s.history), leases: map[uint64]lease{}}
+	c := &Backup{revision: s.revision, oldest: s.oldest, items: maps.Clone(s.items), history: slices.Clone(s.history), leases: map[uint64]lease{}}
 	for id, l := range s.leases {
 		c.leases[id] = *l
 	}
@@ -33,7 +33,7 @@
 // Restore has the store come back from c: what was written since is gone, leases too, and
 // revisions and numbers of leases are given out again. Calls under way are cut. It returns
 // a function by which the operator writes again what it had written.
-func (s *Store) Restore(c *Copy) (rewrite func()) {
+func (s *Store) Restore(c *Backup) (rewrite func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost := s.items
@@ -44,13 +44,13 @@
 	for id, l := range c.leases {
 		s.leases[id] = &l
 	}
-	s.wake()
+	s.notifyWatches()
 	return func() { s.rewrite(c, lost) }
 }
 
 // rewrite makes the operator's keys what they were before the store came back from c. Those
 // that the operator has written since stay.
-func (s *Store) rewrite(c *Copy, lost map[string]item) {
+func (s *Store) rewrite(c *Backup, lost map[string]item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, i := range s.items {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -14,15 +14,15 @@
 
 // ServerConfig sets up a backend server.
 type ServerConfig struct {
-	Service  string
-	Zone     string
-	App      netip.AddrPort // where it takes packets, and status checks
-	Outbound netip.AddrPort // where it sends its packets
-	Control  netip.AddrPort // where it sends heartbeats
-	Beat     time.Duration  // between heartbeats
-	Work     time.Duration  // that a request takes
-	Slots    int
-	Journal  *Journal
+	Service           string
+	Zone              string
+	App               netip.AddrPort // where it takes packets, and status checks
+	Outbound          netip.AddrPort // where it sends its packets
+	Control           netip.AddrPort // where it sends heartbeats
+	HeartbeatInterval time.Duration  // between heartbeats
+	RequestDuration   time.Duration  // that a request takes
+	Slots             int
+	Journal           *Journal
 }
 
 // Server is a backend server. Its flows carry requests of one line each.
@@ -44,14 +44,14 @@
 }
 
 type serverFlow struct {
-	service netip.AddrPort
-	first   uint32
-	next    uint32 // sequence number of the next byte sent
-	got     uint32 // next byte expected of the caller
-	open    bool
-	ended   bool
-	unacked []Header
-	tries   int
+	service  netip.AddrPort
+	first    uint32
+	next     uint32 // sequence number of the next byte sent
+	expected uint32 // next byte expected of the caller
+	open     bool
+	ended    bool
+	unacked  []Header
+	tries    int
 }
 
 // Journal is what the servers and callers of a trial saw.
@@ -59,16 +59,16 @@
 	mu         sync.Mutex
 	runs       map[string]int // requests run, by identity
 	violations []string
-	living     map[uint32]*Server // by the first sequence number of open flows
+	openFlows  map[uint32]*Server // by the first sequence number of open flows
 }
 
 // NewJournal returns an empty journal.
 func NewJournal() *Journal {
-	return &Journal{runs: map[string]int{}, living: map[uint32]*Server{}}
+	return &Journal{runs: map[string]int{}, openFlows: map[uint32]*Server{}}
 }
 
-// Violate notes a broken promise.
-func (j *Journal) Violate(format string, args ...any) {
+// RecordViolation notes a broken promise.
+func (j *Journal) RecordViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violations = append(j.violations, fmt.Sprintf(format, args...))
@@ -81,13 +81,13 @@
 	return append([]string(nil), j.violations...)
 }
 
-func (j *Journal) run(id string, once bool) {
+func (j *Journal) recordRun(id string, once bool) {
 	j.mu.Lock()
 	j.runs[id]++
 	n := j.runs[id]
 	j.mu.Unlock()
 	if once && n > 1 {
-		j.Violate("request %s, which must run once, ran %d times", id, n)
+		j.RecordViolation("request %s, which must run once, ran %d times", id, n)
 	}
 }
 
@@ -106,8 +106,8 @@
 	s.tcp = &http.Server{Handler: http.HandlerFunc(s.status)}
 	s.done.Go(func() { s.tcp.Serve(ln) })
 	s.done.Go(s.read)
-	s.done.Go(s.beats)
-	s.done.Go(s.repeats)
+	s.done.Go(s.heartbeatLoop)
+	s.done.Go(s.retransmitLoop)
 	return s, nil
 }
 
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	s.draining = time.Now()
 	s.mu.Unlock()
-	s.beat()
+	s.heartbeat()
 }
 
 // Drained reports whether a heartbeat that said so was acknowledged.
@@ -148,8 +148,8 @@
 	return s.taken
 }
 
-// Leave says that the server ends, and ends it.
-func (s *Server) Leave() {
+// Deregister says that the server ends, and ends it.
+func (s *Server) Deregister() {
 	s.post("deregister", nil)
 	s.Crash()
 }
@@ -163,11 +163,11 @@
 	}
 }
 
-func (s *Server) beats() {
-	t := time.NewTicker(s.cfg.Beat)
+func (s *Server) heartbeatLoop() {
+	t := time.NewTicker(s.cfg.HeartbeatInterval)
 	defer t.Stop()
 	for {
-		s.beat()
+		s.heartbeat()
 		select {
 		case <-t.C:
 		case <-s.stop:
@@ -176,7 +176,7 @@
 	}
 }
 
-func (s *Server) beat() {
+func (s *Server) heartbeat() {
 	s.mu.Lock()
 	s.sequence++
 	state := "ready"
@@ -225,27 +225,27 @@
 		}
 		h, genuine, ok := Decode(b[:n])
 		if !ok || !genuine || h.Flags&FlagSyn != 0 && h.Flags&FlagAck != 0 {
-			s.cfg.Journal.Violate("server %s got a packet that no caller wrote: %+v", s.instance, h)
+			s.cfg.Journal.RecordViolation("server %s got a packet that no caller wrote: %+v", s.instance, h)
 			continue
 		}
 		s.mu.Lock()
-		s.take(h)
+		s.handlePacket(h)
 		s.mu.Unlock()
 	}
 }
 
-// drainLimit is the time after the acknowledgement from which a draining server
+// maxFlowDelayAfterDrain is the time after the acknowledgement from which a draining server
 // must get no new flow.
-const drainLimit = time.Second
+const maxFlowDelayAfterDrain = time.Second
 
-func (s *Server) take(h Header) {
+func (s *Server) handlePacket(h Header) {
 	f := s.flows[h.Src]
 	switch {
 	case h.Flags&FlagSyn != 0:
-		if !s.drained.IsZero() && time.Since(s.drained) > drainLimit && f == nil {
-			s.cfg.Journal.Violate("new flow %v at server %s %v after it was drained", h.Src, s.instance, time.Since(s.drained))
+		if !s.drained.IsZero() && time.Since(s.drained) > maxFlowDelayAfterDrain && f == nil {
+			s.cfg.Journal.RecordViolation("new flow %v at server %s %v after it was drained", h.Src, s.instance, time.Since(s.drained))
 		}
-		s.takeFirst(h, f)
+		s.openFlow(h, f)
 	case f == nil || f.service != h.Dst:
 		h.Flags |= FlagBounced
 		s.send(h)
@@ -254,26 +254,26 @@
 	case !f.open && h.Ack != f.first+1:
 		s.send(Header{Src: h.Dst, Dst: h.Src, Seq: h.Ack, Flags: FlagRst})
 	default:
-		s.takeOpen(h, f)
+		s.handleFlowPacket(h, f)
 	}
 }
 
-func (s *Server) takeFirst(h Header, f *serverFlow) {
-	if f == nil || f.got != h.Seq+1 {
-		f = &serverFlow{service: h.Dst, first: rand.Uint32(), got: h.Seq + 1}
+func (s *Server) openFlow(h Header, f *serverFlow) {
+	if f == nil || f.expected != h.Seq+1 {
+		f = &serverFlow{service: h.Dst, first: rand.Uint32(), expected: h.Seq + 1}
 		f.next = f.first + 1
 		s.flows[h.Src] = f
 		s.taken++
 	}
-	s.send(Header{Src: h.Dst, Dst: h.Src, Seq: f.first, Ack: f.got, Flags: FlagSyn | FlagAck})
+	s.send(Header{Src: h.Dst, Dst: h.Src, Seq: f.first, Ack: f.expected, Flags: FlagSyn | FlagAck})
 }
 
-func (s *Server) takeOpen(h Header, f *serverFlow) {
+func (s *Server) handleFlowPacket(h Header, f *serverFlow) {
 	if !f.open {
 		f.open = true
 		j := s.cfg.Journal
 		j.mu.Lock()
-		j.living[f.first] = s
+		j.openFlows[f.first] = s
 		j.mu.Unlock()
 	}
 	kept := f.unacked[:0]
@@ -287,45 +287,45 @@
 	if h.Flags&FlagFin != 0 {
 		f.ended = true
 	}
-	if len(h.Data) > 0 && h.Seq == f.got {
-		f.got += uint32(len(h.Data))
-		s.work(h.Src, f, string(h.Data))
+	if len(h.Data) > 0 && h.Seq == f.expected {
+		f.expected += uint32(len(h.Data))
+		s.runRequest(h.Src, f, string(h.Data))
 	}
 }
 
-// work runs a request: "ID SERVICE ONCE SIZE".
-func (s *Server) work(caller netip.AddrPort, f *serverFlow, line string) {
+// runRequest runs a request: "ID SERVICE ONCE SIZE".
+func (s *Server) runRequest(caller netip.AddrPort, f *serverFlow, line string) {
 	var id, service string
 	var once bool
 	var size int
 	if _, err := fmt.Sscan(line, &id, &service, &once, &size); err != nil {
-		s.cfg.Journal.Violate("server %s got the request %q", s.instance, line)
+		s.cfg.Journal.RecordViolation("server %s got the request %q", s.instance, line)
 		return
 	}
 	if service != s.cfg.Service {
-		s.cfg.Journal.Violate("request %s for %s ran at a server of %s", id, service, s.cfg.Service)
+		s.cfg.Journal.RecordViolation("request %s for %s ran at a server of %s", id, service, s.cfg.Service)
 	}
-	s.cfg.Journal.run(id, once)
+	s.cfg.Journal.recordRun(id, once)
 	s.done.Go(func() {
 		select {
-		case <-time.After(s.cfg.Work):
+		case <-time.After(s.cfg.RequestDuration):
 		case <-s.stop:
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.answer(caller, f, id, size)
+		s.sendAnswer(caller, f, id, size)
 	})
 }
 
 const segmentSize = 1000
 
-// answer sends "ID" and a line end, filled up to size bytes.
-func (s *Server) answer(caller netip.AddrPort, f *serverFlow, id string, size int) {
+// sendAnswer sends "ID" and a line end, filled up to size bytes.
+func (s *Server) sendAnswer(caller netip.AddrPort, f *serverFlow, id string, size int) {
 	body := append([]byte(id+"\n"), bytes.Repeat([]byte("."), max(size-len(id)-1, 0))...)
 	for len(body) > 0 {
 		n := min(len(body), segmentSize)
-		h := Header{Src: f.service, Dst: caller, Seq: f.next, Ack: f.got, Flags: FlagAck, Data: body[:n]}
+		h := Header{Src: f.service, Dst: caller, Seq: f.next, Ack: f.expected, Flags: FlagAck, Data: body[:n]}
 		f.next += uint32(n)
 		body = body[n:]
 		f.unacked = append(f.unacked, h)
@@ -334,13 +334,13 @@
 }
 
 const (
-	repeatEvery = 200 * time.Millisecond
-	maxRepeats  = 8
+	retransmitInterval = 200 * time.Millisecond
+	maxRetransmissions = 8
 )
 
-// repeats sends again what callers have not acknowledged.
-func (s *Server) repeats() {
-	t := time.NewTicker(repeatEvery)
+// retransmitLoop sends again what callers have not acknowledged.
+func (s *Server) retransmitLoop() {
+	t := time.NewTicker(retransmitInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -350,7 +350,7 @@
 		}
 		s.mu.Lock()
 		for _, f := range s.flows {
-			if len(f.unacked) == 0 || f.tries == maxRepeats || f.ended {
+			if len(f.unacked) == 0 || f.tries == maxRetransmissions || f.ended {
 				continue
 			}
 			f.tries++
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -21,12 +21,12 @@
 
 // Fault is what is wrong with the store.
 type Fault struct {
-	Refuse int           // status that every call is refused with, 0 for none
-	Hang   bool          // calls are not answered
-	Delay  time.Duration // before a call takes effect
-	Lose   bool          // writes take effect, and their answers are lost
-	Deaf   bool          // watches hear nothing
-	Stale  time.Duration // age of reads that may be stale
+	RefuseStatus int           // status that every call is refused with, 0 for none
+	Hang         bool          // calls are not answered
+	Delay        time.Duration // before a call takes effect
+	LoseAnswers  bool          // writes take effect, and their answers are lost
+	StopWatches  bool          // watches hear nothing
+	Stale        time.Duration // age of reads that may be stale
 }
 
 // Store is the key-value store.
@@ -89,7 +89,7 @@
 func (s *Store) NewEndpoint() *Endpoint {
 	d := &Endpoint{store: s}
 	d.http = httptest.NewUnstartedServer(s.http.Config.Handler)
-	d.http.Listener = &silencer{Listener: d.http.Listener, endpoint: d}
+	d.http.Listener = &droppingListener{Listener: d.http.Listener, endpoint: d}
 	d.http.Config.BaseContext = func(net.Listener) context.Context {
 		return context.WithValue(context.Background(), endpointKey{}, d)
 	}
@@ -107,7 +107,7 @@
 
 // Close ends the store.
 func (s *Store) Close() {
-	s.SetFault(func(netip.Addr) Fault { return Fault{Refuse: http.StatusServiceUnavailable} })
+	s.SetFault(func(netip.Addr) Fault { return Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	s.http.CloseClientConnections()
 	s.http.Close()
 	s.mu.Lock()
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.wake()
+	s.notifyWatches()
 }
 
 // Put writes a key as the operator does.
@@ -180,7 +180,7 @@
 	return out
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -193,7 +193,7 @@
 	}
 	s.items[key] = i
 	s.history = append(s.history, i)
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
@@ -201,7 +201,7 @@
 	s.revision++
 	delete(s.items, key)
 	s.history = append(s.history, item{Key: key, Revision: s.revision, Removed: true})
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *Store) expire() {
@@ -209,11 +209,11 @@
 		if time.Now().Before(l.end) {
 			continue
 		}
-		s.drop(id)
+		s.revoke(id)
 	}
 }
 
-func (s *Store) drop(id uint64) {
+func (s *Store) revoke(id uint64) {
 	delete(s.leases, id)
 	for key, i := range s.items {
 		if i.Lease == id {
@@ -240,9 +240,9 @@
 			<-r.Context().Done()
 			return
 		}
-		if f.Refuse != 0 {
+		if f.RefuseStatus != 0 {
 			w.Header().Set(eraHeader, strconv.FormatUint(s.eraNow(), 10))
-			w.WriteHeader(f.Refuse)
+			w.WriteHeader(f.RefuseStatus)
 			return
 		}
 		select {
@@ -252,7 +252,7 @@
 		}
 		era := s.eraNow()
 		status, answer := h(r)
-		if write && f.Lose || s.eraNow() != era {
+		if write && f.LoseAnswers || s.eraNow() != era {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(eraHeader, strconv.FormatUint(era, 10))
@@ -340,9 +340,9 @@
 		changed, revision, f := s.changed, s.revision, s.faultOf(r)
 		s.mu.Unlock()
 		switch {
-		case f.Refuse != 0:
-			return f.Refuse, nil
-		case f.Deaf:
+		case f.RefuseStatus != 0:
+			return f.RefuseStatus, nil
+		case f.StopWatches:
 		case gone:
 			return http.StatusGone, nil
 		case len(events) > 0:
@@ -441,6 +441,6 @@
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(id)
+	s.revoke(id)
 	return http.StatusOK, map[string]any{}
 }
--- a/internal/standin/platform/wire.go
+++ b/internal/standin/platform/wire.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// WireFault is what is wrong on the way from one VM to another.
-type WireFault struct {
+// NetworkFault is what is wrong on the way from one VM to another.
+type NetworkFault struct {
 	Cut       bool          // nothing arrives
 	Loss      float64       // share of datagrams that are lost
 	Duplicate float64       // share that arrives twice
@@ -19,18 +19,18 @@
 	Jitter    time.Duration // further delay of a random part, so that datagrams overtake each other
 }
 
-// Wire carries what the system's processes send to each other. Each process is
+// Network carries what the system's processes send to each other. Each process is
 // known to the others by an address of the wire; what comes there is handed on
 // from the wire's address of its sender.
-type Wire struct {
+type Network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
-	ends  map[netip.Addr]*wireEnd // by the process's own address
-	fault func(from, to netip.Addr) WireFault
+	ends  map[netip.Addr]*networkPeer // by the process's own address
+	fault func(from, to netip.Addr) NetworkFault
 	done  sync.WaitGroup
 }
 
-type wireEnd struct {
+type networkPeer struct {
 	own   netip.AddrPort // where the process listens
 	known netip.AddrPort // where others send to
 	link  *Link          // of what the process answers on connections; guarded by Wire.mu
@@ -38,14 +38,14 @@
 	tcp   net.Listener
 }
 
-// NewWire returns a sound wire without ends.
-func NewWire(seed uint64) *Wire {
-	return &Wire{rng: rand.New(rand.NewPCG(seed, 7)), ends: map[netip.Addr]*wireEnd{}, fault: func(_, _ netip.Addr) WireFault { return WireFault{} }}
+// NewNetwork returns a sound wire without ends.
+func NewNetwork(seed uint64) *Network {
+	return &Network{rng: rand.New(rand.NewPCG(seed, 7)), ends: map[netip.Addr]*networkPeer{}, fault: func(_, _ netip.Addr) NetworkFault { return NetworkFault{} }}
 }
 
 // Add makes the process that listens at own known to the others at known.
-func (w *Wire) Add(own netip.AddrPort, known netip.Addr) error {
-	e := &wireEnd{own: own, known: netip.AddrPortFrom(known, own.Port())}
+func (w *Network) Add(own netip.AddrPort, known netip.Addr) error {
+	e := &networkPeer{own: own, known: netip.AddrPortFrom(known, own.Port())}
 	var err error
 	if e.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.known)); err != nil {
 		return err
@@ -63,7 +63,7 @@
 }
 
 // SetFault sets what is wrong, by the own addresses of sender and receiver.
-func (w *Wire) SetFault(f func(from, to netip.Addr) WireFault) {
+func (w *Network) SetFault(f func(from, to netip.Addr) NetworkFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
@@ -71,14 +71,14 @@
 
 // SetLink sets the link of the process with an own address, for what it answers on
 // connections opened from now on.
-func (w *Wire) SetLink(own netip.Addr, l *Link) {
+func (w *Network) SetLink(own netip.Addr, l *Link) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ends[own].link = l
 }
 
 // Close ends the wire.
-func (w *Wire) Close() {
+func (w *Network) Close() {
 	w.mu.Lock()
 	for _, e := range w.ends {
 		e.udp.Close()
@@ -90,7 +90,7 @@
 
 // Translate replaces the own addresses of processes other than reader by those
 // that they are known at, in what reader reads in the store.
-func (w *Wire) Translate(reader netip.Addr, value []byte) []byte {
+func (w *Network) Translate(reader netip.Addr, value []byte) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for addr, e := range w.ends {
@@ -101,7 +101,7 @@
 	return value
 }
 
-func (w *Wire) datagrams(to *wireEnd) {
+func (w *Network) datagrams(to *networkPeer) {
 	b := make([]byte, 2048)
 	for {
 		n, source, err := to.udp.ReadFromUDPAddrPort(b)
@@ -117,7 +117,7 @@
 }
 
 // plan decides what happens to one datagram.
-func (w *Wire) plan(source, to netip.Addr) (from *wireEnd, copies int, delay time.Duration) {
+func (w *Network) plan(source, to netip.Addr) (from *networkPeer, copies int, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	from = w.ends[source]
@@ -141,7 +141,7 @@
 
 // connections passes connections on; who connects can't be told on loopback, so
 // only a cut of the receiver from everybody stops them.
-func (w *Wire) connections(to *wireEnd) {
+func (w *Network) connections(to *networkPeer) {
 	for {
 		c, err := to.tcp.Accept()
 		if err != nil {
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// slice is how many packets one relay carries before the other one has its
+	// packetsPerRound is how many packets one relay carries before the other one has its
 	// turn.
-	slice = 100_000
+	packetsPerRound = 100_000
 	// senders blast packets at the relay, which has to be the bottleneck.
 	senders = 2
 )
@@ -46,8 +46,8 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for b.Loop() {
-		bares = append(bares, bare.slice(packets))
-		wholes = append(wholes, whole.slice(packets))
+		bares = append(bares, bare.round(packets))
+		wholes = append(wholes, whole.round(packets))
 	}
 	wall := func(s speed) float64 { return s.wall }
 	cpu := func(s speed) float64 { return s.cpu }
@@ -68,19 +68,19 @@
 	return v[len(v)/2]
 }
 
-// slice carries one turn of packets while the senders blast.
-func (r *Relay) slice(packets [][]byte) speed {
+// round carries one turn of packets while the senders blast.
+func (r *Relay) round(packets [][]byte) speed {
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	for range senders {
-		wg.Go(func() { blast(r.To, packets, &stop) })
+		wg.Go(func() { sendUntil(r.To, packets, &stop) })
 	}
-	for warm := 0; warm < slice/10; {
+	for warm := 0; warm < packetsPerRound/10; {
 		warm += r.Step()
 	}
 	start, used := time.Now(), threadTime()
 	n := 0
-	for n < slice {
+	for n < packetsPerRound {
 		n += r.Step()
 	}
 	wall, cpu := time.Since(start), threadTime()-used
@@ -96,7 +96,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func blast(to netip.AddrPort, packets [][]byte, stop *atomic.Bool) {
+func sendUntil(to netip.AddrPort, packets [][]byte, stop *atomic.Bool) {
 	c, err := udp.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -48,7 +48,7 @@
 	count(&s.calls)
 	faults := s.faults
 	s.mu.Unlock()
-	if faults.Delay > 0 && !pause(r.Context(), faults.Delay) {
+	if faults.Delay > 0 && !sleep(r.Context(), faults.Delay) {
 		return false
 	}
 	if faults.Outage {
@@ -66,7 +66,7 @@
 	return false
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -85,9 +85,9 @@
 	return err == nil
 }
 
-// lost decides by chance whether the answer to a write that took effect is
-// lost, and if so cuts the connection.
-func (s *Server) lost(w http.ResponseWriter) bool {
+// loseAnswer decides by chance whether the answer to a write that took effect is
+// loseAnswer, and if so cuts the connection.
+func (s *Server) loseAnswer(w http.ResponseWriter) bool {
 	s.mu.Lock()
 	lose := s.faults.LoseAnswer > 0 && s.rng.Float64() < s.faults.LoseAnswer
 	s.mu.Unlock()
@@ -127,7 +127,7 @@
 	switch {
 	case refused != nil:
 		refuse(w, refused)
-	case !s.lost(w):
+	case !s.loseAnswer(w):
 		answer(w, http.StatusOK, store.VersionBody{Version: version})
 	}
 }
@@ -143,7 +143,7 @@
 	switch {
 	case refused != nil:
 		refuse(w, refused)
-	case !s.lost(w):
+	case !s.loseAnswer(w):
 		answer(w, http.StatusOK, struct{}{})
 	}
 }
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	id := s.grant(time.Now(), time.Duration(body.TTL)*time.Millisecond)
 	s.mu.Unlock()
-	if !s.lost(w) {
+	if !s.loseAnswer(w) {
 		answer(w, http.StatusOK, store.LeaseBody{Lease: id, TTL: body.TTL})
 	}
 }
@@ -176,7 +176,7 @@
 	switch {
 	case !ok:
 		refuse(w, &store.ErrorBody{Code: store.CodeLeaseExpired})
-	case !s.lost(w):
+	case !s.loseAnswer(w):
 		answer(w, http.StatusOK, struct{}{})
 	}
 }
--- a/internal/standin/store/server.go
+++ b/internal/standin/store/server.go
@@ -17,15 +17,15 @@
 
 // Defaults of Config.
 const (
-	DefaultReads     = 2000
-	DefaultWrites    = 300
+	DefaultReadRate  = 2000
+	DefaultWriteRate = 300
 	DefaultWatchWait = 10 * time.Second
 )
 
 // Config sets up a Server.
 type Config struct {
-	Reads     int           // reads a second, watches included; default DefaultReads
-	Writes    int           // writes a second, lease calls included; default DefaultWrites
+	ReadRate  int           // reads a second, watches included; default DefaultReads
+	WriteRate int           // writes a second, lease calls included; default DefaultWrites
 	WatchWait time.Duration // how long a watch waits; default DefaultWatchWait
 	Seed      uint64        // of the faults that strike by chance
 }
@@ -75,19 +75,19 @@
 
 // New returns a server without values.
 func New(cfg Config) *Server {
-	if cfg.Reads <= 0 {
-		cfg.Reads = DefaultReads
+	if cfg.ReadRate <= 0 {
+		cfg.ReadRate = DefaultReadRate
 	}
-	if cfg.Writes <= 0 {
-		cfg.Writes = DefaultWrites
+	if cfg.WriteRate <= 0 {
+		cfg.WriteRate = DefaultWriteRate
 	}
 	if cfg.WatchWait <= 0 {
 		cfg.WatchWait = DefaultWatchWait
 	}
 	return &Server{
 		cfg:     cfg,
-		reads:   rate.NewLimiter(rate.Limit(cfg.Reads), cfg.Reads),
-		writes:  rate.NewLimiter(rate.Limit(cfg.Writes), cfg.Writes),
+		reads:   rate.NewLimiter(rate.Limit(cfg.ReadRate), cfg.ReadRate),
+		writes:  rate.NewLimiter(rate.Limit(cfg.WriteRate), cfg.WriteRate),
 		values:  make(map[string]record),
 		leases:  make(map[store.LeaseID]lease),
 		rng:     rand.New(rand.NewPCG(cfg.Seed, 1)),
@@ -116,8 +116,8 @@
 	return s.calls
 }
 
-// Keys returns how many keys hold a value.
-func (s *Server) Keys() int {
+// KeyCount returns how many keys hold a value.
+func (s *Server) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(time.Now())
@@ -155,10 +155,10 @@
 
 func (s *Server) remove(key string) {
 	delete(s.values, key)
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -195,7 +195,7 @@
 	}
 	s.version++
 	s.values[b.Key] = record{Value: store.Value{Data: b.Data, Version: s.version}, lease: b.Lease}
-	s.wake()
+	s.notifyWatches()
 	return s.version, nil
 }
 
--- a/internal/standin/store/server_test.go
+++ b/internal/standin/store/server_test.go
@@ -124,7 +124,7 @@
 
 func TestFaults(t *testing.T) {
 	ctx := context.Background()
-	s, c := start(t, Config{Reads: 2, Writes: 2})
+	s, c := start(t, Config{ReadRate: 2, WriteRate: 2})
 	v := swap(t, c, "a", 0, "")
 
 	s.SetFaults(Faults{LoseAnswer: 1})
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -157,7 +157,7 @@
 }
 
 func (c *Client) do(ctx context.Context, k call, out any) error {
-	ctx, e := transfer.Begin(ctx, transfer.Limits{Answer: k.timeout, Step: c.cfg.Timeout})
+	ctx, e := transfer.Begin(ctx, transfer.Limits{ResponseTimeout: k.timeout, ProgressTimeout: c.cfg.Timeout})
 	defer e.End()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -163,7 +163,7 @@
 // applied: four operators edit three entries concurrently while the store has outages, is slow
 // and loses responses to completed writes. An unknown outcome must be read back, not retried.
 func TestEditsAreLinearizable(t *testing.T) {
-	s := standin.New(standin.Config{Reads: 1 << 20, Writes: 1 << 20})
+	s := standin.New(standin.Config{ReadRate: 1 << 20, WriteRate: 1 << 20})
 	hs := httptest.NewServer(s.Handler())
 	defer hs.Close()
 	r := &recorder{start: time.Now(), edits: make(map[catalogue.EditID]bool)}
--- a/internal/tracing/doc.go
+++ b/internal/tracing/doc.go
@@ -1,4 +1,4 @@
-// Package tracing gives each call one OpenTelemetry trace with a span for each
-// hop. A nil *Provider is tracing that is off: all methods work on it and do
-// nothing.
+// Package tracing records one OpenTelemetry trace for each call, with a span for
+// each hop. A nil *Provider means that tracing is off: its methods may be called
+// and record nothing.
 package tracing
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -14,20 +14,20 @@
 	"github.com/hemlockscale/hemlockscale/internal/fleetkey"
 )
 
-// Flow is the identity of the span that a balancer makes for a flow's first
-// packet. Balancer and agent work it out alike, so it needs no room in the
-// forwarding header.
-type Flow struct {
-	Trace trace.TraceID // used only if no call claims the span
+// FlowSpan identifies the span that a balancer records for a flow's first
+// packet. Balancer and agent derive it in the same way, so that the forwarding
+// header need not carry it.
+type FlowSpan struct {
+	Trace trace.TraceID // used only if no Claim assigns the span to the trace of a call
 	Span  trace.SpanID
 }
 
-// Inputs of a Flows hash, in bytes. All have one length, for which CBC-MAC is
-// a pseudorandom function.
+// Layout of the hash input, in bytes. All inputs have the same length, for which
+// CBC-MAC is a pseudorandom function.
 const (
 	flowInput  = 2 * aes.BlockSize
-	maxID      = 20
-	viaOffset  = maxID
+	maxIDLen   = 20
+	viaOffset  = maxIDLen
 	lenOffset  = viaOffset + 6
 	kindOffset = lenOffset + 1
 
@@ -35,48 +35,50 @@
 	kindSpan  = 2
 )
 
-// Flows derives identities of flows from the connection ID that the caller
-// chose first, by a hash under the fleet key: a caller can't choose an ID that
-// is sampled. It is used by one goroutine at a time.
-type Flows struct {
+// FlowHasher derives the span identity of a flow, and whether the flow is sampled,
+// from the connection ID that the caller chose for its first packet. The hash is
+// keyed with the fleet key, so that callers can't choose an ID that is sampled.
+// It is not safe for concurrent use.
+type FlowHasher struct {
 	block cipher.Block
 	in    [flowInput]byte
 	mac   [aes.BlockSize]byte
 	limit uint64
 }
 
-// NewFlows returns the hash under the ring's first key. While a key is rotated,
-// processes that differ in it miss one another's spans.
-func NewFlows(ring fleetkey.Ring, sample float64) (*Flows, error) {
+// NewFlowHasher returns a hasher with the ring's first key that samples the given
+// ratio of flows, from 0 to 1. During a key rotation, processes with different
+// first keys derive different spans, and traces across them are incomplete.
+func NewFlowHasher(ring fleetkey.Ring, sample float64) (*FlowHasher, error) {
 	b, err := aes.NewCipher(ring[0].Derive("trace", aes.BlockSize))
 	if err != nil {
 		return nil, err
 	}
-	f := &Flows{block: b}
+	f := &FlowHasher{block: b}
 	f.setSample(sample)
 	return f, nil
 }
 
-// Sampled reports whether the flow is traced. All balancers with one share
-// decide alike. It does not allocate.
-func (f *Flows) Sampled(id []byte) bool {
-	f.sum(id, netip.AddrPort{}, kindTrace)
+// Sampled reports whether the flow with the connection ID is traced. All hashers
+// with the same key and sample ratio give the same result. It does not allocate.
+func (f *FlowHasher) Sampled(id []byte) bool {
+	f.computeMAC(id, netip.AddrPort{}, kindTrace)
 	return f.limit > 0 && binary.BigEndian.Uint64(f.mac[8:]) <= f.limit
 }
 
-// Of returns the identity of the span of the balancer at via, which took the
-// flow's first packet in.
-func (f *Flows) Of(id []byte, via netip.AddrPort) (w Flow) {
-	f.sum(id, netip.AddrPort{}, kindTrace)
+// Identity returns the span of the balancer at via, which received the flow's first
+// packet from the caller.
+func (f *FlowHasher) Identity(id []byte, via netip.AddrPort) (w FlowSpan) {
+	f.computeMAC(id, netip.AddrPort{}, kindTrace)
 	w.Trace = f.mac
-	f.sum(id, via, kindSpan)
+	f.computeMAC(id, via, kindSpan)
 	copy(w.Span[:], f.mac[:])
 	return w
 }
 
-func (f *Flows) sum(id []byte, via netip.AddrPort, kind byte) {
+func (f *FlowHasher) computeMAC(id []byte, via netip.AddrPort, kind byte) {
 	clear(f.in[:])
-	n := copy(f.in[:maxID], id)
+	n := copy(f.in[:maxIDLen], id)
 	if via.IsValid() {
 		ip := via.Addr().As4()
 		copy(f.in[viaOffset:], ip[:])
@@ -89,29 +91,29 @@
 	f.block.Encrypt(f.mac[:], f.mac[:])
 }
 
-// Claim is the control message by which an agent tells a balancer to which
-// call's trace the span of a flow's first packet belongs. The balancer can't
-// read the packet, so it can't know.
+// Claim is the control message in which an agent reports to a balancer which
+// call's trace the span of a flow's first packet belongs to. The balancer can't
+// derive this from the packet, which is encrypted.
 type Claim struct {
 	Span   trace.SpanID  `cbor:"1,keyasint"`
 	Trace  trace.TraceID `cbor:"2,keyasint"`
 	Parent trace.SpanID  `cbor:"3,keyasint"` // the caller's span
 }
 
-// idGenerator makes random IDs, but for a span whose identity is derived.
+// idGenerator returns random IDs, except for spans begun under WithFlowSpan.
 type idGenerator struct{}
 
 type flowKey struct{}
 
-// WithFlow makes the next span begun under ctx have the identity w. Its trace
-// counts only for a span without parent.
-func WithFlow(ctx context.Context, w Flow) context.Context {
+// WithFlowSpan returns a context in which the next span is started with the identity
+// w. The trace ID of w is used only if the span has no parent.
+func WithFlowSpan(ctx context.Context, w FlowSpan) context.Context {
 	return context.WithValue(ctx, flowKey{}, w)
 }
 
 // NewIDs implements sdk.IDGenerator.
 func (g idGenerator) NewIDs(ctx context.Context) (t trace.TraceID, s trace.SpanID) {
-	if w, ok := ctx.Value(flowKey{}).(Flow); ok {
+	if w, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
 		return w.Trace, w.Span
 	}
 	for !t.IsValid() {
@@ -123,7 +125,7 @@
 
 // NewSpanID implements sdk.IDGenerator.
 func (idGenerator) NewSpanID(ctx context.Context, _ trace.TraceID) (s trace.SpanID) {
-	if w, ok := ctx.Value(flowKey{}).(Flow); ok {
+	if w, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
 		return w.Span
 	}
 	for !s.IsValid() {
--- a/internal/tracing/http.go
+++ b/internal/tracing/http.go
@@ -12,12 +12,12 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// HeaderParent is the W3C header that carries a trace from hop to hop.
+// HeaderParent is the W3C Trace Context header that names the parent span.
 const HeaderParent = "Traceparent"
 
 var w3c propagation.TraceContext
 
-// Extract returns ctx with the span that the headers name as parent.
+// Extract returns ctx with the parent span that the headers name.
 func Extract(ctx context.Context, h http.Header) context.Context {
 	return w3c.Extract(ctx, propagation.HeaderCarrier(h))
 }
@@ -27,15 +27,15 @@
 	w3c.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Decide tells whether a request is traced, and with which links.
-type Decide func(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool)
+// SampleFunc reports whether a request is traced, and returns the links of its span.
+type SampleFunc func(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool)
 
-// Wrap returns h with a span around each request that decide picks. The span
-// is the child of the one that the request's traceparent names, and the parent
-// of what h calls with the request's headers. It returns h itself when p is
-// off.
-func (p *Provider) Wrap(h http.Handler, decide Decide) http.Handler {
-	if !p.On() {
+// Wrap returns a handler that records a span around each request that decide
+// samples. The span is a child of the span in the request's traceparent header;
+// h receives the request with the new span in that header, so that calls which
+// pass it on become children. Wrap returns h itself when tracing is off.
+func (p *Provider) Wrap(h http.Handler, decide SampleFunc) http.Handler {
+	if !p.Enabled() {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,20 +58,20 @@
 	r.Header = r.Header.Clone()
 	Inject(ctx, r.Header)
 	recorder := &statusRecorder{ResponseWriter: w}
-	whole := false
-	// h panics to cut an answer short; the span has to tell.
+	complete := false
+	// h panics to abort a response; the span then has the status error.
 	defer func() {
-		if !whole {
+		if !complete {
 			span.SetStatus(codes.Error, "answer cut")
 		}
 		span.SetAttributes(attribute.Int("http.response.status_code", recorder.status))
 		span.End()
 	}()
 	h.ServeHTTP(recorder, r)
-	whole = true
+	complete = true
 }
 
-// statusRecorder remembers the status of an answer.
+// statusRecorder records the status code of a response.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -91,13 +91,13 @@
 	return s.ResponseWriter.Write(b)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (s *statusRecorder) Unwrap() http.ResponseWriter { return s.ResponseWriter }
 
-// Call sends a request by send inside a span of the caller, which ends with
-// the answer's body.
+// Call sends a request with send inside a client span, which ends when the
+// response body is closed or send fails.
 func (p *Provider) Call(r *http.Request, send func(*http.Request) (*http.Response, error)) (*http.Response, error) {
-	if !p.On() {
+	if !p.Enabled() {
 		return send(r)
 	}
 	ctx, span := p.tracer.Start(r.Context(), r.Method, trace.WithSpanKind(trace.SpanKindClient))
--- a/internal/tracing/provider.go
+++ b/internal/tracing/provider.go
@@ -19,7 +19,7 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Values of Config.Exporter besides a URL.
+// Values of Config.Exporter other than a URL.
 const (
 	Off    = "off"
 	Stderr = "stderr"
@@ -30,15 +30,15 @@
 	scope    = "github.com/hemlockscale/hemlockscale"
 )
 
-// Config is the settings of tracing.
+// Config holds the settings of tracing.
 type Config struct {
-	Exporter string  // Off, Stderr, or the URL of an OTLP collector over HTTP
-	Sample   float64 // share that is traced, 0 to 1; of what depends on the role
-	Role     string  // service.name of the spans
-	Zone     string  // availability zone
+	Exporter    string  // Off, Stderr, or the URL of an OTLP collector over HTTP
+	SampleRatio float64 // ratio of flows or calls, depending on the role, that is sampled: 0 to 1
+	Role        string  // role of the process; the spans' service.name is "hemlock-" and the role
+	Zone        string  // availability zone
 }
 
-// Error names a setting of tracing that can't be used.
+// Error reports an invalid setting of tracing.
 type Error struct {
 	Setting string
 	Reason  string
@@ -49,29 +49,30 @@
 	return fmt.Sprintf("setting -%s: %s; %s", e.Setting, e.Reason, e.Remedy)
 }
 
-// Check returns an *Error if the settings can't be used.
+// Check returns an *Error if a setting is invalid.
 func (c Config) Check() error {
-	if !(c.Sample >= 0 && c.Sample <= 1) {
-		return &Error{Setting: "trace-sample", Reason: fmt.Sprintf("%v is no share", c.Sample), Remedy: "write a number from 0 to 1"}
+	if !(c.SampleRatio >= 0 && c.SampleRatio <= 1) {
+		return &Error{Setting: "trace-sample", Reason: fmt.Sprintf("%v is not a ratio", c.SampleRatio), Remedy: "write a number from 0 to 1"}
 	}
 	if c.Exporter == Off || c.Exporter == Stderr {
 		return nil
 	}
 	u, err := url.Parse(c.Exporter)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return &Error{Setting: "trace", Reason: fmt.Sprintf("%q is no exporter", c.Exporter), Remedy: "write off, stderr, or the URL of a collector like http://127.0.0.1:4318"}
+		return &Error{Setting: "trace", Reason: fmt.Sprintf("%q is not an exporter", c.Exporter), Remedy: "write off, stderr, or the URL of a collector like http://127.0.0.1:4318"}
 	}
 	return nil
 }
 
-// Provider makes spans and exports them.
+// Provider records spans and exports them.
 type Provider struct {
 	sdk    *sdk.TracerProvider
 	tracer trace.Tracer
 	sample float64
 }
 
-// Open returns the provider that cfg describes, nil for Off.
+// Open returns a provider with the exporter that cfg names, nil for Off. An invalid
+// setting is reported as an *Error.
 func Open(cfg Config, reg prometheus.Registerer) (*Provider, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -97,31 +98,31 @@
 	if u.Path == "" || u.Path == "/" {
 		u.Path = otlpPath
 	}
-	// The exporter connects with the first batch, so that a collector that is
-	// down holds up no start.
+	// The exporter connects when it sends the first batch, so that a collector that
+	// is down does not delay the start.
 	return otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(u.String()), otlptracehttp.WithTimeout(exportTimeout))
 }
 
-// New returns a provider over an exporter of the embedder's own.
+// New returns a provider that exports to the given exporter.
 func New(cfg Config, exporter sdk.SpanExporter, reg prometheus.Registerer) *Provider {
 	p := sdk.NewTracerProvider(
 		sdk.WithSpanProcessor(newQueue(exporter, reg)),
 		sdk.WithIDGenerator(idGenerator{}),
-		// Whether to trace is decided before a span is begun: by the balancer
-		// for a flow, by the caller for its call.
+		// Sampling is decided before a span is started: by the balancer for a
+		// flow, by the caller for its call.
 		sdk.WithSampler(sdk.AlwaysSample()),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "hemlock-"+cfg.Role),
 			attribute.String("cloud.availability_zone", cfg.Zone),
 		)),
 	)
-	return &Provider{sdk: p, tracer: p.Tracer(scope), sample: cfg.Sample}
+	return &Provider{sdk: p, tracer: p.Tracer(scope), sample: cfg.SampleRatio}
 }
 
-// On reports whether spans are exported.
-func (p *Provider) On() bool { return p != nil }
+// Enabled reports whether tracing is on.
+func (p *Provider) Enabled() bool { return p != nil }
 
-// Tracer returns the maker of spans.
+// Tracer returns the tracer, which does nothing when tracing is off.
 func (p *Provider) Tracer() trace.Tracer {
 	if p == nil {
 		return noop.NewTracerProvider().Tracer(scope)
@@ -129,18 +130,18 @@
 	return p.tracer
 }
 
-// Sample returns the share that is traced.
-func (p *Provider) Sample() float64 {
+// SampleRatio returns the ratio that is sampled, 0 when tracing is off.
+func (p *Provider) SampleRatio() float64 {
 	if p == nil {
 		return 0
 	}
 	return p.sample
 }
 
-// Picks reports whether a call below parent is traced: one whose caller wants
-// no trace never is, and of the others the share that is set. A caller can't
-// raise the share by its flags.
-func (p *Provider) Picks(parent trace.SpanContext) bool {
+// ShouldSample reports whether a call with the given parent span is traced. A call
+// whose caller has cleared the sampled flag never is; of all others the sample ratio
+// is traced, so that callers can't raise the ratio by setting the flag.
+func (p *Provider) ShouldSample(parent trace.SpanContext) bool {
 	switch {
 	case p == nil || parent.IsValid() && !parent.IsSampled():
 		return false
@@ -153,15 +154,15 @@
 	return float64(binary.BigEndian.Uint64(id[8:])) < p.sample*math.MaxUint64
 }
 
-// End is Close at the end of a process, which waits for the collector for
-// exportTimeout at most.
-func (p *Provider) End() {
+// CloseWithTimeout closes the provider at the end of the process. It waits at most
+// exportTimeout for the collector.
+func (p *Provider) CloseWithTimeout() {
 	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	p.Close(ctx)
 }
 
-// Close exports what waits and ends the provider.
+// Close exports the queued spans and shuts the provider down.
 func (p *Provider) Close(ctx context.Context) error {
 	if p == nil {
 		return nil
--- a/internal/tracing/queue.go
+++ b/internal/tracing/queue.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// queueLen is how many ended spans may wait for the exporter. When it is
-	// full the newest is dropped and counted: waiting would hold up requests.
-	queueLen      = 2048
-	batchLen      = 256
-	exportEvery   = time.Second
-	exportTimeout = 5 * time.Second
+	// queueCapacity is the number of ended spans that may wait for the exporter. When
+	// the queue is full, the newest span is dropped and counted, because blocking
+	// would delay requests.
+	queueCapacity  = 2048
+	maxBatchLen    = 256
+	exportInterval = time.Second
+	exportTimeout  = 5 * time.Second
 )
 
-// queue is the span processor: a bounded ring in front of an exporter.
+// queue is a span processor with a bounded queue in front of an exporter.
 //
-// The SDK's own batch processor drops without a count that can be seen, and a
-// trace with a missing hop would be taken for a hop that wasn't passed.
+// It replaces the SDK's batch processor, which does not expose how many spans it
+// drops: without that count, a dropped span looks like a hop that the call did not pass.
 type queue struct {
 	exporter sdk.SpanExporter
 	ring     chan sdk.ReadOnlySpan
@@ -41,12 +42,12 @@
 	}
 	q := &queue{
 		exporter: e,
-		ring:     make(chan sdk.ReadOnlySpan, queueLen),
+		ring:     make(chan sdk.ReadOnlySpan, queueCapacity),
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
 		dropped:  counter("spans_dropped_total", "Spans dropped because the queue was full."),
-		failed:   counter("spans_failed_total", "Spans that the exporter could not hand over."),
-		exported: counter("spans_exported_total", "Spans handed over by the exporter."),
+		failed:   counter("spans_failed_total", "Spans that could not be exported."),
+		exported: counter("spans_exported_total", "Spans exported."),
 	}
 	go q.run()
 	return q
@@ -64,17 +65,17 @@
 	}
 }
 
-// run is the exporting duty.
+// run exports the queued spans in batches until Shutdown.
 func (q *queue) run() {
 	defer close(q.done)
-	tick := time.NewTicker(exportEvery)
+	tick := time.NewTicker(exportInterval)
 	defer tick.Stop()
-	batch := make([]sdk.ReadOnlySpan, 0, batchLen)
+	batch := make([]sdk.ReadOnlySpan, 0, maxBatchLen)
 	for {
 		select {
 		case s := <-q.ring:
 			batch = append(batch, s)
-			if len(batch) < batchLen {
+			if len(batch) < maxBatchLen {
 				continue
 			}
 		case <-tick.C:
@@ -112,7 +113,7 @@
 	q.exported.Add(float64(len(batch)))
 }
 
-// Shutdown implements sdk.SpanProcessor: it exports what waits.
+// Shutdown implements sdk.SpanProcessor. It exports the queued spans.
 func (q *queue) Shutdown(ctx context.Context) error {
 	q.stopOnce.Do(func() { close(q.stop) })
 	select {
@@ -123,5 +124,6 @@
 	}
 }
 
-// ForceFlush implements sdk.SpanProcessor. The queue exports by itself.
+// ForceFlush implements sdk.SpanProcessor. It does nothing, since run exports
+// every exportInterval.
 func (q *queue) ForceFlush(context.Context) error { return nil }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -23,7 +23,7 @@
 	for _, c := range []struct {
 		exporter string
 		sample   float64
-		setting  string // that is refused, empty for none
+		setting  string // reported as invalid, empty for none
 	}{
 		{Off, 0, ""},
 		{Stderr, 1, ""},
@@ -34,7 +34,7 @@
 		{Off, 1.1, "trace-sample"},
 		{Off, -0.1, "trace-sample"},
 	} {
-		err := Config{Exporter: c.exporter, Sample: c.sample}.Check()
+		err := Config{Exporter: c.exporter, SampleRatio: c.sample}.Check()
 		var e *Error
 		switch {
 		case c.setting == "" && err != nil:
@@ -45,50 +45,48 @@
 	}
 }
 
-// blocked is an exporter whose collector does not answer until it is let go.
-type blocked struct {
+// blockedExporter is an exporter whose collector does not respond until release is
+// closed.
+type blockedExporter struct {
 	entered chan struct{}
-	letGo   chan struct{}
+	release chan struct{}
 }
 
-func (b *blocked) ExportSpans(context.Context, []sdk.ReadOnlySpan) error {
+func (b *blockedExporter) ExportSpans(context.Context, []sdk.ReadOnlySpan) error {
 	select {
 	case b.entered <- struct{}{}:
 	default:
 	}
-	<-b.letGo
+	<-b.release
 	return nil
 }
 
-func (b *blocked) Shutdown(context.Context) error { return nil }
+func (b *blockedExporter) Shutdown(context.Context) error { return nil }
 
-// TestSlowCollectorDropsAndCounts.
-//
-// Symptom: requests wait, or memory grows, while the collector is slow.
-// Sequence: the collector takes a batch and does not answer; spans go on
-// ending. Cause: a queue that blocks or has no bound. What does not fit is
-// dropped and counted instead, and nothing waits.
+// TestSlowCollectorDropsAndCounts guards against requests that block, or memory that
+// grows without bound, while the collector does not respond to a batch. Spans that do
+// not fit into the queue are dropped and counted.
 func TestSlowCollectorDropsAndCounts(t *testing.T) {
-	e := &blocked{entered: make(chan struct{}, 1), letGo: make(chan struct{})}
-	p := New(Config{Sample: 1}, e, prometheus.NewRegistry())
+	e := &blockedExporter{entered: make(chan struct{}, 1), release: make(chan struct{})}
+	p := New(Config{SampleRatio: 1}, e, prometheus.NewRegistry())
 	q := newQueue(e, prometheus.NewRegistry())
-	for range batchLen {
+	for range maxBatchLen {
 		q.OnEnd(endedSpan(p))
 	}
 	<-e.entered
 	const over = 10
-	for range queueLen + over {
+	for range queueCapacity + over {
 		q.OnEnd(endedSpan(p))
 	}
-	if n := counted(t, q.dropped); n != over {
+	if n := counterValue(t, q.dropped); n != over {
 		t.Errorf("%v spans dropped, want %d", n, over)
 	}
-	close(e.letGo)
+	close(e.release)
 	if err := q.Shutdown(context.Background()); err != nil {
 		t.Error(err)
 	}
-	if n := counted(t, q.exported); n != batchLen+queueLen {
-		t.Errorf("%v spans exported, want %d", n, batchLen+queueLen)
+	if n := counterValue(t, q.exported); n != maxBatchLen+queueCapacity {
+		t.Errorf("%v spans exported, want %d", n, maxBatchLen+queueCapacity)
 	}
 	p.Close(context.Background())
 }
@@ -98,34 +96,34 @@
 	return s.(sdk.ReadOnlySpan)
 }
 
-func testFlows(t testing.TB, sample float64) *Flows {
+func newTestHasher(t testing.TB, sample float64) *FlowHasher {
 	t.Helper()
 	ring, err := fleetkey.Parse("1:000102030405060708090a0b0c0d0e0f")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := NewFlows(ring, sample)
+	f, err := NewFlowHasher(ring, sample)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// TestFlowsAgree: balancers and agents work out one identity without talking.
+// TestFlowsAgree checks that processes with the same key derive the same span for a flow.
 func TestFlowsAgree(t *testing.T) {
-	a, b := testFlows(t, 1), testFlows(t, 0.1)
+	a, b := newTestHasher(t, 1), newTestHasher(t, 0.1)
 	one, two := netip.MustParseAddrPort("10.0.0.1:7700"), netip.MustParseAddrPort("10.0.0.2:7700")
 	id := []byte("first-id")
-	if a.Of(id, one) != b.Of(id, one) {
-		t.Error("two processes differ")
+	if a.Identity(id, one) != b.Identity(id, one) {
+		t.Error("two processes derive different spans")
 	}
-	if a.Of(id, one).Span == a.Of(id, two).Span {
+	if a.Identity(id, one).Span == a.Identity(id, two).Span {
 		t.Error("two balancers share a span")
 	}
-	if a.Of(id, one).Trace != a.Of(id, two).Trace {
+	if a.Identity(id, one).Trace != a.Identity(id, two).Trace {
 		t.Error("one flow has two traces")
 	}
-	if a.Of(id, one).Trace == a.Of(append(id, 0), one).Trace {
+	if a.Identity(id, one).Trace == a.Identity(append(id, 0), one).Trace {
 		t.Error("two flows share a trace")
 	}
 }
@@ -133,14 +131,14 @@
 func TestSampledShare(t *testing.T) {
 	const flows = 100_000
 	for _, share := range []float64{0, 0.01, 0.5, 1} {
-		f, n := testFlows(t, share), 0
+		f, n := newTestHasher(t, share), 0
 		for i := range flows {
 			if f.Sampled([]byte{byte(i), byte(i >> 8), byte(i >> 16), 0, 0, 0, 0, 0}) {
 				n++
 			}
 		}
 		if got := float64(n) / flows; got < share*0.9 || got > share*1.1 {
-			t.Errorf("share %v: sampled %v", share, got)
+			t.Errorf("sample ratio %v: sampled %v", share, got)
 		}
 	}
 }
@@ -150,27 +148,26 @@
 	parent := func(high byte, flags trace.TraceFlags) trace.SpanContext {
 		return trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{0: 1, 8: high}, SpanID: trace.SpanID{1}, TraceFlags: flags})
 	}
-	if !p.Picks(parent(0x10, trace.FlagsSampled)) || p.Picks(parent(0xf0, trace.FlagsSampled)) {
-		t.Error("the share of the trace IDs is not kept")
+	if !p.ShouldSample(parent(0x10, trace.FlagsSampled)) || p.ShouldSample(parent(0xf0, trace.FlagsSampled)) {
+		t.Error("the sample ratio is not applied to the trace ID")
 	}
-	if p.Picks(parent(0x10, 0)) {
-		t.Error("traced although the caller refused")
+	if p.ShouldSample(parent(0x10, 0)) {
+		t.Error("traced although the caller cleared the sampled flag")
 	}
-	if (*Provider)(nil).Picks(parent(0x10, trace.FlagsSampled)) {
-		t.Error("traced although off")
+	if (*Provider)(nil).ShouldSample(parent(0x10, trace.FlagsSampled)) {
+		t.Error("traced although tracing is off")
 	}
 }
 
 func BenchmarkSampled(b *testing.B) {
-	f, id := testFlows(b, 0.01), []byte("a-first-id-18bytes")
+	f, id := newTestHasher(b, 0.01), []byte("a-first-id-18bytes")
 	b.ReportAllocs()
 	for b.Loop() {
 		f.Sampled(id)
 	}
 }
 
-// counted returns the value of a counter.
-func counted(t testing.TB, c prometheus.Counter) float64 {
+func counterValue(t testing.TB, c prometheus.Counter) float64 {
 	t.Helper()
 	var m dto.Metric
 	if err := c.Write(&m); err != nil {
@@ -179,14 +176,14 @@
 	return m.GetCounter().GetValue()
 }
 
-// TestOTLP sends spans to a collector over HTTP.
+// TestOTLP checks the path to which spans are sent over HTTP.
 func TestOTLP(t *testing.T) {
 	paths := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		paths <- r.URL.Path
 	}))
 	defer collector.Close()
-	p, err := Open(Config{Exporter: collector.URL, Sample: 1, Role: "agent"}, prometheus.NewRegistry())
+	p, err := Open(Config{Exporter: collector.URL, SampleRatio: 1, Role: "agent"}, prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +197,8 @@
 	}
 }
 
-// TestCollectorDown: the process runs on, and the loss is counted.
+// TestCollectorDown checks that spans are counted as failed, and that nothing blocks,
+// when the collector can't be reached.
 func TestCollectorDown(t *testing.T) {
 	collector := httptest.NewServer(http.NotFoundHandler())
 	collector.Close()
@@ -209,10 +207,10 @@
 		t.Fatal(err)
 	}
 	q := newQueue(e, prometheus.NewRegistry())
-	p := New(Config{Sample: 1}, e, prometheus.NewRegistry())
+	p := New(Config{SampleRatio: 1}, e, prometheus.NewRegistry())
 	q.OnEnd(endedSpan(p))
 	q.Shutdown(context.Background())
-	if n := counted(t, q.failed); n != 1 {
+	if n := counterValue(t, q.failed); n != 1 {
 		t.Errorf("%v spans counted as failed, want 1", n)
 	}
 	p.Close(context.Background())
@@ -224,14 +222,14 @@
 		t.Fatalf("%v %v", p, err)
 	}
 	h := http.NotFoundHandler()
-	if p.On() || p.Sample() != 0 || p.Close(context.Background()) != nil {
-		t.Error("off does something")
+	if p.Enabled() || p.SampleRatio() != 0 || p.Close(context.Background()) != nil {
+		t.Error("a provider that is off reports that it is on, samples, or fails to close")
 	}
 	_, span := p.Tracer().Start(context.Background(), "x")
 	if span.IsRecording() {
-		t.Error("a span is recorded while off")
+		t.Error("a span is recorded although tracing is off")
 	}
 	if p.Wrap(h, nil) == nil {
-		t.Error("no handler")
+		t.Error("Wrap returned no handler")
 	}
 }
--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -1,6 +1,7 @@
-// Package transfer bounds an exchange by the time in which nothing of it arrives, not by
-// the time that it takes. A limit on the whole has a size above which a link never brings
-// an answer, however often it is asked for; and each try loads the link again.
+// Package transfer limits the time in which an exchange of a request and its response
+// makes no progress, not its total time. With a total time limit, responses above a
+// certain size could never be transferred over a slow link, and each retry would load the
+// link again.
 package transfer
 
 import (
@@ -12,111 +13,112 @@
 	"time"
 )
 
-// stepSize is the least number of bytes in a Limits.Step: a peer that sends a byte now and
-// then would hold an exchange for good.
-const stepSize = 4 << 10
+// minProgress is the number of bytes that must be transferred within a timeout. Without
+// it, a peer that sends single bytes could keep an exchange open forever.
+const minProgress = 4 << 10
 
-// Limits bounds an exchange.
+// Limits holds the timeouts of an exchange.
 type Limits struct {
-	Answer time.Duration // until the answer begins; anew with each stepSize of the request that is sent
-	Step   time.Duration // for each stepSize of the answer
+	ResponseTimeout time.Duration // until the response begins; restarted with each minProgress bytes of the request sent
+	ProgressTimeout time.Duration // for each minProgress bytes of the response
 }
 
-// StalledError reports an exchange that was given up.
+// StalledError reports an exchange that was aborted because it made no progress.
 type StalledError struct {
-	Got   int64         // bytes of the answer that arrived
-	Size  int64         // bytes of the whole; -1 if not known
-	After time.Duration // without an answer, or without stepSize more of it
+	Received   int64         // bytes of the response received
+	Size       int64         // length of the response in bytes, -1 if not known
+	StalledFor time.Duration // time without a response, or without minProgress more bytes of it
 }
 
 func (e *StalledError) Error() string {
 	if e.Size < 0 {
-		return fmt.Sprintf("nothing arrived for %v after %d bytes; see whether the other end runs and its link has room", e.After, e.Got)
+		return fmt.Sprintf("nothing arrived for %v after %d bytes; check that the peer is running and that its link is not overloaded", e.StalledFor, e.Received)
 	}
-	return fmt.Sprintf("nothing arrived for %v after %d of %d bytes; see whether the other end runs and its link has room", e.After, e.Got, e.Size)
+	return fmt.Sprintf("nothing arrived for %v after %d of %d bytes; check that the peer is running and that its link is not overloaded", e.StalledFor, e.Received, e.Size)
 }
 
-// Timeout implements the part of net.Error that callers ask for.
+// Timeout reports true, as in net.Error.
 func (e *StalledError) Timeout() bool { return true }
 
-// Exchange is one request and its answer.
+// Exchange is one request and its response.
 type Exchange struct {
 	limits Limits
 	cancel context.CancelCauseFunc
 
-	mu    sync.Mutex // guards what follows
-	timer *time.Timer
-	wait  time.Duration // that the timer runs for
-	size  int64
-	got   int64
-	step  int64 // bytes since the timer began
+	mu       sync.Mutex // guards the fields below
+	timer    *time.Timer
+	timeout  time.Duration // duration of the running timer
+	size     int64
+	got      int64
+	progress int64 // bytes transferred since the timer was started
 
-	answered bool // the answer has begun
+	answered bool // the response has begun
 }
 
-// Begin returns an exchange and a context that ends, with a *StalledError as its cause,
-// when the exchange stalls. End has to be called.
+// Begin starts an exchange. It returns the exchange and a context that is cancelled,
+// with a *StalledError as its cause, when the exchange stalls. The caller must call End.
 func Begin(ctx context.Context, limits Limits) (context.Context, *Exchange) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	e := &Exchange{limits: limits, cancel: cancel, wait: limits.Answer, size: -1}
-	e.timer = time.AfterFunc(limits.Answer, e.stall)
+	e := &Exchange{limits: limits, cancel: cancel, timeout: limits.ResponseTimeout, size: -1}
+	e.timer = time.AfterFunc(limits.ResponseTimeout, e.stall)
 	return ctx, e
 }
 
 func (e *Exchange) stall() {
 	e.mu.Lock()
-	err := &StalledError{Got: e.got, Size: e.size, After: e.wait}
+	err := &StalledError{Received: e.got, Size: e.size, StalledFor: e.timeout}
 	e.mu.Unlock()
 	e.cancel(err)
 }
 
-// Request returns the body of a request as it is to be sent: what is taken of it shows
-// that the other end takes it.
+// Request wraps the body of the request. Bytes read from it count as progress, since the
+// peer accepts them.
 func (e *Exchange) Request(r io.Reader) io.Reader { return &request{e, r} }
 
-func (e *Exchange) sent(n int) {
+func (e *Exchange) recordSent(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.step += int64(n)
-	if e.step >= stepSize && !e.answered {
-		e.step = 0
-		e.timer.Reset(e.limits.Answer)
+	e.progress += int64(n)
+	if e.progress >= minProgress && !e.answered {
+		e.progress = 0
+		e.timer.Reset(e.limits.ResponseTimeout)
 	}
 }
 
-// End releases the exchange's context.
+// End stops the timer and releases the exchange's context.
 func (e *Exchange) End() {
 	e.timer.Stop()
 	e.cancel(nil)
 }
 
-// Body notes that the answer begins, and returns its body. size is the length of the
+// Body records that the response has begun, and wraps its body. size is the length of the
 // body in bytes, -1 if it is not known.
 func (e *Exchange) Body(r io.Reader, size int64) io.Reader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.size, e.answered = size, true
-	e.restart()
+	e.restartTimer()
 	return &body{e, r}
 }
 
-// restart starts the time of a step, with e.mu held.
-func (e *Exchange) restart() {
-	e.step, e.wait = 0, e.limits.Step
-	e.timer.Reset(e.limits.Step)
+// restartTimer starts the timer with the progress timeout. e.mu must be held.
+func (e *Exchange) restartTimer() {
+	e.progress, e.timeout = 0, e.limits.ProgressTimeout
+	e.timer.Reset(e.limits.ProgressTimeout)
 }
 
-func (e *Exchange) arrived(n int) {
+func (e *Exchange) recordReceived(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.got += int64(n)
-	e.step += int64(n)
-	if e.step >= stepSize {
-		e.restart()
+	e.progress += int64(n)
+	if e.progress >= minProgress {
+		e.restartTimer()
 	}
 }
 
-// Err returns the cause in place of err if the exchange with that context stalled.
+// Err returns the *StalledError if err is not nil and the exchange with the context ctx
+// has stalled, and err otherwise.
 func Err(ctx context.Context, err error) error {
 	var stalled *StalledError
 	if err != nil && errors.As(context.Cause(ctx), &stalled) {
@@ -132,7 +134,7 @@
 
 func (r *request) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
-	r.e.sent(n)
+	r.e.recordSent(n)
 	return n, err
 }
 
@@ -141,10 +143,10 @@
 	r io.Reader
 }
 
-// Read reads a part of a step at most: some readers, such as that of an HTTP body without a
-// length, return only once they have filled p.
+// Read reads at most a quarter of minProgress. Some readers, such as that of an HTTP body
+// without a length, return only after they have filled p, which would hide progress.
 func (b *body) Read(p []byte) (int, error) {
-	n, err := b.r.Read(p[:min(len(p), stepSize/4)])
-	b.e.arrived(n)
+	n, err := b.r.Read(p[:min(len(p), minProgress/4)])
+	b.e.recordReceived(n)
 	return n, err
 }
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-var limits = Limits{Answer: 50 * time.Millisecond, Step: 100 * time.Millisecond}
+var limits = Limits{ResponseTimeout: 50 * time.Millisecond, ProgressTimeout: 100 * time.Millisecond}
 
-// trickle writes a chunk of size bytes to w with each tick, and then holds still.
+// trickle writes chunks of size bytes to w at the given interval, and then stops without
+// closing w.
 func trickle(w io.Writer, chunks, size int, every time.Duration) {
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
@@ -30,23 +31,23 @@
 	return len(data), Err(ctx, err)
 }
 
-// A long transfer that goes on is not given up.
+// A slow transfer that makes progress is not aborted.
 func TestSlowTransferEnds(t *testing.T) {
 	ctx, e := Begin(context.Background(), limits)
 	defer e.End()
 	r, w := io.Pipe()
 	const chunks = 20
 	go func() {
-		trickle(w, chunks, stepSize, 20*time.Millisecond)
+		trickle(w, chunks, minProgress, 20*time.Millisecond)
 		w.Close()
 	}()
-	got, err := read(ctx, e.Body(r, chunks*stepSize), r)
-	if err != nil || got != chunks*stepSize {
-		t.Fatalf("%d bytes, %v", got, err)
+	got, err := read(ctx, e.Body(r, chunks*minProgress), r)
+	if err != nil || got != chunks*minProgress {
+		t.Fatalf("got %d bytes, error %v", got, err)
 	}
 }
 
-// A peer that stops, or sends a byte now and then, does not hold its reader.
+// A peer that stops sending, or sends single bytes, does not block its reader.
 func TestStalledTransferIsGivenUp(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -54,7 +55,7 @@
 		every        time.Duration
 	}{
 		{"nothing", 0, 0, time.Millisecond},
-		{"a part and no more", 3, stepSize, time.Millisecond},
+		{"a part and no more", 3, minProgress, time.Millisecond},
 		{"a byte now and then", 1000, 1, 5 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,25 +66,25 @@
 			go trickle(w, c.chunks, c.size, c.every)
 			_, err := read(ctx, e.Body(r, 1<<20), r)
 			var stalled *StalledError
-			if !errors.As(err, &stalled) || stalled.After != limits.Step || stalled.Size != 1<<20 {
+			if !errors.As(err, &stalled) || stalled.StalledFor != limits.ProgressTimeout || stalled.Size != 1<<20 {
 				t.Fatalf("%v", err)
 			}
 		})
 	}
 }
 
-// An answer that does not begin is given up.
+// An exchange whose response does not begin is aborted.
 func TestMissingAnswerIsGivenUp(t *testing.T) {
 	ctx, e := Begin(context.Background(), limits)
 	defer e.End()
 	<-ctx.Done()
 	var stalled *StalledError
-	if !errors.As(Err(ctx, ctx.Err()), &stalled) || stalled.After != limits.Answer || stalled.Size != -1 {
+	if !errors.As(Err(ctx, ctx.Err()), &stalled) || stalled.StalledFor != limits.ResponseTimeout || stalled.Size != -1 {
 		t.Fatalf("%v", context.Cause(ctx))
 	}
 }
 
-// An exchange that its caller ends has not stalled.
+// An exchange that is cancelled is not reported as stalled.
 func TestCancelledExchangeHasNotStalled(t *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
 	ctx, e := Begin(parent, limits)
@@ -95,19 +96,20 @@
 	}
 }
 
-// fillingReader returns only once it has filled what it reads into.
+// fillingReader returns only after it has filled the buffer.
 type fillingReader struct{ r io.Reader }
 
 func (f fillingReader) Read(p []byte) (int, error) { return io.ReadFull(f.r, p) }
 
-// Guards against a transfer that goes on and is given up, since its reader returns late.
+// Guards against aborting a transfer that makes progress, because the underlying reader
+// returns only after it has filled a large buffer.
 func TestReaderThatFillsItsBufferShowsProgress(t *testing.T) {
 	ctx, e := Begin(context.Background(), limits)
 	defer e.End()
 	r, w := io.Pipe()
 	const chunks = 20
-	go trickle(w, chunks, stepSize, 20*time.Millisecond)
-	data := make([]byte, chunks*stepSize)
+	go trickle(w, chunks, minProgress, 20*time.Millisecond)
+	data := make([]byte, chunks*minProgress)
 	stop := context.AfterFunc(ctx, func() { r.CloseWithError(ctx.Err()) })
 	defer stop()
 	if _, err := io.ReadFull(e.Body(fillingReader{r}, -1), data); err != nil {
--- a/internal/udp/udp.go
+++ b/internal/udp/udp.go
@@ -1,8 +1,8 @@
 // Package udp reads and writes UDP datagrams in batches without allocating
-// per datagram, and tells the local address that each one came to.
+// per datagram, and reports the local address that each one was sent to.
 //
-// It calls recvmmsg and sendmmsg itself: the batch calls of golang.org/x/net
-// allocate an address for every datagram read.
+// It calls recvmmsg and sendmmsg directly, because the batch calls of
+// golang.org/x/net allocate an address for every datagram read.
 package udp
 
 import (
@@ -16,17 +16,17 @@
 )
 
 const (
-	// Batch is how many datagrams one call reads or writes at the most.
+	// Batch is the maximum number of datagrams that one call reads or writes.
 	Batch = 32
-	// Headroom is how many bytes are kept free before each datagram read, so
-	// that a header can be put before it without copying.
+	// Headroom is the number of bytes kept free before each datagram read, so
+	// that a header can be prepended without copying.
 	Headroom = 64
-	// MaxDatagram is the largest datagram read whole, in bytes. A longer one
-	// is reported with Truncated set.
+	// MaxDatagram is the size in bytes up to which datagrams are read completely.
+	// Truncated reports that a datagram was longer.
 	MaxDatagram = 2048
 
-	pktinfoLen   = 12
-	socketBuffer = 4 << 20
+	pktinfoLen       = 12
+	socketBufferSize = 4 << 20 // bytes
 )
 
 var controlSpace = unix.CmsgSpace(pktinfoLen)
@@ -37,8 +37,8 @@
 	raw  syscall.RawConn
 }
 
-// Listen opens a socket at addr. An unspecified address takes in datagrams to
-// every local address.
+// Listen opens a socket at addr. With an unspecified address it receives datagrams
+// to all local addresses.
 func Listen(addr netip.AddrPort) (*Conn, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -60,9 +60,10 @@
 		c.Close()
 		return nil, err
 	}
-	// The kernel may grant less; a full buffer shows as lost packets only.
-	c.SetReadBuffer(socketBuffer)
-	c.SetWriteBuffer(socketBuffer)
+	// The kernel may grant less. Errors are ignored, since a smaller buffer only means
+	// more packet loss under load.
+	c.SetReadBuffer(socketBufferSize)
+	c.SetWriteBuffer(socketBufferSize)
 	return &Conn{conn: c, raw: raw}, nil
 }
 
@@ -72,13 +73,13 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// Close closes the socket; waiting reads return net.ErrClosed.
+// Close closes the socket; blocked reads return net.ErrClosed.
 func (c *Conn) Close() error {
 	return c.conn.Close()
 }
 
-// IgnoreClosed turns the error of a read from a closed socket into nil, the
-// regular end of a duty that reads it.
+// IgnoreClosed returns nil for net.ErrClosed and err otherwise. Closing the socket is
+// the regular way to end a goroutine that reads from it.
 func IgnoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -99,7 +100,7 @@
 	_   [4]byte
 }
 
-// Reader reads batches from one socket. One goroutine uses it.
+// Reader reads batches from one socket. It is not safe for concurrent use.
 type Reader struct {
 	conn  *Conn
 	msgs  [Batch]mmsghdr
@@ -148,7 +149,7 @@
 	return true
 }
 
-// Read waits for datagrams and returns how many arrived. They stay valid until
+// Read waits for datagrams and returns how many were read. They are valid until
 // the next Read.
 func (r *Reader) Read() (int, error) {
 	if err := r.conn.raw.Read(r.read); err != nil {
@@ -166,7 +167,7 @@
 	return r.bufs[at : at+int(r.msgs[i].len)]
 }
 
-// WithHeadroom returns the i-th datagram with n bytes of free room before it.
+// WithHeadroom returns the i-th datagram preceded by n free bytes, up to Headroom.
 func (r *Reader) WithHeadroom(i, n int) []byte {
 	at := i*stride + Headroom
 	return r.bufs[at-n : at+int(r.msgs[i].len)]
@@ -184,7 +185,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(n.Addr), uint16(p[0])<<8|uint16(p[1]))
 }
 
-// Destination returns the local address that the i-th datagram came to.
+// Destination returns the local address that the i-th datagram was sent to. ok is false
+// if the kernel did not report it.
 func (r *Reader) Destination(i int) (addr [4]byte, ok bool) {
 	c := r.ctrl[i*controlSpace:]
 	h := (*unix.Cmsghdr)(unsafe.Pointer(&c[0]))
@@ -195,8 +197,8 @@
 	return info.Addr, true
 }
 
-// Writer collects datagrams and sends them in batches. One goroutine uses it.
-// The datagrams added must stay unchanged until Flush.
+// Writer collects datagrams and sends them in batches. It is not safe for concurrent
+// use. Datagrams that were added must not be modified until Flush.
 type Writer struct {
 	conn  *Conn
 	msgs  [Batch]mmsghdr
@@ -228,9 +230,9 @@
 	return w
 }
 
-// Add queues b for to. from, when it is valid, is the local address that the
-// datagram leaves from. A full batch is flushed first; dropped is what that
-// flush could not send.
+// Add queues the datagram b, which must not be empty, for sending to to. If from is
+// valid, it is the source address of the datagram. A full batch is flushed first;
+// dropped is the number of datagrams that this flush could not send.
 func (w *Writer) Add(b []byte, to netip.AddrPort, from netip.Addr) (dropped int) {
 	if w.n == Batch {
 		dropped = w.Flush()
@@ -265,16 +267,16 @@
 		return false
 	}
 	if errno != 0 {
-		n = 1 // the first datagram of the rest can't be sent; pass over it
+		n = 1 // skip the first remaining datagram, which can't be sent
 		w.errno = errno
 	}
 	w.sent += int(n)
 	return true
 }
 
-// Flush sends what was added and returns how many datagrams the kernel
-// refused. A refused datagram is passed over: one unreachable receiver must
-// not hold up the others in the batch.
+// Flush sends the queued datagrams and returns the number that the kernel
+// refused. Refused datagrams are skipped, so that one unreachable receiver does
+// not block the others in the batch.
 func (w *Writer) Flush() (dropped int) {
 	w.sent = 0
 	for w.sent < w.n {
--- a/test/answers_test.go
+++ b/test/answers_test.go
@@ -21,7 +21,7 @@
 func TestWholeAnswersThroughBadFabric(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
-	f.Fabric.SetFaults(fabric.Faults{Loss: 0.03, Duplicate: 0.1, Reorder: 0.1, Hold: 5 * time.Millisecond, Delay: time.Millisecond})
+	f.Fabric.SetFaults(fabric.Faults{Loss: 0.03, Duplicate: 0.1, Reorder: 0.1, ReorderDelay: 5 * time.Millisecond, Delay: time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.Limit)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -90,7 +90,7 @@
 	t.Helper()
 	var e *caller.Error
 	switch {
-	case errors.As(err, &e) && e.Kind == caller.Broken:
+	case errors.As(err, &e) && e.Kind == caller.BrokenFlow:
 	case err != nil:
 		t.Errorf("%s: %v", name, err)
 	case a.Status < 500 || a.Outcome == "":
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -247,7 +247,7 @@
 	if slots == 0 {
 		slots = catalogue.DefaultSlots
 	}
-	server, err := backend.Start(backend.Config{Listen: "127.0.0.1:0", Name: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name, Slots: slots, Connections: catalogue.DefaultConnections, Work: s.Work})
+	server, err := backend.Start(backend.Config{Listen: "127.0.0.1:0", Name: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name, Slots: slots, Connections: catalogue.DefaultConnections, RequestDuration: s.RequestDuration})
 	if err != nil {
 		f.T.Fatal(err)
 	}
