--- a/test/isolation_test.go
+++ b/test/isolation_test.go
@@ -136,7 +136,7 @@
 	defer cancel()
 	row := 0
 	fleet.Eventually(t, service+" is served", func() bool {
-		c := f.CallerWith(caller.Config{Service: service, Idle: 3 * time.Second})
+		c := f.CallerWith(caller.Config{Service: service, IdleTimeout: 3 * time.Second})
 		defer c.Close()
 		a, err := c.Card(ctx, fmt.Sprint("after-", row))
 		mustNotBeWrong(t, err)
@@ -153,7 +153,7 @@
 // that shows is none.
 func mustNotBeWrong(t *testing.T, err error) {
 	var e *caller.Error
-	if errors.As(err, &e) && e.Kind != caller.Broken {
+	if errors.As(err, &e) && e.Kind != caller.BrokenFlow {
 		t.Error(err)
 	}
 }
@@ -172,7 +172,7 @@
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
-			c := f.CallerWith(caller.Config{Service: "records", Idle: 3 * time.Second})
+			c := f.CallerWith(caller.Config{Service: "records", IdleTimeout: 3 * time.Second})
 			var once sync.Once
 			_, err := c.DownloadAt(ctx, 4*downloadRate, downloadRate, uint64(i), func(uint64) { once.Do(func() { open.Add(1) }) })
 			mustNotBeWrong(t, err)
@@ -223,7 +223,7 @@
 					return
 				default:
 				}
-				c := f.CallerWith(caller.Config{Service: service, Address: netip.AddrPortFrom(moved, f.Fabric.Port()), Idle: time.Second})
+				c := f.CallerWith(caller.Config{Service: service, Address: netip.AddrPortFrom(moved, f.Fabric.Port()), IdleTimeout: time.Second})
 				for range 3 {
 					a, err := c.Card(ctx, fmt.Sprint(i, "-", n))
 					mustNotBeWrong(t, err)
--- a/test/leave_test.go
+++ b/test/leave_test.go
@@ -19,7 +19,7 @@
 // oneService is one service with several backend servers.
 func oneService() fleet.Config {
 	return fleet.Config{Balancers: 3, Seed: 1, Services: []fleet.Service{
-		{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, Work: 20 * time.Millisecond},
+		{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, RequestDuration: 20 * time.Millisecond},
 	}}
 }
 
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -79,7 +79,7 @@
 	if a != nil && a.Status == http.StatusCreated && runs(f)[key] == 0 {
 		t.Errorf("%s: said to have run, and did not", key)
 	}
-	d := f.CallerWith(caller.Config{Service: "records", Idle: 5 * time.Second})
+	d := f.CallerWith(caller.Config{Service: "records", IdleTimeout: 5 * time.Second})
 	defer d.Close()
 	_, err = d.Download(ctx, 1<<20, uint64(n), nil)
 	mustNotBeWrong(t, err)
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -27,7 +27,7 @@
 		Seed:      1,
 		Services: []fleet.Service{{
 			Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: overloadBackends,
-			Work: overloadWork, Limits: catalogue.Limits{Queue: 5, Deadline: 500 * time.Millisecond},
+			RequestDuration: overloadWork, Limits: catalogue.Limits{Queue: 5, Deadline: 500 * time.Millisecond},
 		}},
 	}
 }
--- a/test/packets/config_test.go
+++ b/test/packets/config_test.go
@@ -22,8 +22,8 @@
 		name  string
 		fault platform.Fault
 	}{
-		{"busy", platform.Fault{Refuse: http.StatusServiceUnavailable}},
-		{"too many", platform.Fault{Refuse: http.StatusTooManyRequests}},
+		{"busy", platform.Fault{RefuseStatus: http.StatusServiceUnavailable}},
+		{"too many", platform.Fault{RefuseStatus: http.StatusTooManyRequests}},
 		{"silent", platform.Fault{Hang: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 func TestStoreReturnsWithNewerConfiguration(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	for _, b := range d.balancers {
-		b.endpoint.SetFault(platform.Fault{Refuse: http.StatusServiceUnavailable})
+		b.endpoint.SetFault(platform.Fault{RefuseStatus: http.StatusServiceUnavailable})
 		b.process.Kill()
 		b.startProcess()
 	}
@@ -69,7 +69,7 @@
 func TestStoreConnectionsGoSilent(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	for _, v := range append(d.balancers[:2:2], d.agents...) {
-		v.endpoint.Silence()
+		v.endpoint.DropOpenConnections()
 	}
 	d.store.Remove("hemlock/nodes/")
 	d.idle++
--- a/test/packets/evacuate_test.go
+++ b/test/packets/evacuate_test.go
@@ -37,7 +37,7 @@
 	for _, v := range inB {
 		d.await("the agent knows", func() bool { return v.says("evacuated") })
 	}
-	away := platform.Fault{Refuse: http.StatusServiceUnavailable}
+	away := platform.Fault{RefuseStatus: http.StatusServiceUnavailable}
 	for _, v := range d.all() {
 		v.endpoint.SetFault(away)
 	}
--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -52,7 +52,7 @@
 	store     *platform.Store
 	journal   *platform.Journal
 	router    *platform.Router
-	wire      *platform.Wire // nil: processes reach each other directly
+	wire      *platform.Network // nil: processes reach each other directly
 	balancers []*vm
 	agents    []*vm
 	revision  uint64
@@ -116,12 +116,12 @@
 // can be disturbed.
 func startWired(t testing.TB, seed uint64, balancers int, services ...string) *deployment {
 	t.Helper()
-	w := platform.NewWire(seed)
+	w := platform.NewNetwork(seed)
 	t.Cleanup(w.Close)
 	return startOn(t, w, balancers, services...)
 }
 
-func startOn(t testing.TB, wire *platform.Wire, balancers int, services ...string) *deployment {
+func startOn(t testing.TB, wire *platform.Network, balancers int, services ...string) *deployment {
 	t.Helper()
 	d := &deployment{wire: wire, t: t, store: platform.NewStore(), journal: platform.NewJournal(), routes: map[string]string{}}
 	t.Cleanup(d.store.Close)
@@ -226,7 +226,7 @@
 	var err error
 	v.server, err = platform.StartServer(platform.ServerConfig{
 		Service: v.service, Zone: v.zone, App: at(appPort), Outbound: at(outboundPort), Control: at(controlPort),
-		Beat: 300 * time.Millisecond, Work: 10 * time.Millisecond, Slots: 5, Journal: v.d.journal,
+		HeartbeatInterval: 300 * time.Millisecond, RequestDuration: 10 * time.Millisecond, Slots: 5, Journal: v.d.journal,
 	})
 	if err != nil {
 		v.d.t.Fatal(err)
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -174,9 +174,9 @@
 		name  string
 		fault platform.Fault
 	}{
-		{"busy", platform.Fault{Refuse: http.StatusServiceUnavailable}},
+		{"busy", platform.Fault{RefuseStatus: http.StatusServiceUnavailable}},
 		{"silent", platform.Fault{Hang: true}},
-		{"answers lost", platform.Fault{Lose: true}},
+		{"answers lost", platform.Fault{LoseAnswers: true}},
 		{"slow", platform.Fault{Delay: 400 * time.Millisecond}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -205,7 +205,7 @@
 	defer cancel()
 	var reset *platform.ResetError
 	d.await("the route is gone", func() bool { return errors.As(d.call(ctx, c, "records", false, 100), &reset) })
-	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{Deaf: true} })
+	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{StopWatches: true} })
 	d.routes[host("records")] = "records"
 	start := time.Now()
 	d.configure()
--- a/test/packets/restore_keys_test.go
+++ b/test/packets/restore_keys_test.go
@@ -17,7 +17,7 @@
 				t.Parallel()
 				d := start(t, 2, "listing")
 				begun := time.Now()
-				c := d.store.Copy()
+				c := d.store.Backup()
 				late := d.addAgent("listing")
 				d.await("the new agent's key", func() bool { return d.hasKey(late) })
 				d.await("the moment", func() bool { return time.Since(begun) >= after })
--- a/test/packets/restore_start_test.go
+++ b/test/packets/restore_start_test.go
@@ -30,7 +30,7 @@
 		t.Run(stop.name, func(t *testing.T) {
 			d := startWithoutRoute(t, 3)
 			old := d.revision
-			c := d.store.Copy()
+			c := d.store.Backup()
 			d.addRoute()
 			d.restoreOnly(c)
 			d.awaitRestoreNoticed()
@@ -51,12 +51,12 @@
 // the older configuration later.
 func TestStartedBalancerKeepsTheCarriedConfigurationOnceTheStoreServesIt(t *testing.T) {
 	d := startWithoutRoute(t, 2)
-	c := d.store.Copy()
+	c := d.store.Backup()
 	d.addRoute()
 	d.restoreOnly(c)
 	d.awaitRestoreNoticed()
 	b := d.balancers[0]
-	b.endpoint.SetFault(platform.Fault{Refuse: http.StatusServiceUnavailable})
+	b.endpoint.SetFault(platform.Fault{RefuseStatus: http.StatusServiceUnavailable})
 	b.process.Kill()
 	b.startProcess()
 	d.await("the new process has the route", func() bool { return b.inForce(d.revision) })
@@ -73,7 +73,7 @@
 // written a newer one.
 func TestNewerConfigurationReplacesTheCarriedOne(t *testing.T) {
 	d := startWithoutRoute(t, 2)
-	c := d.store.Copy()
+	c := d.store.Backup()
 	d.addRoute()
 	rewrite := d.restoreOnly(c)
 	d.awaitRestoreNoticed()
@@ -137,7 +137,7 @@
 	for _, restarted := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("%d balancers start", restarted), func(t *testing.T) {
 			d := start(t, 2, "listing", "listing/b", "listing/b")
-			c := d.store.Copy()
+			c := d.store.Backup()
 			d.evacuate("b")
 			inB := d.agents[1:]
 			for _, v := range inB {
--- a/test/packets/restore_test.go
+++ b/test/packets/restore_test.go
@@ -17,11 +17,11 @@
 
 // restore has the store be away until a balancer misses it, and come back from c; the
 // operator writes again what it had written.
-func (d *deployment) restore(c *platform.Copy) { d.restoreOnly(c)() }
+func (d *deployment) restore(c *platform.Backup) { d.restoreOnly(c)() }
 
 // restoreOnly returns the function by which the operator writes again.
-func (d *deployment) restoreOnly(c *platform.Copy) (rewrite func()) {
-	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{Refuse: http.StatusServiceUnavailable} })
+func (d *deployment) restoreOnly(c *platform.Backup) (rewrite func()) {
+	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	d.await("a balancer misses the store", func() bool {
 		return slices.ContainsFunc(d.balancers, func(b *vm) bool { return strings.Contains(b.process.Log(), "store not available") })
 	})
@@ -42,7 +42,7 @@
 // beside the revision.
 func TestChangesAfterStoreCameBackFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
-	c := d.store.Copy()
+	c := d.store.Backup()
 	for range 5 {
 		d.idle++
 		d.configure()
@@ -77,7 +77,7 @@
 // its key at once.
 func TestKeysAfterStoreCameBackFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing")
-	c := d.store.Copy()
+	c := d.store.Backup()
 	late := d.addAgent("listing")
 	d.await("the new agent's key", func() bool { return d.hasKey(late) })
 	d.restore(c)
@@ -120,7 +120,7 @@
 // and its agents took new flows.
 func TestEvacuationStaysUntilOperatorWritesItAgain(t *testing.T) {
 	d := start(t, 2, "listing", "listing/b")
-	c := d.store.Copy()
+	c := d.store.Backup()
 	d.evacuate("b")
 	inB := d.agents[1]
 	d.await("the agent knows", func() bool { return inB.says("evacuated") })
@@ -148,7 +148,7 @@
 // refused the route's callers until the operator wrote.
 func TestBalancerThatStartsHasTheCarriedConfiguration(t *testing.T) {
 	d := start(t, 2, "listing")
-	c := d.store.Copy()
+	c := d.store.Backup()
 	d.routes[host("records")] = "listing"
 	d.configure()
 	for _, b := range d.balancers {
--- a/test/packets/soak_faults_test.go
+++ b/test/packets/soak_faults_test.go
@@ -106,7 +106,7 @@
 		v.server.Drain()
 		s.await("the drain is acknowledged", v.server.Drained)
 		time.Sleep(1500 * time.Millisecond)
-		v.server.Leave()
+		v.server.Deregister()
 		v.process.Terminate()
 		if err := v.process.Wait(limit); err != nil {
 			s.t.Errorf("agent after SIGTERM: %v", err)
@@ -130,7 +130,7 @@
 
 func (s *soaker) storeFault() {
 	f := []platform.Fault{
-		{Refuse: http.StatusServiceUnavailable}, {Refuse: http.StatusTooManyRequests}, {Hang: true}, {Lose: true}, {Deaf: true},
+		{RefuseStatus: http.StatusServiceUnavailable}, {RefuseStatus: http.StatusTooManyRequests}, {Hang: true}, {LoseAnswers: true}, {StopWatches: true},
 		{Delay: 300 * time.Millisecond},
 	}[s.rng.IntN(6)]
 	d := s.pause(200*time.Millisecond, 2*time.Second)
@@ -143,7 +143,7 @@
 
 // storeTurnsAway has the store serve all processes but one.
 func (s *soaker) storeTurnsAway() {
-	f := []platform.Fault{{Refuse: http.StatusServiceUnavailable}, {Hang: true}, {Deaf: true}}[s.rng.IntN(3)]
+	f := []platform.Fault{{RefuseStatus: http.StatusServiceUnavailable}, {Hang: true}, {StopWatches: true}}[s.rng.IntN(3)]
 	d := s.pause(500*time.Millisecond, 3*time.Second)
 	v := s.all()[s.rng.IntN(len(s.proxies))]
 	v.endpoint.SetFault(f)
@@ -154,28 +154,28 @@
 }
 
 // wireFault is what is wrong between two VMs.
-func (s *soaker) wireFault(from, to netip.Addr) platform.WireFault {
+func (s *soaker) wireFault(from, to netip.Addr) platform.NetworkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for v, f := range s.wires {
 		if v.addr == to || f.both && v.addr == from {
-			return f.WireFault
+			return f.NetworkFault
 		}
 	}
-	return platform.WireFault{}
+	return platform.NetworkFault{}
 }
 
 // badWire loses, doubles and delays what one VM is sent.
 func (s *soaker) badWire() {
-	f := []platform.WireFault{
+	f := []platform.NetworkFault{
 		{Loss: 0.1}, {Duplicate: 0.5}, {Jitter: 40 * time.Millisecond}, {Delay: 60 * time.Millisecond, Loss: 0.02},
 	}[s.rng.IntN(4)]
-	s.disturb(s.pause(300*time.Millisecond, 2*time.Second), wireTrouble{WireFault: f})
+	s.disturb(s.pause(300*time.Millisecond, 2*time.Second), wireTrouble{NetworkFault: f})
 }
 
 // cutWire cuts a VM off from all others, or only from what they send to it.
 func (s *soaker) cutWire() {
-	f := wireTrouble{WireFault: platform.WireFault{Cut: true}, both: s.rng.IntN(2) == 0}
+	f := wireTrouble{NetworkFault: platform.NetworkFault{Cut: true}, both: s.rng.IntN(2) == 0}
 	s.disturb(s.pause(200*time.Millisecond, 2500*time.Millisecond), f)
 }
 
@@ -236,11 +236,11 @@
 	defer s.mu.Unlock()
 	c := s.copied
 	if c == nil {
-		s.copied = s.store.Copy()
+		s.copied = s.store.Backup()
 		return
 	}
 	s.copied = nil
-	s.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{Refuse: http.StatusServiceUnavailable} })
+	s.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	s.wg.Go(func() {
 		time.Sleep(away)
 		rewrite := s.store.Restore(c)
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -111,14 +111,14 @@
 	proxies map[*vm]*toxiproxy.Proxy // between a VM and the store
 	open    map[*vm]bool             // VMs in the middle of a fault
 	wires   map[*vm]wireTrouble
-	copied  *platform.Copy // of the store, some time ago; nil: none
+	copied  *platform.Backup // of the store, some time ago; nil: none
 	mu      sync.Mutex
 	wg      sync.WaitGroup
 }
 
 // wireTrouble is what is wrong on the way to a VM, and from it if both is set.
 type wireTrouble struct {
-	platform.WireFault
+	platform.NetworkFault
 	both bool
 }
 
--- a/test/packets/wire_test.go
+++ b/test/packets/wire_test.go
@@ -23,13 +23,13 @@
 			d := startWired(t, 1, 3, "listing", "listing", "records")
 			d.serve(3, 3, "listing", "records")
 			lost := d.balancers[0].addr
-			d.wire.SetFault(func(from, to netip.Addr) platform.WireFault {
-				return platform.WireFault{Cut: from == lost || c.both && to == lost}
+			d.wire.SetFault(func(from, to netip.Addr) platform.NetworkFault {
+				return platform.NetworkFault{Cut: from == lost || c.both && to == lost}
 			})
 			stop := d.calling("listing", "records")
 			d.await("the balancer is out of rotation", func() bool { return d.router.Ready() == 2 })
 			d.serve(3, 3, "listing", "records")
-			d.wire.SetFault(func(_, _ netip.Addr) platform.WireFault { return platform.WireFault{} })
+			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return platform.NetworkFault{} })
 			d.await("the balancer is back", func() bool { return d.router.Ready() == 3 })
 			stop()
 			d.serve(3, 3, "listing", "records")
@@ -66,15 +66,15 @@
 func TestBadWire(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault platform.WireFault
+		fault platform.NetworkFault
 	}{
-		{"lost", platform.WireFault{Loss: 0.05}},
-		{"twice", platform.WireFault{Duplicate: 0.3}},
-		{"overtaken", platform.WireFault{Jitter: 30 * time.Millisecond, Duplicate: 0.1}},
+		{"lost", platform.NetworkFault{Loss: 0.05}},
+		{"twice", platform.NetworkFault{Duplicate: 0.3}},
+		{"overtaken", platform.NetworkFault{Jitter: 30 * time.Millisecond, Duplicate: 0.1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := startWired(t, 2, 3, "listing", "listing", "records")
-			d.wire.SetFault(func(_, _ netip.Addr) platform.WireFault { return c.fault })
+			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return c.fault })
 			stop := d.calling("listing", "records")
 			for _, b := range d.balancers {
 				b.process.Terminate()
--- a/test/perf/calls_test.go
+++ b/test/perf/calls_test.go
@@ -171,7 +171,7 @@
 	const callers = 1
 	providers := make(map[deployment.Role]*tracing.Provider)
 	for _, role := range []deployment.Role{deployment.RoleCaller, deployment.RoleBalancer, deployment.RoleAgent, deployment.RoleBackend} {
-		p := tracing.New(tracing.Config{Sample: 1, Role: string(role)}, tracetest.NewNoopExporter(), prometheus.NewRegistry())
+		p := tracing.New(tracing.Config{SampleRatio: 1, Role: string(role)}, tracetest.NewNoopExporter(), prometheus.NewRegistry())
 		b.Cleanup(func() { p.Close(context.Background()) })
 		providers[role] = p
 	}
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := fleet.Start(t, fleet.Config{Balancers: 2, Seed: 1, Services: []fleet.Service{
-				{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, Limits: c.limits, Work: c.work},
+				{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, Limits: c.limits, RequestDuration: c.work},
 			}})
 			r := &refusals{t: t, reasons: make(map[string]int)}
 			r.offer(f, c)
@@ -85,7 +85,7 @@
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			user := f.CallerWith(caller.Config{Service: "listing", Idle: 3 * time.Second})
+			user := f.CallerWith(caller.Config{Service: "listing", IdleTimeout: 3 * time.Second})
 			for n := 0; ctx.Err() == nil; n++ {
 				key := fmt.Sprintf("%s-%d-%d", c.name, i, n)
 				header := http.Header{"Idempotency-Key": {key}}
--- a/test/repeat_test.go
+++ b/test/repeat_test.go
@@ -25,7 +25,7 @@
 		Seed:         1,
 		RepeatWindow: repeatWindow,
 		Services: []fleet.Service{
-			{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, Work: 300 * time.Millisecond},
+			{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, RequestDuration: 300 * time.Millisecond},
 		},
 	}
 }
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -75,7 +75,7 @@
 var wireFaults = []fault{
 	{"loss", func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Loss = 0.03 }) }, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Loss = 0 }) }},
 	{"duplicates and reordering", func(s *schedule) {
-		s.setWire(func(w *fabric.Faults) { w.Duplicate, w.Reorder, w.Hold = 0.1, 0.1, 5*time.Millisecond })
+		s.setWire(func(w *fabric.Faults) { w.Duplicate, w.Reorder, w.ReorderDelay = 0.1, 0.1, 5*time.Millisecond })
 	}, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Duplicate, w.Reorder = 0, 0 }) }},
 	{"delay", func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Delay = 3 * time.Millisecond }) }, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Delay = 0 }) }},
 }
--- a/test/strangers_test.go
+++ b/test/strangers_test.go
@@ -113,7 +113,7 @@
 		addr := netip.AddrPortFrom(b.Internal.Addr(), bulkPort(b.Internal))
 		// What a process of the fleet gets is what strangers must not get.
 		var roster []byte
-		err := member.Fetch(ctx, addr, bulk.KindRoster, nil, func(r io.Reader) (err error) {
+		err := member.Fetch(ctx, addr, bulk.KindMemberList, nil, func(r io.Reader) (err error) {
 			roster, err = io.ReadAll(r)
 			return err
 		})
@@ -127,7 +127,7 @@
 			}
 			stream, err := conn.OpenStreamSync(ctx)
 			if err == nil {
-				stream.Write([]byte{byte(bulk.KindRoster)})
+				stream.Write([]byte{byte(bulk.KindMemberList)})
 				stream.Close()
 				stream.SetReadDeadline(time.Now().Add(fleet.Limit))
 				answer := make([]byte, 1)
--- a/test/survive_test.go
+++ b/test/survive_test.go
@@ -194,6 +194,6 @@
 	l := openFlows(t, f, flowsOfEach, 5*time.Second)
 	f.Fabric.SetFaults(fabric.Faults{CutTo: f.Ports()})
 	pause(outage)
-	f.Fabric.SetFaults(fabric.Faults{LoseFirst: silence})
+	f.Fabric.SetFaults(fabric.Faults{LoseAfterIdle: silence})
 	l.wait()
 }
