--- a/internal/bulk/bulk_test.go
+++ b/internal/bulk/bulk_test.go
@@ -81,8 +81,8 @@
 // certificate that is not derived from a fleet key.
 func TestPeerWithoutFleetKeyIsRefused(t *testing.T) {
 	served := listen(t, keyOne, echo)
-	stranger := listen(t, keyTwo, echo)
-	if got, err := fetch(stranger, served); err == nil {
+	peer := listen(t, keyTwo, echo)
+	if got, err := fetch(peer, served); err == nil {
 		t.Fatalf("a peer without fleet key got %d bytes", len(got))
 	}
 }
@@ -106,9 +106,9 @@
 		}
 		return nil
 	})
-	asker := listen(t, keyOne, echo)
-	asker.limits = testLimits
-	if got, err := fetch(asker, slow); err != nil || len(got) != part*parts {
+	client := listen(t, keyOne, echo)
+	client.limits = testLimits
+	if got, err := fetch(client, slow); err != nil || len(got) != part*parts {
 		t.Fatalf("got %d bytes, error %v", len(got), err)
 	}
 }
@@ -123,12 +123,12 @@
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	asker := listen(t, keyOne, echo)
-	asker.limits = testLimits
-	begun := time.Now()
-	_, err := fetch(asker, stalled)
+	client := listen(t, keyOne, echo)
+	client.limits = testLimits
+	start := time.Now()
+	_, err := fetch(client, stalled)
 	var stall *transfer.StalledError
-	if !errors.As(err, &stall) || time.Since(begun) > 3*time.Second {
-		t.Fatalf("after %v: %v", time.Since(begun), err)
+	if !errors.As(err, &stall) || time.Since(start) > 3*time.Second {
+		t.Fatalf("after %v: %v", time.Since(start), err)
 	}
 }
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -82,6 +82,6 @@
 	h := testHeader()
 	newTestCodec(t, "1:ffffffffffffffffffffffffffffffff").Put(b, &h)
 	if newTestCodec(t, testKey).Get(b, &h) {
-		t.Fatal("header under another key was accepted")
+		t.Fatal("accepted")
 	}
 }
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend stands in for a customer's backend server: HTTP/1.1, a few
-// slots, a bound on connections, endpoints for health and load that may lag or
-// lie, and a journal of the work that it ran.
+// Package backend simulates a customer's backend server: HTTP/1.1, a few
+// slots, a count of connections, endpoints for health and load, where the load
+// may be out of date, and a journal of the work that it started.
 package backend
 
 import (
@@ -20,19 +20,19 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// Config is the settings of a backend server.
+// Config holds the settings of a backend server.
 type Config struct {
 	Listen          string // address and port
-	Name            string // told to callers in the header Backend-Server
-	Service         string // told to callers in the header Backend-Service
-	Slots           int    // short requests at work at once
+	Name            string // sent to callers in the header Backend-Server
+	Service         string // sent to callers in the header Backend-Service
+	Slots           int    // maximum number of short requests in progress
 	Connections     int
-	RequestDuration time.Duration     // time that a short request takes
-	LoadLag         time.Duration     // age of what /load says
-	Traces          *tracing.Provider // nil is off
+	RequestDuration time.Duration     // of a short request
+	LoadLag         time.Duration     // age of the load that /load reports
+	Traces          *tracing.Provider // nil: tracing is off
 }
 
-// JournalEntry is one line of the journal: work that was started.
+// JournalEntry is one entry of the journal: a request whose work was started.
 type JournalEntry struct {
 	Key    string `json:"key"` // Idempotency-Key of the request
 	Method string `json:"method"`
@@ -62,7 +62,7 @@
 	busy int
 }
 
-// Start opens a backend server.
+// Start starts a backend server.
 func Start(cfg Config) (*Server, error) {
 	ln, err := net.Listen("tcp4", cfg.Listen)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-// traced picks the requests that come with a trace.
+// traced samples the requests whose parent span is sampled.
 func traced(_ *http.Request, parent trace.SpanContext) ([]trace.Link, bool) {
 	return nil, parent.IsSampled()
 }
@@ -83,22 +83,22 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Name returns the name that the server tells callers.
+// Name returns the name that the server sends to callers.
 func (s *Server) Name() string { return s.cfg.Name }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { s.http.Close() }
 
-// SetRequestDuration changes how long a short request takes.
+// SetRequestDuration sets the duration of a short request.
 func (s *Server) SetRequestDuration(d time.Duration) { s.work.Store(int64(d)) }
 
-// SetShed makes the server answer every short request with 503.
+// SetShed sets whether the server answers every short request with 503.
 func (s *Server) SetShed(on bool) { s.shed.Store(on) }
 
-// SetStall makes the server run short requests and never answer them.
+// SetStall sets whether the server runs short requests without ever answering them.
 func (s *Server) SetStall(on bool) { s.stall.Store(on) }
 
-// Journal returns the work that was started, oldest first.
+// Journal returns the requests whose work was started, oldest first.
 func (s *Server) Journal() []JournalEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	})
 }
 
-// slot runs h in a slot, or answers 503 when none is free.
+// slot runs h in a slot, or answers 503 if none is free.
 func (s *Server) slot(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -247,7 +247,7 @@
 	return n
 }
 
-// recordLoad remembers the busy slots for /load.
+// recordLoad records the number of busy slots for /load.
 func (s *Server) recordLoad() {
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/standin/backend/fault.go
+++ b/internal/standin/backend/fault.go
@@ -5,26 +5,26 @@
 	"net/http"
 )
 
-// Fault is how a backend server fails short requests.
+// Fault is the way in which a backend server fails short requests.
 type Fault int32
 
-// The faults. Work is journaled before any of them shows.
+// The faults. The work is journaled before the fault occurs.
 const (
 	FaultNone       Fault = iota
-	FaultNoAnswer         // closes the connection before any answer
-	FaultGarbage          // answers with what is no HTTP
-	FaultCutLength        // announces a length, closes after half of it
-	FaultCutChunks        // closes in the middle of a chunked answer
-	FaultStallBody        // sends half of the announced length and then nothing
-	FaultHalfHeader       // closes in the middle of the header
+	FaultNoAnswer         // closes the connection without an answer
+	FaultGarbage          // answers with data that is not HTTP
+	FaultCutLength        // closes the connection after half of the announced length
+	FaultCutChunks        // closes the connection in the middle of a chunked answer
+	FaultStallBody        // stops sending after half of the announced length
+	FaultHalfHeader       // closes the connection in the middle of the header
 )
 
-const faultyLength = 4096
+const faultyLength = 4096 // announced length in bytes
 
 // SetFault makes the server fail short requests from now on.
 func (s *Server) SetFault(f Fault) { s.fault.Store(int32(f)) }
 
-// injectFault answers a request with the fault that is set, if there is one.
+// injectFault answers a request with the current fault. It returns false if there is none.
 func (s *Server) injectFault(w http.ResponseWriter, r *http.Request) bool {
 	f := Fault(s.fault.Load())
 	if f == FaultNone {
@@ -52,7 +52,7 @@
 	}
 	out.Flush()
 	if f == FaultStallBody {
-		conn.Read(half) // until the agent gives up
+		conn.Read(half) // until the agent closes the connection
 	}
 	return true
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for callers: ordinary HTTP/3 clients that check
-// every byte of what they receive.
+// Package caller simulates callers: ordinary HTTP/3 clients that check
+// every byte that they receive.
 package caller
 
 import (
@@ -23,16 +23,16 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// Config is the settings of a caller.
+// Config holds the settings of a caller.
 type Config struct {
-	Address     netip.AddrPort // service address and the fabric's port
-	Service     string         // name on the certificate and in the answers
+	Address     netip.AddrPort // service address with the fabric's port
+	Service     string         // name in the certificate and in the answers
 	Roots       *x509.CertPool
-	Traces      *tracing.Provider // nil is off
-	IdleTimeout time.Duration     // after how much silence a connection is given up; default 30 s
+	Traces      *tracing.Provider // nil: tracing is off
+	IdleTimeout time.Duration     // time without packets after which a connection is closed; default 30 s
 }
 
-// Caller is one caller with one connection at a time.
+// Caller is one caller, which uses one connection at a time.
 type Caller struct {
 	cfg       Config
 	socket    *net.UDPConn
@@ -40,20 +40,20 @@
 	transport *http3.Transport
 }
 
-// Error tells what a caller saw that it must not see.
+// Error reports a wrong or missing answer.
 type Error struct {
 	Kind   ErrorKind
 	Detail string
 }
 
-// ErrorKind sorts what went wrong.
+// ErrorKind is the type of an Error.
 type ErrorKind string
 
-// The kinds of error. WrongAnswer and TruncatedAnswer must never happen; a BrokenFlow flow ended
-// visibly before its end.
+// The kinds of errors. WrongAnswer and TruncatedAnswer must never occur. BrokenFlow is a
+// failure that the caller can detect, such as a connection closed too early.
 const (
 	WrongAnswer     ErrorKind = "wrong answer"
-	TruncatedAnswer ErrorKind = "cut answer that looked whole"
+	TruncatedAnswer ErrorKind = "truncated answer that looked complete"
 	BrokenFlow      ErrorKind = "broken flow"
 )
 
@@ -61,7 +61,7 @@
 
 const defaultIdle = 30 * time.Second
 
-// New returns a caller; it connects with its first request.
+// New returns a caller, which connects when it sends its first request.
 func New(cfg Config) (*Caller, error) {
 	if cfg.IdleTimeout == 0 {
 		cfg.IdleTimeout = defaultIdle
@@ -83,24 +83,24 @@
 	return c.quic.DialEarly(ctx, net.UDPAddrFromAddrPort(c.cfg.Address), t, q)
 }
 
-// Close ends the caller's connection.
+// Close closes the caller's connection and socket.
 func (c *Caller) Close() {
 	c.transport.Close()
 	c.quic.Close()
 	c.socket.Close()
 }
 
-// Answer is what came back for one request.
+// Answer is the answer to one request.
 type Answer struct {
 	Status     int
 	Header     http.Header
 	Body       []byte
 	Server     string // backend server that answered
-	Outcome    string // header Hemlock-Outcome, empty if the request ran
+	Outcome    string // header Hemlock-Outcome, empty if the request was run
 	RetryAfter string
 }
 
-// Do sends one request and returns its whole answer.
+// Do sends one request and returns its complete answer.
 func (c *Caller) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*Answer, error) {
 	resp, err := c.open(ctx, method, path, header, body)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return resp, nil
 }
 
-// Card asks for a short answer and checks it.
+// Card requests a short answer and checks it.
 func (c *Caller) Card(ctx context.Context, id string) (*Answer, error) {
 	a, err := c.Do(ctx, http.MethodGet, "/card/"+id, nil, nil)
 	if err != nil || a.Status != http.StatusOK {
@@ -156,7 +156,7 @@
 	return a, nil
 }
 
-// Reserve sends one non-idempotent request under a key.
+// Reserve sends one non-idempotent request with an idempotency key.
 func (c *Caller) Reserve(ctx context.Context, key, item string) (*Answer, error) {
 	header := http.Header{"Idempotency-Key": {key}}
 	a, err := c.Do(ctx, http.MethodPost, "/reserve", header, []byte(item))
@@ -169,14 +169,14 @@
 	return a, nil
 }
 
-// Download fetches size bytes and checks each. progress, if not nil, is told
-// the bytes received so far.
+// Download fetches size bytes and checks them. progress, if not nil, is called with
+// the number of bytes received so far.
 func (c *Caller) Download(ctx context.Context, size, seed uint64, progress func(uint64)) (server string, err error) {
 	return c.DownloadAt(ctx, size, 0, seed, progress)
 }
 
-// DownloadAt is Download from a backend server that sends rate bytes per
-// second; 0 is as fast as it can.
+// DownloadAt is like Download, but the backend server sends rate bytes per
+// second; 0 is no limit.
 func (c *Caller) DownloadAt(ctx context.Context, size, rate, seed uint64, progress func(uint64)) (server string, err error) {
 	resp, err := c.open(ctx, http.MethodGet, fmt.Sprintf("/download?bytes=%d&rate=%d&seed=%d", size, rate, seed), nil, nil)
 	if err != nil {
@@ -190,12 +190,12 @@
 }
 
 func (c *Caller) checkBody(body io.Reader, size, seed uint64, progress func(uint64)) error {
-	want := content.New(c.cfg.Service, seed)
+	source := content.New(c.cfg.Service, seed)
 	got, expected := make([]byte, 32<<10), make([]byte, 32<<10)
 	var total uint64
 	for {
 		n, err := body.Read(got)
-		want.Read(expected[:n])
+		source.Read(expected[:n])
 		if !bytes.Equal(got[:n], expected[:n]) {
 			return &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("download differs after %d bytes", total)}
 		}
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// Feed reads a feed of events to its end and checks each. progress, if not
-// nil, is told the number of events received so far.
+// Feed reads a feed of events to its end and checks each event. progress, if not
+// nil, is called with the number of events received so far.
 func (c *Caller) Feed(ctx context.Context, events int, interval time.Duration, seed uint64, progress func(int)) (server string, err error) {
 	path := fmt.Sprintf("/feed?events=%d&interval_ms=%d&seed=%d", events, interval.Milliseconds(), seed)
 	header := http.Header{"Accept": {"text/event-stream"}}
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment runs a whole deployment in one process: the system's own
-// parts as they are in the daemons, and stand-ins around them. The demo and the
+// Package deployment runs a complete deployment in one process: the balancers and
+// agents as in the daemons, with stand-ins for their environment. The demo and the
 // measurements use it.
 package deployment
 
@@ -31,7 +31,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// Service is one service of a deployment.
+// Service describes one service of a deployment.
 type Service struct {
 	Name            string
 	Owner           string
@@ -41,21 +41,21 @@
 	RequestDuration time.Duration // of a short request
 }
 
-// Config is the make-up of a deployment.
+// Config describes a deployment.
 type Config struct {
 	Zones     []string
 	Balancers int
 	Services  []Service
 	Seed      uint64
 	Log       *zap.Logger
-	// Traces returns the tracing of one role; nil is off.
+	// Traces returns the trace provider of one role. If it is nil, tracing is off.
 	Traces func(Role) *tracing.Provider
 }
 
-// Role is a hop of a call.
+// Role is the role of a process in a call, one for each hop.
 type Role string
 
-// The hops of a call, in order.
+// The roles in the order of a call's hops.
 const (
 	RoleCaller   Role = "caller"
 	RoleBalancer Role = "balancer"
@@ -109,8 +109,9 @@
 	testFleetKey = "1:000102030405060708090a0b0c0d0e0f"
 )
 
-// shortIdempotency lets a trial begin after a few seconds: by default an agent whose
-// service has just begun refuses requests with keys for more than a minute.
+// shortIdempotency holds short times, so that a deployment is ready after a few seconds.
+// With the defaults, the agents of a recently started service refuse requests with
+// idempotency keys for more than a minute.
 var shortIdempotency = idempotency.Config{
 	Window:    500 * time.Millisecond,
 	Expiry:    300 * time.Millisecond,
@@ -118,7 +119,7 @@
 	Freshness: time.Second,
 }
 
-// Start starts a deployment. Close ends what an error leaves running.
+// Start starts a deployment. On an error, it stops the parts that are already running.
 func Start(cfg Config) (*Deployment, error) {
 	if cfg.Log == nil {
 		cfg.Log = zap.NewNop()
@@ -208,7 +209,7 @@
 	return seeds
 }
 
-// AddBalancer starts one more balancer; the fabric hands packets to it at once.
+// AddBalancer starts one more balancer. The fabric sends packets to it immediately.
 func (d *Deployment) AddBalancer() (*Balancer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -227,17 +228,17 @@
 	if err != nil {
 		return nil, err
 	}
-	running := &Balancer{Balancer: b, Zone: zone, done: make(chan struct{})}
-	d.Balancers = append(d.Balancers, running)
+	started := &Balancer{Balancer: b, Zone: zone, done: make(chan struct{})}
+	d.Balancers = append(d.Balancers, started)
 	go func() {
-		defer close(running.done)
+		defer close(started.done)
 		b.Run()
 	}()
 	d.updateFabric()
-	return running, nil
+	return started, nil
 }
 
-// updateFabric tells the fabric which balancers there are. d.mu is held.
+// updateFabric sets the balancers that the fabric sends packets to. d.mu must be held.
 func (d *Deployment) updateFabric() {
 	var ports []uint16
 	for _, b := range d.Balancers {
@@ -248,14 +249,14 @@
 	d.Fabric.SetBalancers(ports)
 }
 
-// Kill ends a balancer without warning. The fabric does not notice.
+// Kill ends a balancer without draining it. The fabric keeps sending packets to it.
 func (b *Balancer) Kill() {
 	b.Close()
 	<-b.done
 }
 
-// StopBalancer stops a balancer as planned: the fabric stops handing it packets
-// while it lingers.
+// StopBalancer stops a balancer as planned: the fabric stops sending packets to it, and
+// it ends after its drain.
 func (d *Deployment) StopBalancer(ctx context.Context, b *Balancer) {
 	d.mu.Lock()
 	b.Zone = ""
@@ -265,7 +266,7 @@
 	b.Kill()
 }
 
-// AddAgent starts one more agent of a service, with a backend server.
+// AddAgent starts one more agent of a service and its backend server.
 func (d *Deployment) AddAgent(s Service) (*Agent, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -302,16 +303,16 @@
 		server.Close()
 		return nil, err
 	}
-	running := &Agent{Agent: a, Service: s.Name, Backend: server, done: make(chan struct{})}
-	d.Agents = append(d.Agents, running)
+	started := &Agent{Agent: a, Service: s.Name, Backend: server, done: make(chan struct{})}
+	d.Agents = append(d.Agents, started)
 	go func() {
-		defer close(running.done)
+		defer close(started.done)
 		a.Run()
 	}()
-	return running, nil
+	return started, nil
 }
 
-// Stop stops an agent as planned and then its backend server.
+// Stop drains and stops an agent, and then stops its backend server.
 func (a *Agent) Stop(ctx context.Context) {
 	a.Drain(ctx)
 	a.Close()
@@ -319,7 +320,7 @@
 	a.Backend.Close()
 }
 
-// Address returns where callers reach a service.
+// Address returns the address where callers reach a service.
 func (d *Deployment) Address(service string) netip.AddrPort {
 	return netip.AddrPortFrom(d.addresses[service], d.Fabric.Port())
 }
@@ -329,14 +330,15 @@
 	return caller.New(caller.Config{Address: d.Address(service), Service: service, Roots: d.authority.Pool(), Traces: d.traces(RoleCaller)})
 }
 
-// TimeoutError reports a deployment that did not become ready.
+// TimeoutError reports a deployment that did not become ready within Limit.
 type TimeoutError struct{ Limit time.Duration }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("deployment not ready within %v; run it on a machine with less to do", e.Limit)
+	return fmt.Sprintf("deployment not ready within %v; run it on a less loaded machine", e.Limit)
 }
 
-// WaitReady waits until every balancer knows all agents as ready.
+// WaitReady waits until all balancers know all agents as ready and all agents are ready
+// for requests with idempotency keys.
 func (d *Deployment) WaitReady(limit time.Duration) error {
 	const interval = 20 * time.Millisecond
 	deadline := time.Now().Add(limit)
@@ -365,7 +367,7 @@
 	return true
 }
 
-// Close ends everything at once.
+// Close stops all parts without draining them.
 func (d *Deployment) Close() {
 	for _, a := range d.Agents {
 		a.Close()
--- a/internal/standin/deployment/direct.go
+++ b/internal/standin/deployment/direct.go
@@ -11,16 +11,16 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/caller"
 )
 
-// Direct is an ordinary HTTP/3 server on a plain UDP socket with the handler,
-// the admission and the backend server of a running agent. It is the baseline
-// without fabric, balancers and frames.
+// Direct is an ordinary HTTP/3 server on a plain UDP socket that uses the handler,
+// the admission and the backend server of a running agent. It is the baseline for
+// measurements: it needs no fabric, balancers and frames.
 type Direct struct {
 	Addr   netip.AddrPort
 	socket *net.UDPConn
 	server *http3.Server
 }
 
-// Direct starts a server beside a's own.
+// Direct starts an additional server for the agent a.
 func (d *Deployment) Direct(a *Agent) (*Direct, error) {
 	cert, err := d.authority.Certificate(a.Service)
 	if err != nil {
@@ -39,13 +39,13 @@
 	return &Direct{Addr: socket.LocalAddr().(*net.UDPAddr).AddrPort(), socket: socket, server: server}, nil
 }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Direct) Close() {
 	s.server.Close()
 	s.socket.Close()
 }
 
-// CallerTo returns a new caller of a service at an address of its own.
+// CallerTo returns a new caller of a service that sends its requests to addr.
 func (d *Deployment) CallerTo(service string, addr netip.AddrPort) (*caller.Caller, error) {
 	return caller.New(caller.Config{Address: addr, Service: service, Roots: d.authority.Pool()})
 }
--- a/internal/standin/deployment/trace_test.go
+++ b/internal/standin/deployment/trace_test.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-// await returns the spans of a role once there are n or more.
-func (r *recorder) await(t *testing.T, role Role, n int) tracetest.SpanStubs {
+// waitForSpans waits until a role has exported n or more spans and returns them.
+func (r *recorder) waitForSpans(t *testing.T, role Role, n int) tracetest.SpanStubs {
 	t.Helper()
 	deadline := time.NewTimer(traceLimit)
 	defer deadline.Stop()
@@ -77,20 +77,20 @@
 	return c
 }
 
-// TestOneCallIsOneTraceOfFourHops follows a call from the caller through
-// balancer and agent to the backend server. Its first packet is encrypted, so
-// the balancer learns the trace from the agent afterwards.
+// TestOneCallIsOneTraceOfFourHops checks that the spans of caller, balancer, agent and
+// backend server are in one trace. The first packet is encrypted, so the balancer
+// receives the trace ID from the agent afterwards.
 func TestOneCallIsOneTraceOfFourHops(t *testing.T) {
 	r := newRecorder(t, 1)
 	c := tracedDeployment(t, r)
 	card(t, c, nil)
-	call := r.await(t, RoleCaller, 1)[0]
+	call := r.waitForSpans(t, RoleCaller, 1)[0]
 	if call.Parent.IsValid() {
 		t.Errorf("the caller's span has the parent %v", call.Parent.SpanID())
 	}
-	balancer := r.await(t, RoleBalancer, 1)
-	agent := r.await(t, RoleAgent, 1)[0]
-	backend := r.await(t, RoleBackend, 1)[0]
+	balancer := r.waitForSpans(t, RoleBalancer, 1)
+	agent := r.waitForSpans(t, RoleAgent, 1)[0]
+	backend := r.waitForSpans(t, RoleBackend, 1)[0]
 	for _, s := range append(balancer, agent, backend) {
 		if s.SpanContext.TraceID() != call.SpanContext.TraceID() {
 			t.Errorf("span %q is of another trace", s.Name)
@@ -103,21 +103,21 @@
 	wantParent(t, "backend server", backend, agent)
 	wantLink(t, agent, balancer)
 
-	// A second call on the connection has no first packet: its agent's span is
-	// linked to the balancer's span in the first call's trace.
+	// A second call on the connection has no first packet. The agent's span is
+	// linked to the balancer's span in the trace of the first call.
 	card(t, c, nil)
-	second := r.await(t, RoleCaller, 2)[1]
-	later := r.await(t, RoleAgent, 2)[1]
+	second := r.waitForSpans(t, RoleCaller, 2)[1]
+	later := r.waitForSpans(t, RoleAgent, 2)[1]
 	if second.SpanContext.TraceID() == call.SpanContext.TraceID() {
 		t.Error("two calls share one trace")
 	}
 	wantParent(t, "agent", later, second)
-	wantParent(t, "backend server", r.await(t, RoleBackend, 2)[1], later)
+	wantParent(t, "backend server", r.waitForSpans(t, RoleBackend, 2)[1], later)
 	wantLink(t, later, balancer)
 }
 
-// TestCallerMayRefuseATrace: a traceparent with the sampled flag clear is
-// passed on as it is, and no hop makes a span.
+// TestCallerMayRefuseATrace checks that a traceparent header without the sampled flag is
+// forwarded unchanged, and that no hop records a span.
 func TestCallerMayRefuseATrace(t *testing.T) {
 	r := newRecorder(t, 1)
 	caller := r.providers[RoleCaller]
@@ -129,20 +129,21 @@
 	tracing.Inject(ctx, header)
 	span.End()
 	card(t, c, header)
-	if n := len(r.await(t, RoleAgent, 1)); n != 1 {
-		t.Errorf("%d spans of the agent, want that of the second call alone", n)
+	if n := len(r.waitForSpans(t, RoleAgent, 1)); n != 1 {
+		t.Errorf("%d spans of the agent, want only the one of the second call", n)
 	}
-	if got := r.await(t, RoleBackend, 1)[0].SpanContext.TraceID(); got != span.SpanContext().TraceID() {
+	if got := r.waitForSpans(t, RoleBackend, 1)[0].SpanContext.TraceID(); got != span.SpanContext().TraceID() {
 		t.Errorf("trace %v reached the backend server, want %v", got, span.SpanContext().TraceID())
 	}
 }
 
-// TestShareZeroTracesNothing: balancers mark no flow, so no agent traces one.
+// TestShareZeroTracesNothing checks that with a sample ratio of 0 balancers mark no flow as
+// sampled, and neither balancers nor agents record spans.
 func TestShareZeroTracesNothing(t *testing.T) {
 	r := newRecorder(t, 0)
 	c := tracedDeployment(t, r)
 	card(t, c, nil)
-	r.await(t, RoleCaller, 1)
+	r.waitForSpans(t, RoleCaller, 1)
 	for _, role := range []Role{RoleBalancer, RoleAgent} {
 		r.providers[role].Close(context.Background())
 	}
@@ -161,10 +162,10 @@
 	}
 }
 
-func wantParent(t *testing.T, who string, child, parent tracetest.SpanStub) {
+func wantParent(t *testing.T, name string, child, parent tracetest.SpanStub) {
 	t.Helper()
 	if child.Parent.SpanID() != parent.SpanContext.SpanID() || child.Parent.TraceID() != parent.SpanContext.TraceID() {
-		t.Errorf("%s: parent %v in trace %v, want %v in %v", who, child.Parent.SpanID(), child.Parent.TraceID(),
+		t.Errorf("%s: parent %v in trace %v, want %v in %v", name, child.Parent.SpanID(), child.Parent.TraceID(),
 			parent.SpanContext.SpanID(), parent.SpanContext.TraceID())
 	}
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,6 +1,6 @@
-// Package fabric stands in for the platform's network fabric: it takes
-// callers' datagrams to service addresses and hands each to a balancer chosen
-// at random. It can lose, duplicate, delay and cut.
+// Package fabric simulates the platform's network fabric: it receives
+// callers' datagrams to service addresses and sends each to a balancer chosen
+// at random. It can lose, duplicate and delay datagrams, and cut off balancers.
 package fabric
 
 import (
@@ -14,26 +14,27 @@
 	"github.com/hemlockscale/hemlockscale/internal/udp"
 )
 
-// Faults is what goes wrong in the fabric. The zero value is a sound fabric.
+// Faults holds the faults of the fabric. The zero value has none.
 type Faults struct {
-	Loss         float64       // share of datagrams lost, each way
-	Duplicate    float64       // share of datagrams sent twice
-	Reorder      float64       // share of datagrams held back by Hold
-	ReorderDelay time.Duration // how long a reordered datagram is held back
-	Delay        time.Duration // added to every datagram, each way
-	// LoseAfterIdle is a silence of a caller after which its next datagram is lost, 0 for none.
+	Loss         float64       // ratio of datagrams lost, in each direction
+	Duplicate    float64       // ratio of datagrams sent twice
+	Reorder      float64       // ratio of datagrams delayed by ReorderDelay
+	ReorderDelay time.Duration // additional delay of a reordered datagram
+	Delay        time.Duration // of every datagram, in each direction
+	// LoseAfterIdle is the idle time of a caller after which its next datagram is lost, 0
+	// for none.
 	LoseAfterIdle time.Duration
-	// CutTo and CutFrom list balancer ports whose datagrams are lost towards
-	// and from the balancer.
+	// CutTo and CutFrom list the ports of balancers that receive no datagrams,
+	// and from which no datagrams are delivered.
 	CutTo, CutFrom []uint16
 }
 
-// Counts is what the fabric carried.
+// Counts holds numbers of datagrams.
 type Counts struct {
 	ToBalancers, ToCallers, Lost uint64
 }
 
-// Config is the settings of a fabric.
+// Config holds the settings of a fabric.
 type Config struct {
 	Listen    netip.AddrPort // wildcard address and port that callers send to
 	Balancers []uint16       // balancers' service ports
@@ -55,22 +56,22 @@
 	counts   Counts
 }
 
-// sessionKey is one caller socket at one service address.
+// sessionKey identifies a caller's socket at one service address.
 type sessionKey struct {
 	caller  netip.AddrPort
 	service [4]byte
 }
 
-// session carries one caller: the socket's address is what balancers see as
-// the caller's.
+// session forwards the datagrams of one caller. Balancers see the address of its socket
+// as the caller's address.
 type session struct {
 	key    sessionKey
 	socket *net.UDPConn
-	sentAt time.Time // last datagram of the caller; used by the duty that reads callers
+	sentAt time.Time // last datagram of the caller; accessed only by the goroutine of fromCallers
 }
 
-// firstAfterIdle notes a datagram of the caller, and reports whether it comes after a silence
-// of at least d.
+// firstAfterIdle records a datagram of the caller, and reports whether the caller was idle
+// for at least d before it. It returns false if d is 0.
 func (s *session) firstAfterIdle(d time.Duration) bool {
 	now := time.Now()
 	silent := now.Sub(s.sentAt) >= d
@@ -78,7 +79,7 @@
 	return silent && d > 0
 }
 
-// Start opens a fabric.
+// Start starts a fabric.
 func Start(cfg Config) (*Fabric, error) {
 	c, err := udp.Listen(cfg.Listen)
 	if err != nil {
@@ -99,23 +100,23 @@
 // Port returns the port that callers send to.
 func (f *Fabric) Port() uint16 { return f.public.LocalAddr().Port() }
 
-// SetBalancers replaces the balancers that datagrams are handed to.
+// SetBalancers replaces the balancers, given by port, that datagrams are sent to.
 func (f *Fabric) SetBalancers(ports []uint16) {
 	ports = append([]uint16(nil), ports...)
 	f.balancers.Store(&ports)
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the current faults.
 func (f *Fabric) SetFaults(x Faults) { f.faults.Store(&x) }
 
-// Counts returns what was carried so far.
+// Counts returns the numbers of datagrams so far.
 func (f *Fabric) Counts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
-// Close ends the fabric and waits for its goroutines.
+// Close stops the fabric and waits for its goroutines.
 func (f *Fabric) Close() {
 	f.public.Close()
 	f.mu.Lock()
@@ -209,13 +210,13 @@
 	w.Flush()
 }
 
-// delivery is what happens to one datagram.
+// delivery describes how one datagram is delivered.
 type delivery struct {
-	copies int
+	copies int // 0 if the datagram is lost
 	after  time.Duration
 }
 
-// plan decides the fate of a datagram. f.mu is held.
+// plan applies the faults to a datagram to or from the balancer at port. f.mu must be held.
 func (f *Fabric) plan(x *Faults, cut []uint16, port uint16) delivery {
 	for _, p := range cut {
 		if p == port {
@@ -244,8 +245,8 @@
 		}
 		return
 	}
-	held := append([]byte(nil), b...)
+	copied := append([]byte(nil), b...)
 	for range d.copies {
-		time.AfterFunc(d.after, func() { send(held) })
+		time.AfterFunc(d.after, func() { send(copied) })
 	}
 }
--- a/internal/standin/pki/pki.go
+++ b/internal/standin/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki makes certificates for trials: one authority, and a certificate
-// for each service.
+// Package pki issues certificates for tests: one certificate authority, and a
+// certificate for each service.
 package pki
 
 import (
@@ -16,14 +16,14 @@
 
 const validity = 24 * time.Hour
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	der  []byte
 }
 
-// NewAuthority returns an authority with a key of its own.
+// NewAuthority returns an authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -55,17 +55,17 @@
 	}
 }
 
-// Pool returns the pool by which callers trust the authority.
+// Pool returns a certificate pool with the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate in PEM form.
 func (a *Authority) PEM() []byte { return encode("CERTIFICATE", a.der) }
 
-// Issue returns the PEM certificate and key of a service.
+// Issue returns a new certificate and key for a service in PEM form.
 func (a *Authority) Issue(service string) (cert, key []byte, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return encode("CERTIFICATE", der), encode("PRIVATE KEY", keyDER), nil
 }
 
-// Certificate is Issue for a process that uses the certificate itself.
+// Certificate issues a certificate for a service and returns it in the form that
+// package tls uses.
 func (a *Authority) Certificate(service string) (tls.Certificate, error) {
 	cert, key, err := a.Issue(service)
 	if err != nil {
--- a/internal/standin/platform/caller.go
+++ b/internal/standin/platform/caller.go
@@ -13,8 +13,9 @@
 	"time"
 )
 
-// Router hands callers' packets to balancers: to one of those that say that
-// they are ready, by a hash that moves only the flows of one that leaves.
+// Router sends callers' packets to the balancers that report that they are ready. It
+// chooses the balancer of a flow by rendezvous hashing, so that only the flows of a
+// balancer that leaves the rotation move.
 type Router struct {
 	balancers []netip.AddrPort // packet addresses
 	pages     []netip.AddrPort // readiness addresses
@@ -22,7 +23,7 @@
 	done      sync.WaitGroup
 
 	mu     sync.Mutex
-	misses []int
+	misses []int // by balancer: consecutive probes that did not find it ready
 }
 
 const (
@@ -30,7 +31,7 @@
 	maxMisses     = 2
 )
 
-// NewRouter returns a router over balancers, whose readiness is asked at pages.
+// NewRouter returns a router to balancers whose readiness it probes at pages.
 func NewRouter(balancers, pages []netip.AddrPort) *Router {
 	r := &Router{balancers: balancers, pages: pages, misses: make([]int, len(pages)), stop: make(chan struct{})}
 	for i := range pages {
@@ -40,7 +41,7 @@
 	return r
 }
 
-// Close ends the router.
+// Close stops the router's probes.
 func (r *Router) Close() {
 	close(r.stop)
 	r.done.Wait()
@@ -68,7 +69,7 @@
 	}
 }
 
-// Ready returns how many balancers are in rotation.
+// Ready returns the number of balancers in rotation.
 func (r *Router) Ready() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,15 +82,15 @@
 	return n
 }
 
-// pick returns the balancer of a flow; all are used when none is ready.
+// pick returns the balancer of a flow. If no balancer is ready, it chooses among all.
 func (r *Router) pick(src, dst netip.AddrPort) netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var best netip.AddrPort
 	var bestScore uint64
-	for _, any := range [...]bool{false, true} {
+	for _, includeUnready := range [...]bool{false, true} {
 		for i, b := range r.balancers {
-			if r.misses[i] >= maxMisses && !any {
+			if r.misses[i] >= maxMisses && !includeUnready {
 				continue
 			}
 			h := fnv.New64a()
@@ -105,7 +106,7 @@
 	return best
 }
 
-// Caller opens flows from one address.
+// Caller simulates a caller that opens flows from one address.
 type Caller struct {
 	addr    netip.AddrPort
 	router  *Router
@@ -118,7 +119,7 @@
 	port  uint16
 }
 
-// NewCaller returns a caller at addr, where balancers and agents send to.
+// NewCaller returns a caller at addr, to which balancers and agents send its packets.
 func NewCaller(addr netip.AddrPort, router *Router, journal *Journal) (*Caller, error) {
 	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -129,7 +130,7 @@
 	return c, nil
 }
 
-// Close ends the caller.
+// Close closes the caller's socket.
 func (c *Caller) Close() {
 	c.udp.Close()
 	c.done.Wait()
@@ -145,19 +146,20 @@
 	packets  chan Header
 }
 
-// ResetError reports a flow that was reset.
+// ResetError reports a flow that was reset. Open is whether the flow was open already.
 type ResetError struct{ Open bool }
 
 func (e *ResetError) Error() string {
 	return fmt.Sprintf("flow reset, open %v; open a new one", e.Open)
 }
 
-// NoAnswerError reports that nothing came in time.
+// NoAnswerError reports that no answer arrived in time.
 type NoAnswerError struct{ What string }
 
 func (e *NoAnswerError) Error() string { return "no answer to " + e.What + "; open a new flow" }
 
-// firstPacketTimes is when a first packet is sent, and answerLimit when it is given up.
+// firstPacketTimes holds the times after the start at which a first packet is sent. After
+// openTimeout, Open returns a *NoAnswerError.
 var firstPacketTimes = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
 const openTimeout = 1400 * time.Millisecond
@@ -215,8 +217,8 @@
 	}
 }
 
-// Request sends a request on the flow and returns when its whole answer of size
-// bytes has come. once tells that it must not run twice.
+// Request sends a request on the flow and returns when its complete answer of size
+// bytes has arrived. once means that the request must not run twice.
 func (f *Flow) Request(ctx context.Context, id, service string, once bool, size int) error {
 	line := []byte(fmt.Sprintf("%s %s %v %d", id, service, once, size))
 	request := Header{Seq: f.seq, Flags: FlagAck, Data: line}
@@ -248,19 +250,20 @@
 		f.send(Header{Seq: f.seq, Ack: f.ack, Flags: FlagAck})
 	}
 	if got, _, _ := strings.Cut(string(body), "\n"); got != id || len(body) != size {
-		f.c.journal.RecordViolation("caller of %s got %d bytes of the answer to %q", id, len(body), got)
+		f.c.journal.RecordViolation("caller of request %s received %d bytes of the answer to request %q", id, len(body), got)
 	}
 	return nil
 }
 
-// resetWindow is how near to what the caller acknowledged a reset must be.
+// resetWindow is the maximum distance of a valid reset's sequence number from the
+// caller's last acknowledgement, in bytes.
 const resetWindow = 76800
 
-// handleReset takes a handleReset on the open flow: one that the system sent must not end a
-// flow that its server holds.
+// handleReset handles a reset on the open flow. It records a violation if the server
+// still holds the flow.
 func (f *Flow) handleReset(h Header) error {
 	if d := int32(h.Seq - f.ack); d > resetWindow || d < -resetWindow {
-		return &NoAnswerError{What: "a request; a reset was out of place"}
+		return &NoAnswerError{What: "a request; a reset with a sequence number outside the window was ignored"}
 	}
 	f.c.journal.mu.Lock()
 	s := f.c.journal.openFlows[f.first]
@@ -288,7 +291,7 @@
 		}
 		h, genuine, ok := Decode(b[:n])
 		if !ok || !genuine && h.Flags&FlagRst == 0 {
-			c.journal.RecordViolation("caller %v got a packet that no server wrote: %+v", c.addr, h)
+			c.journal.RecordViolation("caller %v received a packet that no server sent: %+v", c.addr, h)
 			continue
 		}
 		c.mu.Lock()
@@ -299,7 +302,7 @@
 		}
 		select {
 		case f.packets <- h:
-		default: // the flow is not waiting; what it misses is sent again
+		default: // the flow's buffer is full; the sender retransmits the packet
 		}
 	}
 }
--- a/internal/standin/platform/endpoint.go
+++ b/internal/standin/platform/endpoint.go
@@ -10,13 +10,14 @@
 	"sync/atomic"
 )
 
-// Endpoint is one more address of the store, for some of its callers.
+// Endpoint is an additional address of the store, with its own faults, for some of its
+// clients.
 type Endpoint struct {
 	store *Store
 	http  *httptest.Server
-	fault Fault // guarded by store.mu; the zero fault leaves the store's own
-	// Translate, if not nil, changes what lists name by this endpoint, keys and values. It
-	// has to be set before the endpoint is used.
+	fault Fault // guarded by store.mu; if zero, the store's fault applies
+	// Translate, if not nil, is applied to the keys and values in the lists that this
+	// endpoint returns. It must be set before the endpoint is used.
 	Translate func(value []byte) []byte
 
 	mu    sync.Mutex
@@ -24,48 +25,49 @@
 	conns []*droppingConn
 }
 
-// endpointKey marks a request's context with its Endpoint.
+// endpointKey is the context key of a request's Endpoint.
 type endpointKey struct{}
 
-// endpointOf returns the endpoint that a request came by, nil for none.
+// endpointOf returns the endpoint that received a request, nil for the store's own
+// address.
 func endpointOf(r *http.Request) *Endpoint {
-	d, _ := r.Context().Value(endpointKey{}).(*Endpoint)
-	return d
+	e, _ := r.Context().Value(endpointKey{}).(*Endpoint)
+	return e
 }
 
 // Addr returns the endpoint's address.
-func (d *Endpoint) Addr() netip.AddrPort {
-	return netip.MustParseAddrPort(strings.TrimPrefix(d.http.URL, "http://"))
+func (e *Endpoint) Addr() netip.AddrPort {
+	return netip.MustParseAddrPort(strings.TrimPrefix(e.http.URL, "http://"))
 }
 
-// SetFault sets what is wrong for those who come by this endpoint. Calls under way
-// end.
-func (d *Endpoint) SetFault(f Fault) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.fault = f
-	d.store.notifyWatches()
+// SetFault sets the fault for the clients of this endpoint. Pending watches evaluate it
+// immediately.
+func (e *Endpoint) SetFault(f Fault) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.fault = f
+	e.store.notifyWatches()
 }
 
-// SetLink sets the link that those who come by this endpoint read answers by.
-func (d *Endpoint) SetLink(l *Link) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.link = l
+// SetLink sets the link over which the clients of this endpoint receive answers.
+func (e *Endpoint) SetLink(l *Link) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.link = l
 }
 
-// DropOpenConnections makes the connections that are open now go silent for good, without
-// an end; new ones work.
-func (d *Endpoint) DropOpenConnections() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.conns {
+// DropOpenConnections drops all further data on the connections that are open now, without
+// closing them. New connections work.
+func (e *Endpoint) DropOpenConnections() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.conns {
 		c.dropping.Store(true)
 	}
-	d.conns = nil
+	e.conns = nil
 }
 
-// droppingListener accepts connections that can go silent.
+// droppingListener accepts connections whose data can be dropped.
 type droppingListener struct {
 	net.Listener
 	endpoint *Endpoint
@@ -83,7 +85,7 @@
 	return s, nil
 }
 
-// droppingConn swallows what comes and goes once it is silent.
+// droppingConn discards all data read and written once dropping is set.
 type droppingConn struct {
 	net.Conn
 	endpoint *Endpoint
--- a/internal/standin/platform/link.go
+++ b/internal/standin/platform/link.go
@@ -7,18 +7,19 @@
 	"golang.org/x/time/rate"
 )
 
-// linkBurst is what a Link lets through at once, in bytes.
+// linkBurst is the number of bytes that a Link passes without delay.
 const linkBurst = 4 << 10
 
-// Link is the link of a VM, which all its connections share. The nil Link has no limit.
+// Link simulates the limited bandwidth of a VM's network link, which all its connections
+// share. The nil Link has no limit.
 type Link struct{ limiter *rate.Limiter }
 
-// NewLink returns a link that carries so many bytes a second.
+// NewLink returns a link with a bandwidth of bytesPerS bytes per second.
 func NewLink(bytesPerS int) *Link {
 	return &Link{rate.NewLimiter(rate.Limit(bytesPerS), linkBurst)}
 }
 
-// Limit returns a connection that writes no faster than the link carries.
+// Limit returns a connection whose writes are limited to the link's bandwidth.
 func (l *Link) Limit(c net.Conn) net.Conn {
 	if l == nil {
 		return c
@@ -26,7 +27,8 @@
 	return &linkConn{c, l}
 }
 
-// Listen returns a listener whose connections write no faster than the link carries.
+// Listen returns a listener whose connections' writes are limited to the link's
+// bandwidth.
 func (l *Link) Listen(ln net.Listener) net.Listener { return &linkListener{ln, l} }
 
 type linkListener struct {
@@ -49,7 +51,7 @@
 
 func (c *linkConn) Write(b []byte) (int, error) { return c.link.write(c.Conn, b) }
 
-// write writes b to c, no faster than the link carries.
+// write writes b to c, limited to the link's bandwidth.
 func (l *Link) write(c net.Conn, b []byte) (int, error) {
 	if l == nil {
 		return c.Write(b)
--- a/internal/standin/platform/wire.go
+++ b/internal/standin/platform/network.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// NetworkFault is what is wrong on the way from one VM to another.
+// NetworkFault describes the faults of the path from one VM to another.
 type NetworkFault struct {
-	Cut       bool          // nothing arrives
-	Loss      float64       // share of datagrams that are lost
-	Duplicate float64       // share that arrives twice
+	Cut       bool          // no datagram arrives
+	Loss      float64       // ratio of datagrams that are lost
+	Duplicate float64       // ratio of datagrams that arrive twice
 	Delay     time.Duration // of every datagram
-	Jitter    time.Duration // further delay of a random part, so that datagrams overtake each other
+	Jitter    time.Duration // maximum of an additional random delay, which reorders datagrams
 }
 
-// Network carries what the system's processes send to each other. Each process is
-// known to the others by an address of the wire; what comes there is handed on
-// from the wire's address of its sender.
+// Network simulates the network between the system's processes. The other processes
+// reach a process at an address of the Network, which forwards each datagram to the
+// process from the Network's address of the sender.
 type Network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
@@ -32,18 +32,19 @@
 
 type networkPeer struct {
 	own   netip.AddrPort // where the process listens
-	known netip.AddrPort // where others send to
-	link  *Link          // of what the process answers on connections; guarded by Wire.mu
+	known netip.AddrPort // where other processes send to
+	link  *Link          // for what the process sends on accepted connections; guarded by Network.mu
 	udp   *net.UDPConn
 	tcp   net.Listener
 }
 
-// NewNetwork returns a sound wire without ends.
+// NewNetwork returns a network without faults and processes. seed is that of the random
+// faults.
 func NewNetwork(seed uint64) *Network {
 	return &Network{rng: rand.New(rand.NewPCG(seed, 7)), ends: map[netip.Addr]*networkPeer{}, fault: func(_, _ netip.Addr) NetworkFault { return NetworkFault{} }}
 }
 
-// Add makes the process that listens at own known to the others at known.
+// Add makes the process that listens at own reachable for the others at known.
 func (w *Network) Add(own netip.AddrPort, known netip.Addr) error {
 	e := &networkPeer{own: own, known: netip.AddrPortFrom(known, own.Port())}
 	var err error
@@ -62,22 +63,22 @@
 	return nil
 }
 
-// SetFault sets what is wrong, by the own addresses of sender and receiver.
+// SetFault sets the fault by the own addresses of sender and receiver.
 func (w *Network) SetFault(f func(from, to netip.Addr) NetworkFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// SetLink sets the link of the process with an own address, for what it answers on
-// connections opened from now on.
+// SetLink limits what the process with the given own address sends on connections that
+// it accepts from now on.
 func (w *Network) SetLink(own netip.Addr, l *Link) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ends[own].link = l
 }
 
-// Close ends the wire.
+// Close stops the network.
 func (w *Network) Close() {
 	w.mu.Lock()
 	for _, e := range w.ends {
@@ -88,8 +89,8 @@
 	w.done.Wait()
 }
 
-// Translate replaces the own addresses of processes other than reader by those
-// that they are known at, in what reader reads in the store.
+// Translate returns value, which reader reads from the store, with the own addresses of
+// the other processes replaced by their addresses on the network.
 func (w *Network) Translate(reader netip.Addr, value []byte) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +117,8 @@
 	}
 }
 
-// plan decides what happens to one datagram.
+// plan returns the sender of a datagram, how many copies of it to deliver, and after
+// which delay.
 func (w *Network) plan(source, to netip.Addr) (from *networkPeer, copies int, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,8 +141,8 @@
 	return from, copies, delay
 }
 
-// connections passes connections on; who connects can't be told on loopback, so
-// only a cut of the receiver from everybody stops them.
+// connections forwards connections. On loopback the client can't be identified, so a
+// connection is refused only if the receiver is cut off from all processes.
 func (w *Network) connections(to *networkPeer) {
 	for {
 		c, err := to.tcp.Accept()
@@ -150,26 +152,26 @@
 		w.mu.Lock()
 		cut, link := w.fault(netip.Addr{}, to.own.Addr()).Cut, to.link
 		w.mu.Unlock()
-		up, err := net.Dial("tcp4", to.own.String())
+		upstream, err := net.Dial("tcp4", to.own.String())
 		if err != nil {
 			c.Close()
 			continue
 		}
 		if cut {
 			c.Close()
-			up.Close()
+			upstream.Close()
 			continue
 		}
-		w.done.Go(func() { join(link.Limit(c), up) })
+		w.done.Go(func() { join(link.Limit(c), upstream) })
 	}
 }
 
-// join carries bytes both ways until one end is done.
-func join(c, up net.Conn) {
+// join copies data in both directions until one side closes its connection.
+func join(c, upstream net.Conn) {
 	go func() {
-		io.Copy(up, c)
-		up.Close()
+		io.Copy(upstream, c)
+		upstream.Close()
 	}()
-	io.Copy(c, up)
+	io.Copy(c, upstream)
 	c.Close()
 }
--- a/internal/standin/platform/packet.go
+++ b/internal/standin/platform/packet.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Header is a packet's header as its ends write it.
+// Header is the header of a packet, as callers and servers write it, and its data.
 type Header struct {
 	Src, Dst netip.AddrPort
 	Seq, Ack uint32
@@ -24,7 +24,7 @@
 
 const (
 	headerSize = 32
-	sumKey     = 0x9e3779b9 // stands for the key that only the ends know
+	sumKey     = 0x9e3779b9 // simulates the checksum key that only callers and servers know
 )
 
 // Encode returns the packet with its checksum.
@@ -44,7 +44,8 @@
 	return b
 }
 
-// Decode reads a packet. genuine tells whether the checksum is its sender's.
+// Decode decodes a packet. ok is false if it is malformed; genuine is whether its checksum
+// is valid.
 func Decode(b []byte) (h Header, genuine, ok bool) {
 	le := binary.LittleEndian
 	if len(b) < headerSize || headerSize+int(le.Uint16(b[26:])) != len(b) {
@@ -59,7 +60,8 @@
 	return h, le.Uint32(b) == sum(b), true
 }
 
-// sum covers all but the fields that the system may change.
+// sum returns the checksum of a packet. It covers all fields except those that the system
+// may change.
 func sum(b []byte) uint32 {
 	s := uint32(sumKey)
 	for i, c := range b {
--- a/internal/standin/platform/restore.go
+++ b/internal/standin/platform/restore.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// eraHeader tells, in every answer, how often the store has come back from an older copy.
+// eraHeader is the header of every answer with the store era: how often the store was
+// restored from an older copy.
 const eraHeader = "Store-Era"
 
-// Backup is what the store held at one moment.
+// Backup is a copy of the store's contents.
 type Backup struct {
 	revision, oldest uint64
 	items            map[string]item
@@ -18,7 +19,7 @@
 	leases           map[uint64]lease
 }
 
-// Backup returns what the store holds now.
+// Backup returns a copy of the store's current contents.
 func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,39 +31,39 @@
 	return c
 }
 
-// Restore has the store come back from c: what was written since is gone, leases too, and
-// revisions and numbers of leases are given out again. Calls under way are cut. It returns
-// a function by which the operator writes again what it had written.
-func (s *Store) Restore(c *Backup) (rewrite func()) {
+// Restore restores the store from c. Later writes and leases are lost, and their revisions
+// and lease numbers are assigned again. Calls in progress are aborted. Restore returns a
+// function that writes the operator's lost keys again.
+func (s *Store) Restore(b *Backup) (rewrite func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost := s.items
+	previous := s.items
 	s.era++
-	s.revision, s.oldest = c.revision, c.oldest
-	s.items, s.history = maps.Clone(c.items), slices.Clone(c.history)
+	s.revision, s.oldest = b.revision, b.oldest
+	s.items, s.history = maps.Clone(b.items), slices.Clone(b.history)
 	s.leases = map[uint64]*lease{}
-	for id, l := range c.leases {
+	for id, l := range b.leases {
 		s.leases[id] = &l
 	}
 	s.notifyWatches()
-	return func() { s.rewrite(c, lost) }
+	return func() { s.rewrite(b, previous) }
 }
 
-// rewrite makes the operator's keys what they were before the store came back from c. Those
-// that the operator has written since stay.
-func (s *Store) rewrite(c *Backup, lost map[string]item) {
+// rewrite sets the operator's keys to their values before the store was restored from c,
+// except keys that the operator has written since.
+func (s *Store) rewrite(b *Backup, previous map[string]item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, i := range s.items {
-		if _, kept := lost[key]; !kept && i.Revision <= c.revision && strings.HasPrefix(key, operatorPrefix) {
+		if _, existed := previous[key]; !existed && i.Revision <= b.revision && strings.HasPrefix(key, operatorPrefix) {
 			s.remove(key)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(lost)) {
-		now, there := s.items[key]
-		if !strings.HasPrefix(key, operatorPrefix) || there && (now.Revision > c.revision || bytes.Equal(now.Value, lost[key].Value)) {
+	for _, key := range slices.Sorted(maps.Keys(previous)) {
+		current, exists := s.items[key]
+		if !strings.HasPrefix(key, operatorPrefix) || exists && (current.Revision > b.revision || bytes.Equal(current.Value, previous[key].Value)) {
 			continue
 		}
-		s.put(key, lost[key].Value, 0)
+		s.put(key, previous[key].Value, 0)
 	}
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// ServerConfig sets up a backend server.
+// ServerConfig holds the settings of a backend server.
 type ServerConfig struct {
 	Service           string
 	Zone              string
-	App               netip.AddrPort // where it takes packets, and status checks
-	Outbound          netip.AddrPort // where it sends its packets
+	App               netip.AddrPort // where it receives packets and status checks
+	Outbound          netip.AddrPort // where it sends packets to callers
 	Control           netip.AddrPort // where it sends heartbeats
 	HeartbeatInterval time.Duration  // between heartbeats
-	RequestDuration   time.Duration  // that a request takes
+	RequestDuration   time.Duration  // of a request
 	Slots             int
 	Journal           *Journal
 }
 
-// Server is a backend server. Its flows carry requests of one line each.
+// Server simulates a backend server. Its flows carry requests of one line each.
 type Server struct {
 	cfg      ServerConfig
 	instance string
@@ -36,28 +36,28 @@
 
 	mu       sync.Mutex
 	flows    map[netip.AddrPort]*serverFlow
-	draining time.Time // when it began to say that it leaves
-	drained  time.Time // when that was acknowledged
+	draining time.Time // when it began to report that it is draining
+	drained  time.Time // when a heartbeat that reports it was acknowledged
 	closed   bool
 	sequence uint64
-	taken    int // flows
+	taken    int // flows accepted so far
 }
 
 type serverFlow struct {
 	service  netip.AddrPort
-	first    uint32
+	first    uint32 // the server's first sequence number
 	next     uint32 // sequence number of the next byte sent
-	expected uint32 // next byte expected of the caller
+	expected uint32 // sequence number of the next byte from the caller
 	open     bool
 	ended    bool
 	unacked  []Header
 	tries    int
 }
 
-// Journal is what the servers and callers of a trial saw.
+// Journal records what the servers and callers of a test observe.
 type Journal struct {
 	mu         sync.Mutex
-	runs       map[string]int // requests run, by identity
+	runs       map[string]int // how often each request ran, by ID
 	violations []string
 	openFlows  map[uint32]*Server // by the first sequence number of open flows
 }
@@ -67,14 +67,14 @@
 	return &Journal{runs: map[string]int{}, openFlows: map[uint32]*Server{}}
 }
 
-// RecordViolation notes a broken promise.
+// RecordViolation records that the system broke a guarantee.
 func (j *Journal) RecordViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations returns the broken promises.
+// Violations returns the violations recorded so far.
 func (j *Journal) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// Crash ends the server without a word.
+// Crash ends the server without draining or deregistering it.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	if s.closed {
@@ -126,7 +126,7 @@
 	s.done.Wait()
 }
 
-// Drain begins to say that the server leaves.
+// Drain makes the server report from now on that it is draining.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = time.Now()
@@ -134,21 +134,21 @@
 	s.heartbeat()
 }
 
-// Drained reports whether a heartbeat that said so was acknowledged.
+// Drained reports whether a heartbeat with the state draining was acknowledged.
 func (s *Server) Drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.drained.IsZero()
 }
 
-// Flows returns the number of flows that the server has taken.
+// Flows returns the number of flows that the server has accepted.
 func (s *Server) Flows() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.taken
 }
 
-// Deregister says that the server ends, and ends it.
+// Deregister deregisters the server and ends it.
 func (s *Server) Deregister() {
 	s.post("deregister", nil)
 	s.Crash()
@@ -225,7 +225,7 @@
 		}
 		h, genuine, ok := Decode(b[:n])
 		if !ok || !genuine || h.Flags&FlagSyn != 0 && h.Flags&FlagAck != 0 {
-			s.cfg.Journal.RecordViolation("server %s got a packet that no caller wrote: %+v", s.instance, h)
+			s.cfg.Journal.RecordViolation("server %s received a packet that no caller sent: %+v", s.instance, h)
 			continue
 		}
 		s.mu.Lock()
@@ -234,8 +234,8 @@
 	}
 }
 
-// maxFlowDelayAfterDrain is the time after the acknowledgement from which a draining server
-// must get no new flow.
+// maxFlowDelayAfterDrain is the time after the acknowledgement of draining in which the
+// server may still receive new flows.
 const maxFlowDelayAfterDrain = time.Second
 
 func (s *Server) handlePacket(h Header) {
@@ -243,7 +243,7 @@
 	switch {
 	case h.Flags&FlagSyn != 0:
 		if !s.drained.IsZero() && time.Since(s.drained) > maxFlowDelayAfterDrain && f == nil {
-			s.cfg.Journal.RecordViolation("new flow %v at server %s %v after it was drained", h.Src, s.instance, time.Since(s.drained))
+			s.cfg.Journal.RecordViolation("new flow %v at server %s %v after draining was acknowledged", h.Src, s.instance, time.Since(s.drained))
 		}
 		s.openFlow(h, f)
 	case f == nil || f.service != h.Dst:
@@ -276,13 +276,13 @@
 		j.openFlows[f.first] = s
 		j.mu.Unlock()
 	}
-	kept := f.unacked[:0]
+	remaining := f.unacked[:0]
 	for _, u := range f.unacked {
 		if int32(u.Seq+uint32(len(u.Data))-h.Ack) > 0 {
-			kept = append(kept, u)
+			remaining = append(remaining, u)
 		}
 	}
-	f.unacked = kept
+	f.unacked = remaining
 	f.tries = 0
 	if h.Flags&FlagFin != 0 {
 		f.ended = true
@@ -293,13 +293,13 @@
 	}
 }
 
-// runRequest runs a request: "ID SERVICE ONCE SIZE".
+// runRequest runs the request in line, which has the form "ID SERVICE ONCE SIZE".
 func (s *Server) runRequest(caller netip.AddrPort, f *serverFlow, line string) {
 	var id, service string
 	var once bool
 	var size int
 	if _, err := fmt.Sscan(line, &id, &service, &once, &size); err != nil {
-		s.cfg.Journal.RecordViolation("server %s got the request %q", s.instance, line)
+		s.cfg.Journal.RecordViolation("server %s received the invalid request %q", s.instance, line)
 		return
 	}
 	if service != s.cfg.Service {
@@ -318,9 +318,9 @@
 	})
 }
 
-const segmentSize = 1000
+const segmentSize = 1000 // bytes
 
-// sendAnswer sends "ID" and a line end, filled up to size bytes.
+// sendAnswer sends the ID and a newline, padded to size bytes.
 func (s *Server) sendAnswer(caller netip.AddrPort, f *serverFlow, id string, size int) {
 	body := append([]byte(id+"\n"), bytes.Repeat([]byte("."), max(size-len(id)-1, 0))...)
 	for len(body) > 0 {
@@ -338,7 +338,7 @@
 	maxRetransmissions = 8
 )
 
-// retransmitLoop sends again what callers have not acknowledged.
+// retransmitLoop retransmits the packets that callers have not acknowledged.
 func (s *Server) retransmitLoop() {
 	t := time.NewTicker(retransmitInterval)
 	defer t.Stop()
@@ -362,7 +362,7 @@
 	}
 }
 
-// holds reports whether the server lives and still holds the flow.
+// holds reports whether the server is running and still holds the flow.
 func (s *Server) holds(caller netip.AddrPort, first uint32) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the users' platform in tests: its key-value
-// store with its failures, backend servers and callers that speak its packets,
-// and routers that hand callers' packets to balancers.
+// Package platform simulates the users' platform in tests: the key-value store
+// and its failures, backend servers and callers that exchange the platform's packets,
+// and routers that send callers' packets to balancers.
 package platform
 
 import (
@@ -19,23 +19,23 @@
 	"time"
 )
 
-// Fault is what is wrong with the store.
+// Fault describes a failure of the store.
 type Fault struct {
-	RefuseStatus int           // status that every call is refused with, 0 for none
+	RefuseStatus int           // status code with which all calls fail, 0 for none
 	Hang         bool          // calls are not answered
 	Delay        time.Duration // before a call takes effect
-	LoseAnswers  bool          // writes take effect, and their answers are lost
-	StopWatches  bool          // watches hear nothing
+	LoseAnswers  bool          // writes take effect, but their answers are lost
+	StopWatches  bool          // watches report no changes
 	Stale        time.Duration // age of reads that may be stale
 }
 
-// Store is the key-value store.
+// Store simulates the key-value store.
 type Store struct {
 	http      *httptest.Server
 	endpoints []*Endpoint
 
 	mu       sync.Mutex
-	era      uint64 // how often the store has come back from an older copy
+	era      uint64 // how often the store was restored from an older copy
 	revision uint64
 	oldest   uint64 // changes up to here are no longer in the history
 	items    map[string]item
@@ -61,10 +61,10 @@
 	end time.Time
 }
 
-// operatorPrefix is what the operator's keys begin with.
+// operatorPrefix is the prefix of the operator's keys.
 const operatorPrefix = "op/"
 
-// firstRevision is above 0, as the platform's is.
+// firstRevision is above 0, as on the platform.
 const firstRevision = 100
 
 // NewStore starts a store on a loopback address.
@@ -85,19 +85,19 @@
 	return s
 }
 
-// NewEndpoint opens another address of the store, with faults of its own.
+// NewEndpoint opens another address of the store, with its own faults.
 func (s *Store) NewEndpoint() *Endpoint {
-	d := &Endpoint{store: s}
-	d.http = httptest.NewUnstartedServer(s.http.Config.Handler)
-	d.http.Listener = &droppingListener{Listener: d.http.Listener, endpoint: d}
-	d.http.Config.BaseContext = func(net.Listener) context.Context {
-		return context.WithValue(context.Background(), endpointKey{}, d)
+	e := &Endpoint{store: s}
+	e.http = httptest.NewUnstartedServer(s.http.Config.Handler)
+	e.http.Listener = &droppingListener{Listener: e.http.Listener, endpoint: e}
+	e.http.Config.BaseContext = func(net.Listener) context.Context {
+		return context.WithValue(context.Background(), endpointKey{}, e)
 	}
-	d.http.Start()
+	e.http.Start()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints = append(s.endpoints, d)
-	return d
+	s.endpoints = append(s.endpoints, e)
+	return e
 }
 
 // Addr returns the store's address.
@@ -105,7 +105,7 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.http.URL, "http://"))
 }
 
-// Close ends the store.
+// Close stops the store and its endpoints.
 func (s *Store) Close() {
 	s.SetFault(func(netip.Addr) Fault { return Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	s.http.CloseClientConnections()
@@ -119,7 +119,8 @@
 	}
 }
 
-// SetFault sets what is wrong, by the caller's address. Calls under way end.
+// SetFault sets the fault by the client's address. Pending watches evaluate it
+// immediately.
 func (s *Store) SetFault(f func(client netip.Addr) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,14 +128,14 @@
 	s.notifyWatches()
 }
 
-// Put writes a key as the operator does.
+// Put writes a key without a lease, as the operator does, and returns its revision.
 func (s *Store) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(key, value, 0)
 }
 
-// Remove takes keys away without ending their leases.
+// Remove removes the keys with the prefix without ending their leases.
 func (s *Store) Remove(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Compact drops the history; watches from before it are refused.
+// Compact drops the history. Watches from an earlier revision then fail.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +154,7 @@
 	s.history = nil
 }
 
-// Keys returns the keys that begin with prefix, in order.
+// Keys returns the keys with the prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +169,8 @@
 	return keys
 }
 
-// Calls returns how often each call was made, and beside it how many ranges were of the
-// operator's keys.
+// Calls returns the number of calls by name, and additionally, as "range of orders", the
+// number of range calls for the operator's keys.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,11 +223,11 @@
 	}
 }
 
-// guard counts a call and applies the fault that its caller meets. The handler
-// runs under the store's mutex; it returns the answer.
+// guard counts the calls of a handler and applies the fault that is set for the client.
+// The handler locks the store itself; it returns the status code and the answer.
 func (s *Store) guard(name string, write bool, h func(r *http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// With the body read the server notices that a caller has gone.
+		// Only after the body is read does the server detect that the client has disconnected.
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -336,14 +337,14 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		events, gone := s.since(q.Get("prefix"), after)
+		events, compacted := s.since(q.Get("prefix"), after)
 		changed, revision, f := s.changed, s.revision, s.faultOf(r)
 		s.mu.Unlock()
 		switch {
 		case f.RefuseStatus != 0:
 			return f.RefuseStatus, nil
 		case f.StopWatches:
-		case gone:
+		case compacted:
 			return http.StatusGone, nil
 		case len(events) > 0:
 			return http.StatusOK, map[string]any{"events": events, "storeRevision": revision}
@@ -358,7 +359,7 @@
 	}
 }
 
-func (s *Store) since(prefix string, after uint64) (events []item, gone bool) {
+func (s *Store) since(prefix string, after uint64) (events []item, compacted bool) {
 	if after < s.oldest || after > s.revision {
 		return nil, true
 	}
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay measures how many packets a process's duty carries, against a
-// bare loop of recvmmsg and sendmmsg that ran in turns with it on one thread, so
-// that whatever else the machine does hits both.
+// Package relay measures how many packets per second a forwarding loop of a process
+// relays, compared with a bare loop of recvmmsg and sendmmsg. The two run alternately on
+// one thread, so that other load on the machine affects both.
 package relay
 
 import (
@@ -18,45 +18,46 @@
 )
 
 const (
-	// packetsPerRound is how many packets one relay carries before the other one has its
-	// turn.
+	// packetsPerRound is the number of packets that one relay forwards before the other
+	// one runs.
 	packetsPerRound = 100_000
-	// senders blast packets at the relay, which has to be the bottleneck.
+	// senders is the number of goroutines that send packets without pause, so that the
+	// relay is the bottleneck.
 	senders = 2
 )
 
-// Relay is one way from a socket that packets come to, to another one.
+// Relay forwards packets from one socket to another.
 type Relay struct {
-	To   netip.AddrPort // where packets come to
-	Step func() int     // carries one batch and returns its length
+	To   netip.AddrPort // the address that receives packets
+	Step func() int     // forwards one batch and returns its number of packets
 }
 
-// speed is what one slice measured.
+// speed is the result of one round.
 type speed struct {
-	wall float64 // packets a second
-	cpu  float64 // packets a second of the relaying thread's processor time
+	wall float64 // packets per second
+	cpu  float64 // packets per second of CPU time of the relaying thread
 }
 
-// Compare runs whole and a bare relay to sink in turns and reports the medians
-// over all turns; name is what whole is called in the result. Run it with
-// -benchtime 20x: one iteration is one turn of each.
-func Compare(b *testing.B, name string, whole *Relay, sink netip.AddrPort, packets [][]byte) {
+// Compare runs whole and a bare relay to sink alternately and reports the medians
+// over all rounds; name is the name of whole in the reported metrics. Run it with
+// -benchtime 20x: one iteration is one round of each.
+func Compare(b *testing.B, name string, measured *Relay, sink netip.AddrPort, packets [][]byte) {
 	bare := bareRelay(b, sink)
-	var bares, wholes []speed
+	var bareSpeeds, measuredSpeeds []speed
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for b.Loop() {
-		bares = append(bares, bare.round(packets))
-		wholes = append(wholes, whole.round(packets))
+		bareSpeeds = append(bareSpeeds, bare.round(packets))
+		measuredSpeeds = append(measuredSpeeds, measured.round(packets))
 	}
 	wall := func(s speed) float64 { return s.wall }
 	cpu := func(s speed) float64 { return s.cpu }
-	b.ReportMetric(median(bares, wall), "bare-pkt/s")
-	b.ReportMetric(median(wholes, wall), name+"-pkt/s")
-	b.ReportMetric(median(wholes, wall)/median(bares, wall), "ratio")
-	b.ReportMetric(1e9/median(bares, cpu), "bare-cpu-ns/pkt")
-	b.ReportMetric(1e9/median(wholes, cpu), name+"-cpu-ns/pkt")
-	b.ReportMetric(median(wholes, cpu)/median(bares, cpu), "cpu-ratio")
+	b.ReportMetric(median(bareSpeeds, wall), "bare-pkt/s")
+	b.ReportMetric(median(measuredSpeeds, wall), name+"-pkt/s")
+	b.ReportMetric(median(measuredSpeeds, wall)/median(bareSpeeds, wall), "ratio")
+	b.ReportMetric(1e9/median(bareSpeeds, cpu), "bare-cpu-ns/pkt")
+	b.ReportMetric(1e9/median(measuredSpeeds, cpu), name+"-cpu-ns/pkt")
+	b.ReportMetric(median(measuredSpeeds, cpu)/median(bareSpeeds, cpu), "cpu-ratio")
 }
 
 func median(all []speed, of func(speed) float64) float64 {
@@ -68,7 +69,7 @@
 	return v[len(v)/2]
 }
 
-// round carries one turn of packets while the senders blast.
+// round forwards packetsPerRound packets while the senders run, after a warm-up.
 func (r *Relay) round(packets [][]byte) speed {
 	var stop atomic.Bool
 	var wg sync.WaitGroup
@@ -89,7 +90,7 @@
 	return speed{wall: float64(n) / wall.Seconds(), cpu: float64(n) / cpu.Seconds()}
 }
 
-// threadTime returns the processor time of the calling thread.
+// threadTime returns the CPU time of the calling thread.
 func threadTime() time.Duration {
 	var u unix.Rusage
 	unix.Getrusage(unix.RUSAGE_THREAD, &u)
@@ -109,7 +110,8 @@
 	w.Flush()
 }
 
-// Drain reads and discards, so that the sink's buffer never fills for long.
+// Drain reads and discards datagrams until c is closed, so that the sink's buffer does
+// not stay full.
 func Drain(c *udp.Conn) {
 	r := udp.NewReader(c)
 	for {
@@ -119,7 +121,7 @@
 	}
 }
 
-// Listen opens a loopback socket that ends with the benchmark.
+// Listen opens a loopback socket that is closed at the end of the benchmark.
 func Listen(b *testing.B) *udp.Conn {
 	b.Helper()
 	c, err := udp.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -130,7 +132,7 @@
 	return c
 }
 
-// bareRelay writes each datagram to one receiver, as it came.
+// bareRelay returns a relay that forwards each datagram unchanged to one receiver.
 func bareRelay(b *testing.B, to netip.AddrPort) *Relay {
 	public, internal := Listen(b), Listen(b)
 	r, w := udp.NewReader(public), udp.NewWriter(internal)
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -12,13 +12,14 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// Paths of the stand-in's own controls, which the platform does not have.
+// Paths to control the stand-in, which the platform does not have.
 const (
 	PathCalls  = "/standin/calls"  // GET: Calls as JSON
 	PathFaults = "/standin/faults" // POST: Faults as JSON
 )
 
-// bodyLimit bounds a request: a value of store.MaxValue in base64 and its frame.
+// bodyLimit is the maximum size of a request body in bytes: a value of store.MaxValue
+// bytes in base64 and the JSON around it.
 const bodyLimit = 2 * store.MaxValue
 
 var statusOf = map[string]int{
@@ -41,8 +42,8 @@
 	answer(w, statusOf[e.Code], e)
 }
 
-// admit counts a call, applies the faults that strike before its effect and
-// says whether it may run.
+// admit counts a call, applies the faults that come before its effect and
+// reports whether the call may run.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, limit *rate.Limiter, count func(*Calls)) bool {
 	s.mu.Lock()
 	count(&s.calls)
@@ -85,8 +86,8 @@
 	return err == nil
 }
 
-// loseAnswer decides by chance whether the answer to a write that took effect is
-// loseAnswer, and if so cuts the connection.
+// loseAnswer decides at random whether the answer to a write that took effect is
+// lost, and in that case closes the connection.
 func (s *Server) loseAnswer(w http.ResponseWriter) bool {
 	s.mu.Lock()
 	lose := s.faults.LoseAnswer > 0 && s.rng.Float64() < s.faults.LoseAnswer
@@ -198,8 +199,8 @@
 	answer(w, http.StatusOK, store.ValueBody(v))
 }
 
-// watch waits for a version above after, the end of the server's wait or the
-// end of a lease, whichever comes first.
+// watch waits until the value has a version above after, the server's maximum wait is
+// over, or the value's lease ends.
 func (s *Server) watch(ctx context.Context, key string, after uint64) (store.Value, *store.ErrorBody) {
 	end := time.Now().Add(s.cfg.WatchWait)
 	for {
--- a/internal/standin/store/server.go
+++ b/internal/standin/store/server.go
@@ -1,6 +1,6 @@
-// Package store is an in-memory stand-in of the platform's key-value service
-// with its rates and, on demand, its failures. It keeps no version history
-// and loses everything when it stops.
+// Package store is an in-memory stand-in for the platform's key-value service,
+// with its rate limits and, on demand, its failures. It keeps no version history
+// and no data after it is stopped.
 package store
 
 import (
@@ -22,29 +22,29 @@
 	DefaultWatchWait = 10 * time.Second
 )
 
-// Config sets up a Server.
+// Config holds the settings of a Server.
 type Config struct {
-	ReadRate  int           // reads a second, watches included; default DefaultReads
-	WriteRate int           // writes a second, lease calls included; default DefaultWrites
-	WatchWait time.Duration // how long a watch waits; default DefaultWatchWait
-	Seed      uint64        // of the faults that strike by chance
+	ReadRate  int           // reads per second, including watches; default DefaultReadRate
+	WriteRate int           // writes per second, including lease calls; default DefaultWriteRate
+	WatchWait time.Duration // maximum wait of a watch; default DefaultWatchWait
+	Seed      uint64        // seed of the random faults
 }
 
-// Faults are switched on and off by SetFaults; the zero value is none.
+// Faults are the faults that SetFaults sets; the zero value has none.
 type Faults struct {
-	Outage      bool          `json:"outage"`       // every call is refused
+	Outage      bool          `json:"outage"`       // every call fails
 	Delay       time.Duration `json:"delay_ns"`     // before every call takes effect
-	LoseAnswer  float64       `json:"lose_answer"`  // share of writes whose answer is lost after the effect
-	StopWatches bool          `json:"stop_watches"` // watches neither answer nor end
+	LoseAnswer  float64       `json:"lose_answer"`  // ratio of writes that take effect but whose answer is lost
+	StopWatches bool          `json:"stop_watches"` // watches neither return nor fail
 }
 
-// Calls counts what reached the server, refused calls included.
+// Calls counts the calls that the server received, including refused ones.
 type Calls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Leases  uint64 `json:"leases"`
-	Limited uint64 `json:"limited"` // refused because over the rate
+	Limited uint64 `json:"limited"` // refused because of the rate limit
 }
 
 type record struct {
@@ -73,7 +73,7 @@
 	changed chan struct{} // closed and replaced at each write
 }
 
-// New returns a server without values.
+// New returns a server that holds no values.
 func New(cfg Config) *Server {
 	if cfg.ReadRate <= 0 {
 		cfg.ReadRate = DefaultReadRate
@@ -95,28 +95,28 @@
 	}
 }
 
-// SetFaults replaces the faults in force. Watches that were stopped stay so.
+// SetFaults replaces the current faults. Watches that are stopped do not resume.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the counts so far.
+// Calls returns the number of calls so far.
 func (s *Server) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// KeyCount returns how many keys hold a value.
+// KeyCount returns the number of keys that have a value.
 func (s *Server) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +138,7 @@
 	return mux
 }
 
-// expire removes leases that have ended and the values under them.
+// expire removes expired leases and the values under them.
 func (s *Server) expire(now time.Time) {
 	for id, l := range s.leases {
 		if now.Before(l.end) {
@@ -181,7 +181,7 @@
 	return true
 }
 
-// swap applies a compare-and-swap; a nil error means that it took effect.
+// swap executes a compare-and-swap. It took effect if the error is nil.
 func (s *Server) swap(now time.Time, b store.SwapBody) (uint64, *store.ErrorBody) {
 	s.expire(now)
 	if len(b.Data) > store.MaxValue {
--- a/internal/standin/store/server_test.go
+++ b/internal/standin/store/server_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	if w := swap(t, c, "a", 0, ""); w <= v {
-		t.Fatalf("version %d again after %d", w, v)
+		t.Fatalf("new value has version %d, want above %d", w, v)
 	}
 	var large *store.ValueTooLargeError
 	if _, err := c.CompareAndSwap(ctx, "b", 0, make([]byte, store.MaxValue+1), ""); !errors.As(err, &large) {
@@ -76,7 +76,7 @@
 	v := swap(t, c, "slot", 0, id)
 	var missing *store.NotFoundError
 	if _, err := c.Watch(ctx, "slot", v); !errors.As(err, &missing) {
-		t.Fatalf("watch over the end of the lease: %v", err)
+		t.Fatalf("watch until after the end of the lease: %v", err)
 	}
 	var expired *store.LeaseExpiredError
 	if err := c.Renew(ctx, id); !errors.As(err, &expired) {
@@ -86,7 +86,7 @@
 		t.Fatalf("swap after the end: %v", err)
 	}
 	if calls := s.Calls(); calls.Leases != 3 || calls.Writes != 2 || calls.Watches != 1 {
-		t.Fatalf("counted %+v", calls)
+		t.Fatalf("wrong number of calls: %+v", calls)
 	}
 }
 
@@ -95,11 +95,11 @@
 	_, c := start(t, Config{WatchWait: 20 * time.Millisecond})
 	v := swap(t, c, "a", 0, "")
 	if got, err := c.Watch(ctx, "a", v-1); err != nil || got.Version != v {
-		t.Fatalf("watch behind: %+v, %v", got, err)
+		t.Fatalf("watch after an older version: %+v, %v", got, err)
 	}
 	var timeout *store.WatchTimeoutError
 	if _, err := c.Watch(ctx, "a", v); !errors.As(err, &timeout) {
-		t.Fatalf("watch of a quiet key: %v", err)
+		t.Fatalf("watch of an unchanged key: %v", err)
 	}
 }
 
@@ -154,7 +154,7 @@
 		errors.As(err, &unavailable)
 	}
 	if unavailable == nil || unavailable.RetryAfter != time.Second {
-		t.Fatalf("over the rate: %v", unavailable)
+		t.Fatalf("over the rate limit: %v", unavailable)
 	}
 	if s.Calls().Limited == 0 {
 		t.Fatal("no call was counted as limited")
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -68,12 +68,12 @@
 
 // Identity returns the span of the balancer at via, which received the flow's first
 // packet from the caller.
-func (f *FlowHasher) Identity(id []byte, via netip.AddrPort) (w FlowSpan) {
+func (f *FlowHasher) Identity(id []byte, via netip.AddrPort) (span FlowSpan) {
 	f.computeMAC(id, netip.AddrPort{}, kindTrace)
-	w.Trace = f.mac
+	span.Trace = f.mac
 	f.computeMAC(id, via, kindSpan)
-	copy(w.Span[:], f.mac[:])
-	return w
+	copy(span.Span[:], f.mac[:])
+	return span
 }
 
 func (f *FlowHasher) computeMAC(id []byte, via netip.AddrPort, kind byte) {
@@ -107,14 +107,14 @@
 
 // WithFlowSpan returns a context in which the next span is started with the identity
 // w. The trace ID of w is used only if the span has no parent.
-func WithFlowSpan(ctx context.Context, w FlowSpan) context.Context {
-	return context.WithValue(ctx, flowKey{}, w)
+func WithFlowSpan(ctx context.Context, span FlowSpan) context.Context {
+	return context.WithValue(ctx, flowKey{}, span)
 }
 
 // NewIDs implements sdk.IDGenerator.
 func (g idGenerator) NewIDs(ctx context.Context) (t trace.TraceID, s trace.SpanID) {
-	if w, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
-		return w.Trace, w.Span
+	if span, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
+		return span.Trace, span.Span
 	}
 	for !t.IsValid() {
 		binary.BigEndian.PutUint64(t[:8], rand.Uint64())
@@ -125,8 +125,8 @@
 
 // NewSpanID implements sdk.IDGenerator.
 func (idGenerator) NewSpanID(ctx context.Context, _ trace.TraceID) (s trace.SpanID) {
-	if w, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
-		return w.Span
+	if span, ok := ctx.Value(flowKey{}).(FlowSpan); ok {
+		return span.Span
 	}
 	for !s.IsValid() {
 		binary.BigEndian.PutUint64(s[:], rand.Uint64())
--- a/internal/tracing/hop.go
+++ b/internal/tracing/hop.go
@@ -54,12 +54,12 @@
 	if !p.Enabled() || !f.Sampled(h.Flow) {
 		return
 	}
-	w := f.Identity(h.Flow, h.Via)
+	root := f.Identity(h.Flow, h.Via)
 	ctx := context.Background()
 	if h.Root {
-		ctx = WithFlowSpan(ctx, w)
+		ctx = WithFlowSpan(ctx, root)
 	} else {
-		ctx = trace.ContextWithSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{TraceID: w.Trace, SpanID: w.Span, TraceFlags: trace.FlagsSampled, Remote: true}))
+		ctx = trace.ContextWithSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{TraceID: root.Trace, SpanID: root.Span, TraceFlags: trace.FlagsSampled, Remote: true}))
 	}
 	end := time.Now()
 	_, span := p.tracer.Start(ctx, h.Name, trace.WithTimestamp(end.Add(-h.Duration)), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(h.Attrs...))
