--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -38,8 +38,8 @@
 	cpu  float64 // packets per second of CPU time of the relaying thread
 }
 
-// Compare runs whole and a bare relay to sink alternately and reports the medians
-// over all rounds; name is the name of whole in the reported metrics. Run it with
+// Compare runs measured and a bare relay to sink alternately and reports the medians
+// over all rounds; name is the name of measured in the reported metrics. Run it with
 // -benchtime 20x: one iteration is one round of each.
 func Compare(b *testing.B, name string, measured *Relay, sink netip.AddrPort, packets [][]byte) {
 	bare := bareRelay(b, sink)
