--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for callers: ordinary HTTP/3 clients that check
-// every byte of what they receive.
+// Package caller simulates callers: ordinary HTTP/3 clients that check
+// every byte that they receive.
 package caller
 
 import (
@@ -23,16 +23,16 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// Config is the settings of a caller.
+// Config holds the settings of a caller.
 type Config struct {
-	Address netip.AddrPort // service address and the fabric's port
-	Service string         // name on the certificate and in the answers
-	Roots   *x509.CertPool
-	Traces  *tracing.Provider // nil is off
-	Idle    time.Duration     // after how much silence a connection is given up; default 30 s
+	Address     netip.AddrPort // service address with the fabric's port
+	Service     string         // name in the certificate and in the answers
+	Roots       *x509.CertPool
+	Traces      *tracing.Provider // nil: tracing is off
+	IdleTimeout time.Duration     // time without packets after which a connection is closed; default 30 s
 }
 
-// Caller is one caller with one connection at a time.
+// Caller is one caller, which uses one connection at a time.
 type Caller struct {
 	cfg       Config
 	socket    *net.UDPConn
@@ -40,31 +40,31 @@
 	transport *http3.Transport
 }
 
-// Error tells what a caller saw that it must not see.
+// Error reports a wrong or missing answer.
 type Error struct {
 	Kind   ErrorKind
 	Detail string
 }
 
-// ErrorKind sorts what went wrong.
+// ErrorKind is the type of an Error.
 type ErrorKind string
 
-// The kinds of error. Wrong and Cut must never happen; a Broken flow ended
-// visibly before its end.
+// The kinds of errors. WrongAnswer and TruncatedAnswer must never occur. BrokenFlow is a
+// failure that the caller can detect, such as a connection closed too early.
 const (
-	Wrong  ErrorKind = "wrong answer"
-	Cut    ErrorKind = "cut answer that looked whole"
-	Broken ErrorKind = "broken flow"
+	WrongAnswer     ErrorKind = "wrong answer"
+	TruncatedAnswer ErrorKind = "truncated answer that looked complete"
+	BrokenFlow      ErrorKind = "broken flow"
 )
 
 func (e *Error) Error() string { return string(e.Kind) + ": " + e.Detail }
 
 const defaultIdle = 30 * time.Second
 
-// New returns a caller; it connects with its first request.
+// New returns a caller, which connects when it sends its first request.
 func New(cfg Config) (*Caller, error) {
-	if cfg.Idle == 0 {
-		cfg.Idle = defaultIdle
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = defaultIdle
 	}
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -73,7 +73,7 @@
 	c := &Caller{cfg: cfg, socket: socket, quic: &quic.Transport{Conn: socket}}
 	c.transport = &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: cfg.Roots, ServerName: cfg.Service, NextProtos: []string{http3.NextProtoH3}},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: cfg.Idle, KeepAlivePeriod: cfg.Idle / 4, HandshakeIdleTimeout: cfg.Idle / 3},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: cfg.IdleTimeout, KeepAlivePeriod: cfg.IdleTimeout / 4, HandshakeIdleTimeout: cfg.IdleTimeout / 3},
 		Dial:            c.dial,
 	}
 	return c, nil
@@ -83,24 +83,24 @@
 	return c.quic.DialEarly(ctx, net.UDPAddrFromAddrPort(c.cfg.Address), t, q)
 }
 
-// Close ends the caller's connection.
+// Close closes the caller's connection and socket.
 func (c *Caller) Close() {
 	c.transport.Close()
 	c.quic.Close()
 	c.socket.Close()
 }
 
-// Answer is what came back for one request.
+// Answer is the answer to one request.
 type Answer struct {
 	Status     int
 	Header     http.Header
 	Body       []byte
 	Server     string // backend server that answered
-	Outcome    string // header Hemlock-Outcome, empty if the request ran
+	Outcome    string // header Hemlock-Outcome, empty if the request was run
 	RetryAfter string
 }
 
-// Do sends one request and returns its whole answer.
+// Do sends one request and returns its complete answer.
 func (c *Caller) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*Answer, error) {
 	resp, err := c.open(ctx, method, path, header, body)
 	if err != nil {
@@ -109,7 +109,7 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, &Error{Kind: Broken, Detail: err.Error()}
+		return nil, &Error{Kind: BrokenFlow, Detail: err.Error()}
 	}
 	return &Answer{
 		Status:     resp.StatusCode,
@@ -135,28 +135,28 @@
 	}
 	resp, err := c.cfg.Traces.Call(req, c.transport.RoundTrip)
 	if err != nil {
-		return nil, &Error{Kind: Broken, Detail: err.Error()}
+		return nil, &Error{Kind: BrokenFlow, Detail: err.Error()}
 	}
 	if s := resp.Header.Get("Backend-Service"); s != "" && s != c.cfg.Service {
 		resp.Body.Close()
-		return nil, &Error{Kind: Wrong, Detail: fmt.Sprintf("asked %s, answered by %s", c.cfg.Service, s)}
+		return nil, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("asked %s, answered by %s", c.cfg.Service, s)}
 	}
 	return resp, nil
 }
 
-// Card asks for a short answer and checks it.
+// Card requests a short answer and checks it.
 func (c *Caller) Card(ctx context.Context, id string) (*Answer, error) {
 	a, err := c.Do(ctx, http.MethodGet, "/card/"+id, nil, nil)
 	if err != nil || a.Status != http.StatusOK {
 		return a, err
 	}
 	if want := content.Card(c.cfg.Service, id); string(a.Body) != want {
-		return a, &Error{Kind: Wrong, Detail: fmt.Sprintf("card %s: %q", id, a.Body)}
+		return a, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("card %s: %q", id, a.Body)}
 	}
 	return a, nil
 }
 
-// Reserve sends one non-idempotent request under a key.
+// Reserve sends one non-idempotent request with an idempotency key.
 func (c *Caller) Reserve(ctx context.Context, key, item string) (*Answer, error) {
 	header := http.Header{"Idempotency-Key": {key}}
 	a, err := c.Do(ctx, http.MethodPost, "/reserve", header, []byte(item))
@@ -164,19 +164,19 @@
 		return a, err
 	}
 	if !strings.Contains(string(a.Body), item+" for "+key) {
-		return a, &Error{Kind: Wrong, Detail: fmt.Sprintf("reservation %s: %q", key, a.Body)}
+		return a, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("reservation %s: %q", key, a.Body)}
 	}
 	return a, nil
 }
 
-// Download fetches size bytes and checks each. progress, if not nil, is told
-// the bytes received so far.
+// Download fetches size bytes and checks them. progress, if not nil, is called with
+// the number of bytes received so far.
 func (c *Caller) Download(ctx context.Context, size, seed uint64, progress func(uint64)) (server string, err error) {
 	return c.DownloadAt(ctx, size, 0, seed, progress)
 }
 
-// DownloadAt is Download from a backend server that sends rate bytes per
-// second; 0 is as fast as it can.
+// DownloadAt is like Download, but the backend server sends rate bytes per
+// second; 0 is no limit.
 func (c *Caller) DownloadAt(ctx context.Context, size, rate, seed uint64, progress func(uint64)) (server string, err error) {
 	resp, err := c.open(ctx, http.MethodGet, fmt.Sprintf("/download?bytes=%d&rate=%d&seed=%d", size, rate, seed), nil, nil)
 	if err != nil {
@@ -184,20 +184,20 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return "", &Error{Kind: Broken, Detail: resp.Status}
+		return "", &Error{Kind: BrokenFlow, Detail: resp.Status}
 	}
 	return resp.Header.Get("Backend-Server"), c.checkBody(resp.Body, size, seed, progress)
 }
 
 func (c *Caller) checkBody(body io.Reader, size, seed uint64, progress func(uint64)) error {
-	want := content.New(c.cfg.Service, seed)
+	source := content.New(c.cfg.Service, seed)
 	got, expected := make([]byte, 32<<10), make([]byte, 32<<10)
 	var total uint64
 	for {
 		n, err := body.Read(got)
-		want.Read(expected[:n])
+		source.Read(expected[:n])
 		if !bytes.Equal(got[:n], expected[:n]) {
-			return &Error{Kind: Wrong, Detail: fmt.Sprintf("download differs after %d bytes", total)}
+			return &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("download differs after %d bytes", total)}
 		}
 		total += uint64(n)
 		if progress != nil {
@@ -207,17 +207,17 @@
 			break
 		}
 		if err != nil {
-			return &Error{Kind: Broken, Detail: fmt.Sprintf("after %d bytes: %v", total, err)}
+			return &Error{Kind: BrokenFlow, Detail: fmt.Sprintf("after %d bytes: %v", total, err)}
 		}
 	}
 	if total != size {
-		return &Error{Kind: Cut, Detail: fmt.Sprintf("%d of %d bytes", total, size)}
+		return &Error{Kind: TruncatedAnswer, Detail: fmt.Sprintf("%d of %d bytes", total, size)}
 	}
 	return nil
 }
 
-// Feed reads a feed of events to its end and checks each. progress, if not
-// nil, is told the number of events received so far.
+// Feed reads a feed of events to its end and checks each event. progress, if not
+// nil, is called with the number of events received so far.
 func (c *Caller) Feed(ctx context.Context, events int, interval time.Duration, seed uint64, progress func(int)) (server string, err error) {
 	path := fmt.Sprintf("/feed?events=%d&interval_ms=%d&seed=%d", events, interval.Milliseconds(), seed)
 	header := http.Header{"Accept": {"text/event-stream"}}
@@ -227,17 +227,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return "", &Error{Kind: Broken, Detail: resp.Status}
+		return "", &Error{Kind: BrokenFlow, Detail: resp.Status}
 	}
 	server = resp.Header.Get("Backend-Server")
 	lines := bufio.NewReader(resp.Body)
 	for n := range events {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return server, &Error{Kind: Broken, Detail: fmt.Sprintf("feed ended after %d of %d events: %v", n, events, err)}
+			return server, &Error{Kind: BrokenFlow, Detail: fmt.Sprintf("feed ended after %d of %d events: %v", n, events, err)}
 		}
 		if line != content.Event(c.cfg.Service, seed, n) {
-			return server, &Error{Kind: Wrong, Detail: fmt.Sprintf("event %d: %q", n, line)}
+			return server, &Error{Kind: WrongAnswer, Detail: fmt.Sprintf("event %d: %q", n, line)}
 		}
 		if progress != nil {
 			progress(n + 1)
