--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -66,7 +66,7 @@
 	return a, nil
 }
 
-// Self returns the record as announced now.
+// Self returns the current record.
 func (a *Announcer) Self() Record { return a.self }
 
 // EntryVersion returns the highest entry version that an ack carried and the
@@ -76,7 +76,7 @@
 // LastAck returns when a balancer last sent an ack; zero if none has.
 func (a *Announcer) LastAck() time.Time { return a.ackAt }
 
-// Observers returns the balancers that the process reports to now.
+// Observers returns the balancers that the process reports to.
 func (a *Announcer) Observers() []netip.AddrPort {
 	list := make([]netip.AddrPort, len(a.contacts))
 	for i := range a.contacts {
--- a/membership/audit.go
+++ b/membership/audit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// audit starts observing processes that should report here but never did.
-// Otherwise a process that fails together with all its observers would stay alive
+// audit starts observing the processes of which this balancer is an observer and
+// that have not reported here. Otherwise a process that fails together with all its observers would stay alive
 // in every member list, since no other balancer expects its heartbeats.
 func (m *Machine) audit(now time.Time) {
 	cells := m.members.cells
--- a/membership/config.go
+++ b/membership/config.go
@@ -11,7 +11,7 @@
 	SuspectAfter      time.Duration // time without a report after which an observer queries the other observers, default 2.5 s
 	DeadAfter         time.Duration // from suspect to dead without a refutation, default 8 s
 	SoleObserverAfter time.Duration // time overdue after which one observer decides alone, default 10 s
-	ZoneLossAfter     time.Duration // time overdue after which an observer outside the zone takes the whole zone as lost, default 2 s
+	ZoneLossAfter     time.Duration // time overdue after which an observer outside the zone becomes a witness that the whole zone is unreachable, default 2 s
 	PauseAfter        time.Duration // gap between calls that counts as a pause of this process, default 1 s
 	IsolatedAfter     time.Duration // time without any message after which no process is evaluated, default 1.5 s
 	CompareInterval   time.Duration // between comparisons of digests, default 1 s
--- a/membership/delta.go
+++ b/membership/delta.go
@@ -19,8 +19,8 @@
 	Weight      uint8
 }
 
-// maxWants bounds the records requested after one message with deltas.
-const maxWants = 40
+// maxRequestedRecords bounds the records requested after one message with deltas.
+const maxRequestedRecords = 40
 
 const sizeDelta = 10 // the parts of a Delta that have a fixed size
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// mergeDelta applies a delta; false if the record of that incarnation isn't known
-// here and has to be requested.
+// mergeDelta applies a delta. It returns false if the record of that incarnation isn't
+// known here and has to be requested.
 func (m *Machine) mergeDelta(now time.Time, d *Delta) bool {
 	c := m.members.find(keyOf(d.Addr))
 	if c == nil || shortIncarnation(c.incarnation) != d.Incarnation {
@@ -64,7 +64,7 @@
 func (m *Machine) mergeDeltas(now time.Time, from netip.AddrPort, list []Delta) {
 	var want []netip.AddrPort
 	for i := range list {
-		if !m.mergeDelta(now, &list[i]) && len(want) < maxWants {
+		if !m.mergeDelta(now, &list[i]) && len(want) < maxRequestedRecords {
 			want = append(want, list[i].Addr)
 		}
 	}
--- a/membership/lab/failure.go
+++ b/membership/lab/failure.go
@@ -83,7 +83,8 @@
 	Differences                string        // between the member lists, unless Converged
 }
 
-// RegionApart cuts region 0 off for the time apart, while agents change.
+// RegionApart cuts region 0 off from the others for the time apart, while agents
+// announce new weights.
 func RegionApart(seed uint64, zones, balancers, agents int, apart time.Duration) RegionResult {
 	x := NewExchange(seed)
 	list, as := ConvergedFleet(x, zones, balancers, agents)
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -152,7 +152,7 @@
 }
 
 // BulkSource returns a balancer from which to load the member list in bulk,
-// because too many records differ for datagrams. It reports each need once.
+// because too many records differ for datagrams. It returns each source only once.
 func (m *Machine) BulkSource() (Record, bool) {
 	from := m.bulkSource
 	m.bulkSource = netip.AddrPort{}
--- a/membership/observation.go
+++ b/membership/observation.go
@@ -46,8 +46,8 @@
 }
 
 // detectPause resets all observations after a pause of this process. Otherwise a
-// balancer that was stopped for 30 s would take every process as failed and
-// report this to others.
+// balancer that was stopped for 30 s would treat every process as failed and report
+// this to others.
 func (m *Machine) detectPause(now time.Time) {
 	gap := now.Sub(m.lastCallAt)
 	first := m.lastCallAt.IsZero()
@@ -109,8 +109,8 @@
 	return &o.rank
 }
 
-// isolated reports whether this balancer receives no messages at all, so that the
-// fault is more likely its own.
+// isolated reports whether this balancer has received no messages at all for
+// IsolatedAfter, so that the fault is more likely its own.
 func (m *Machine) isolated(now time.Time) bool {
 	return now.Sub(m.receivedAt) > m.cfg.Timing.IsolatedAfter
 }
@@ -158,8 +158,9 @@
 }
 
 // confirmFailure queries the other observers and suspects the process once a
-// majority of them receives no reports. One observer is not enough: its path from
-// the process may be cut while the process works.
+// majority of observers receives no reports. The path from the process to a single
+// observer may be cut while the process works, so one observer decides alone only
+// after SoleObserverAfter, and only if the process isn't evaluated by zone.
 func (m *Machine) confirmFailure(now time.Time, o *observation, c *cell, rank *ranking) {
 	if o.overdueSince.IsZero() {
 		o.overdueSince = now
@@ -200,9 +201,10 @@
 	m.send(c.key.addrPort(), &Message{Kind: KindAck, Flags: FlagSendRecord, Incarnation: c.incarnation, EntryVersion: m.ackEntryVersion(c.service)})
 }
 
-// evaluatedByZone reports whether missing reports of c and its observers count as
-// those of its whole zone: this balancer is outside the zone, and the zone has
-// enough balancers and did not recover through its agents only.
+// evaluatedByZone reports whether missing reports of c, without an answer of its other
+// observers, are evidence that its whole zone is unreachable. This requires that this
+// balancer is outside the zone, that the zone has at least minZoneStatusBalancers live
+// balancers, and that its status isn't AgentsOnly.
 func (m *Machine) evaluatedByZone(c *cell) bool {
 	return c.zone != m.zone && len(m.members.live[c.zone]) >= minZoneStatusBalancers && !m.zoneState(c.zone).agentsOnly
 }
--- a/membership/record.go
+++ b/membership/record.go
@@ -60,7 +60,7 @@
 // The verdicts, weakest first.
 const (
 	VerdictAlive   Verdict = 0
-	VerdictSuspect Verdict = 1 // a majority of observers receives no reports; gets no new work
+	VerdictSuspect Verdict = 1 // a majority of observers, or a sole one for longer, receives no reports; gets no new work
 	VerdictDead    Verdict = 2 // still no report after Timing.DeadAfter
 )
 
@@ -91,7 +91,7 @@
 	Verdict     Verdict
 	Weight      uint8  // relative share of new work, 0 to 255
 	Service     uint32 // service number in the catalogue; 0 for a balancer
-	Incarnation uint64 // start time of the process in Unix nanoseconds, or higher if balancers knew a later one
+	Incarnation uint64 // start time of the process in Unix nanoseconds, or one above the incarnation that balancers have stored if that is higher
 	Version     uint32 // number of announcements within an incarnation
 	Bulk        uint16 // port for bulk transfers, 0 if none
 	Admin       uint16 // port of the admin address, 0 if none
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -169,7 +169,8 @@
 	}
 }
 
-// addBucket adds the records of bucket b to sum; false if they don't fit.
+// addBucket adds the record digests of bucket b to sum. It returns false if they don't
+// fit.
 func (m *Machine) addBucket(sum *Message, b int) bool {
 	const each = sizePeer + hashLen
 	n := 0
--- a/membership/slots.go
+++ b/membership/slots.go
@@ -15,8 +15,8 @@
 const (
 	DefaultLease       = 30 * time.Second // of a slot
 	renewDivisor       = 3                // renewals per lease
-	knownSlotInterval  = 30 * time.Second // between a candidate's reads of slots, all of which it has read as held
-	unreadSlotInterval = time.Second      // between a candidate's reads while it has not read some slot as held
+	knownSlotInterval  = 30 * time.Second // between a candidate's reads once it has read every slot as held
+	unreadSlotInterval = time.Second      // between a candidate's reads until then
 	firstBackoff       = 8 * time.Second  // backoff after the first unsuccessful call
 	maxBackoff         = time.Minute      // upper bound of the doubled backoff, before randomization
 	callTimeout        = 5 * time.Second  // after which a call without result counts as OutcomeUnknown
--- a/membership/zonestatus.go
+++ b/membership/zonestatus.go
@@ -13,8 +13,8 @@
 // the balancer it observes in the zone nor that balancer's observers inside the
 // zone answer. The first message directly from the zone raises the epoch to an
 // even one: reachable. If an agent sent it, the zone's balancers may still have
-// failed; they are then evaluated one by one, because a zone that works isn't
-// lost.
+// failed; AgentsOnly is then set until one of them sends a message, and the zone's
+// processes are evaluated one by one, because a zone that works isn't lost.
 type ZoneStatus struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -22,7 +22,7 @@
 	Zone         string
 	Region       string
 	Epoch        uint32
-	AgentsOnly   bool     // the zone is reachable, but only its agents have sent messages since
+	AgentsOnly   bool     // since the zone became reachable again, only its agents have sent messages to the viewer region
 	Witnesses    []uint64 // packed addresses, at most maxWitnesses
 }
 
@@ -32,8 +32,9 @@
 	minZoneStatusBalancers = 4
 	// One witness is required for each observersPerWitness possible ones.
 	observersPerWitness = 3
-	// A zone is not suspected again within zoneHoldDown of the last change, so
-	// that a flapping link can't fill the gossip with epochs.
+	// A balancer doesn't start a new suspicion of a zone within zoneHoldDown of the
+	// last change of the zone's status that it made or received, so that a flapping
+	// link can't fill the gossip with epochs.
 	zoneHoldDown = 5 * time.Second
 )
 
