--- a/connid/connid.go
+++ b/connid/connid.go
@@ -79,7 +79,8 @@
 	return c, nil
 }
 
-// Mint returns a new connection ID for t, whose agent must have an IPv4 address.
+// Mint returns a new connection ID for t, with random bytes that make it differ from
+// other IDs for the same target. It panics if t.Agent has no IPv4 address.
 func (c *Codec) Mint(t Target) [Len]byte {
 	var id [Len]byte
 	id[0] = c.mintKey
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -61,7 +61,8 @@
 	return time.Duration(float64(c.Window+2*c.Expiry) * (1 + 2*c.Drift))
 }
 
-// Fence is how long a process that was added to the member list doesn't vote.
+// Fence is how long a process that was added to the member list doesn't vote,
+// unless it accepts a handover of the votes of its predecessor.
 func (c Config) Fence() time.Duration {
 	c = c.withDefaults()
 	return c.VoteRetention() + time.Duration(float64(c.Skew+c.Freshness+c.Expiry)*(1+2*c.Drift))
--- a/idempotency/electorate.go
+++ b/idempotency/electorate.go
@@ -138,7 +138,7 @@
 	return now.Sub(m.departedAt) > keep
 }
 
-// waitTime is how long the electorate can't be used yet; zero if it can.
+// waitTime returns how long the electorate can't be used yet, zero if it can.
 func (e *Electorate) waitTime(now time.Time) time.Duration {
 	if now.Sub(e.confirmedAt) > e.cfg.Freshness || len(e.list) == 0 {
 		return e.cfg.Freshness
--- a/idempotency/handover.go
+++ b/idempotency/handover.go
@@ -64,8 +64,9 @@
 }
 
 // Accept stores a part of the records of the last voter at this address.
-// incarnation is that of this process. When all parts have arrived, the voter votes
-// as if it had never stopped, and Accept returns true.
+// incarnation is that of this process. When all parts have arrived, the voter's
+// fence is shortened to what was left of the last voter's fence at its stop, and
+// Accept returns true.
 func (v *Voter) Accept(now time.Time, incarnation uint64, t Transfer) bool {
 	if t.From != v.self || t.To != incarnation || t.Age > v.cfg.maxTransferAge() {
 		return false
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// stopped returns the handover of a voter that voted for claim(1), and the time.
+// newHandover returns the handover of a stopped voter that voted for claim(1), and
+// the time.
 func newHandover(t *testing.T, cfg Config) ([]Transfer, time.Time) {
 	voter, now := newVotingVoter(cfg)
 	wantVote(t, voter.Claim(now, claim(1)), Granted)
--- a/idempotency/message.go
+++ b/idempotency/message.go
@@ -70,7 +70,7 @@
 	ID  ClaimID `cbor:"2,keyasint"`
 }
 
-// Report tells a voter the state of a claim.
+// Report informs a voter of the state of a claim.
 type Report struct {
 	Key    Key     `cbor:"1,keyasint"`
 	ID     ClaimID `cbor:"2,keyasint"`
--- a/idempotency/requester.go
+++ b/idempotency/requester.go
@@ -12,7 +12,8 @@
 	// datagram seldom leaves a voter without the report.
 	reportCopies = 2
 	// runningReportsPerWindow is how often a running request is reported within a
-	// window, so that voters don't forget a request that runs longer than the window.
+	// window, so that voters don't remove the key of a request that runs longer than
+	// the window.
 	runningReportsPerWindow = 4
 )
 
@@ -177,9 +178,11 @@
 }
 
 // Start reports whether the request may be sent to the backend server. Call it
-// right before the first byte, with the current time: after a pause of the process
-// the votes may have expired. If it returns false for a request with votes, the
-// request wasn't started, and NotRun or Unknown follows as an effect.
+// once after the effect Run, right before the first byte, with the current time:
+// after a pause of the process the votes may have expired. In that case it returns
+// false and adds the effect NotRun or Unknown. It returns false without an effect
+// for a request that has no majority of the votes or was started already. After
+// true, the request must be ended with Finish.
 func (q *Requester) Start(now time.Time, id uint64) bool {
 	a := q.byID[id]
 	if a == nil || a.phase != granted {
@@ -217,7 +220,7 @@
 }
 
 // Abandon records that the request won't be started, for example because its
-// caller closed the connection. After Start it does nothing.
+// caller closed the connection. For a started request it does nothing.
 func (q *Requester) Abandon(now time.Time, id uint64) {
 	a := q.byID[id]
 	if a == nil || a.phase == started {
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -43,7 +43,8 @@
 }
 
 // NewVoter returns a voter without any records. It grants no vote before its start
-// fence has passed, because a former process at its address may have voted.
+// fence has passed or a handover has ended the fence (see Voter.Accept), because a
+// former process at its address may have voted.
 func NewVoter(self netip.AddrPort, cfg Config) *Voter {
 	return &Voter{
 		cfg:     cfg.withDefaults(),
@@ -70,7 +71,8 @@
 	}
 }
 
-// fenceLeft is how long the voter grants no votes; zero if it does.
+// fenceLeft returns how long the voter will grant no votes, zero if it may grant
+// them now.
 func (v *Voter) fenceLeft(now time.Time) time.Duration {
 	// A paused voter still has the member list from before the pause. Its clock
 	// shows the pause, so it waits for a current member list.
@@ -114,9 +116,10 @@
 }
 
 // Report records the state of a claim. A report of a claim that doesn't have this
-// voter's vote is ignored, unless the voter has no record of the key. It then
-// stores the report: this is how a fenced voter learns of the claims that others
-// voted for.
+// voter's vote is ignored, with two exceptions. If the voter has no record of the
+// key, it stores the report: this is how a fenced voter receives the claims that
+// others voted for. If the claim has run and the one with the vote isn't known to
+// have run, the report replaces the vote.
 func (v *Voter) Report(now time.Time, r Report) {
 	old, known := v.records[r.Key]
 	known = known && now.Before(old.expires)
--- a/idempotency/voter_test.go
+++ b/idempotency/voter_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against a key that runs twice because its vote is forgotten one window
+// Guards against a key that runs twice because its vote is removed one window
 // after it was granted: the first byte may be sent an Expiry later, and a repeat a
 // little less than a window after that must still be answered Held.
 func TestVoteOutlastsWindowAfterLateStart(t *testing.T) {
@@ -153,8 +153,9 @@
 }
 
 // Guards against a key that runs twice after a pause: an agent with its votes is
-// paused before the first byte, the voters forget, another agent runs the key, and
-// the first one resumes and starts the request without checking the time.
+// paused before the first byte, the voters remove their votes, another agent runs
+// the key, and the first one resumes and starts the request without checking the
+// time.
 func TestPausedAgentDoesNotStart(t *testing.T) {
 	cfg := testConfig()
 	for pause, answer := range map[time.Duration]EffectKind{
@@ -171,7 +172,8 @@
 	}
 }
 
-// Guards against the same with votes that waited in the socket during the pause.
+// Guards against a key that runs twice after a pause: the votes waited in the
+// agent's socket during the pause, and the agent counts them as new.
 func TestLateVotesAreVoid(t *testing.T) {
 	cfg := testConfig()
 	q, _, now := newRequester(cfg, 3)
--- a/propagation/node.go
+++ b/propagation/node.go
@@ -8,8 +8,8 @@
 
 const (
 	// WatchTimeout is how long a watch waits for a change. A watch that ends without a
-	// change confirms the value like a read, so the whole fleet makes one call of the store
-	// per WatchTimeout.
+	// change confirms the value like a read, so the whole fleet makes one watch call of the
+	// store per WatchTimeout, plus the reads of checkEvery.
 	WatchTimeout = 1200 * time.Millisecond
 	// MinReadAge is the least age of the latest read at which another process reads. It
 	// exceeds WatchTimeout by the time in which the digest of the answer spreads.
@@ -25,7 +25,7 @@
 	// in the store go unnoticed until a process reads it.
 	startMinReadAge = 150 * time.Millisecond
 	startMaxReadAge = 600 * time.Millisecond
-	// responseDelay is how much older than its arrival an answer of the store is taken to be.
+	// responseDelay is the assumed age of a watch's answer at its arrival.
 	responseDelay = 50 * time.Millisecond
 	// Fanout is the number of processes that a digest is sent to. A few processes receive
 	// none of the copies; they receive the digest of the next read.
@@ -153,8 +153,8 @@
 	repeatAt    time.Time
 }
 
-// New returns a process that has no value and knows of no read. Its identity among the
-// watchers is drawn from rng, which it also uses later.
+// New returns the Node of a process that has no value and knows of no read. Its identity
+// among the watchers is drawn from rng, which it also uses later.
 func New(rng *rand.Rand) *Node {
 	n := &Node{identity: rng.Uint64() | 1, rng: rng}
 	n.maxReadAge = n.drawReadAge()
@@ -308,8 +308,8 @@
 	n.watcher = n.watcher || c == Read && n.revision != 0 && (n.readFailed() || n.overdue(now))
 }
 
-// CallDone records the end of a call that started at begun. If the call returned a value,
-// Applied must have been called before.
+// CallDone records the end of a call that started at startedAt. If the call returned a
+// value, Applied must have been called before.
 func (n *Node) CallDone(now time.Time, c Call, startedAt time.Time, o Outcome) {
 	n.callPending = false
 	n.readNext = c == Watch && o != Answered // a watch that was cut may have missed a change
@@ -337,6 +337,10 @@
 	n.lastWatchFailed = true
 }
 
+// recordAnswer records the read of the store that an answered call made: a Read at its
+// start, a Watch responseDelay before its answer but not before its start. A Watch that took
+// longer than WatchTimeout and responseDelay also counts from its start, because its answer
+// has been delayed.
 func (n *Node) recordAnswer(now time.Time, c Call, startedAt time.Time) {
 	n.failures = 0
 	n.lastWatchFailed = n.lastWatchFailed && c != Watch
--- a/propagation/node_test.go
+++ b/propagation/node_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// gossip lets a random process learn a revision that another one knows, as agents pass it on.
+// gossip informs a random process of a revision that another one knows, as agents do.
 func (f *fleet) gossip() {
 	a, b := f.processes[f.rng.IntN(len(f.processes))], f.processes[f.rng.IntN(len(f.processes))]
 	if !a.stopped {
@@ -115,31 +115,31 @@
 		p.n.FetchStarted(f.now)
 		f.after(2*f.delay, func() { f.fetch(p, from) })
 	}
-	if w, ok := p.n.NextDigest(f.now); ok {
+	if d, ok := p.n.NextDigest(f.now); ok {
 		for range Fanout {
 			to := f.processes[f.rng.IntN(len(f.processes))]
 			if f.rng.Float64() >= f.loss {
-				f.after(f.delay, func() { f.receive(to, p, f.inTransit(w)) })
+				f.after(f.delay, func() { f.receive(to, p, f.inTransit(d)) })
 			}
 		}
 	}
 }
 
-func (f *fleet) receive(p, from *process, w Digest) {
+func (f *fleet) receive(p, from *process, d Digest) {
 	if p.stopped {
 		return
 	}
-	if answer, ok := p.n.Receive(f.now, address(from.i), w); ok {
+	if answer, ok := p.n.Receive(f.now, address(from.i), d); ok {
 		f.after(f.delay, func() { from.n.Receive(f.now, address(p.i), f.inTransit(answer)) })
 	}
 }
 
 // inTransit returns a digest as it arrives: its age of the read lacks the transit time.
-func (f *fleet) inTransit(w Digest) Digest {
-	if w.Read.Number != 0 {
-		w.Read.At = w.Read.At.Add(f.delay)
+func (f *fleet) inTransit(d Digest) Digest {
+	if d.Read.Number != 0 {
+		d.Read.At = d.Read.At.Add(f.delay)
 	}
-	return w
+	return d
 }
 
 func (f *fleet) answer(p *process) {
