--- a/admission/controller.go
+++ b/admission/controller.go
@@ -44,7 +44,9 @@
 }
 
 // Configure applies new limits, for example after an edit of the catalogue
-// entry. Requests in progress or waiting are not affected.
+// entry. Requests in progress continue and waiting requests stay in the queue, even
+// if they exceed the new limits. Waiting requests that the new limits allow are
+// started.
 func (c *Controller) Configure(now time.Time, cfg Config) {
 	c.cfg = cfg.withDefaults()
 	grown := c.cfg.Slots > c.lim.max
@@ -174,10 +176,10 @@
 	c.dispatch(now)
 }
 
-// Cancel records that the caller of a request went away. A waiting request is
-// dropped without an effect. A request in progress keeps its slot until Done,
-// because the backend server may still be processing it. Cancel reports whether
-// the request was waiting and therefore was not run.
+// Cancel records that the caller of a request no longer waits for the answer. A
+// waiting request is dropped without an effect. A request in progress keeps its
+// slot until Done, because the backend server may still be processing it. Cancel
+// reports whether the request was waiting and therefore was not run.
 func (c *Controller) Cancel(now time.Time, id uint64) bool {
 	f := c.flights[id]
 	if f == nil || f.state != waiting {
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -171,7 +171,7 @@
 // Guards against a pause while requests are in progress: a backend server with a
 // capacity of 3 requests refuses the fourth with 503 and Retry-After. If the
 // agent started nothing until then, the server would be idle most of the time.
-func TestShedLowersLimitToWhatIsAtWork(t *testing.T) {
+func TestShedLowersLimitToRequestsInProgress(t *testing.T) {
 	c := New(t0, Config{Slots: 5, Queue: 100})
 	for id := uint64(1); id <= 4; id++ {
 		c.Offer(t0, request(id, "a"))
--- a/admission/lab/experiment.go
+++ b/admission/lab/experiment.go
@@ -39,8 +39,8 @@
 	return figure.Figure{Case: where, Quantity: quantity, Value: v}
 }
 
-// callerKinds are the kinds of callers: with or without retries after a refusal,
-// and with or without leaving the queue at the deadline.
+// callerKinds are the kinds of callers: those with retries retry after a refusal,
+// impatient ones leave the queue at their deadline.
 var callerKinds = []struct {
 	name               string
 	retries, impatient bool
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -12,7 +12,7 @@
 )
 
 // refusal returns the refusal for reason. wait is the expected time until the
-// cause is gone, 0 if unknown.
+// reason no longer applies, 0 if unknown.
 func (c *Controller) refusal(now time.Time, reason Reason, wait time.Duration) Refusal {
 	switch reason {
 	case ReasonDraining:
--- a/admission/schedule.go
+++ b/admission/schedule.go
@@ -14,8 +14,8 @@
 	// defaultPause is the pause after a 503 or 429 of the backend server
 	// without a Retry-After.
 	defaultPause = 100 * time.Millisecond
-	// maxPause is the longest pause that a backend server can request. Its
-	// signal may be wrong, which only another request can show.
+	// maxPause is the longest pause that a backend server can request. The
+	// requested time may be wrong, which only another request can show.
 	maxPause = 5 * time.Second
 )
 
--- a/admission/waiting.go
+++ b/admission/waiting.go
@@ -59,7 +59,7 @@
 	return Decision{Verdict: Refused, Refusal: r}
 }
 
-// evictFor makes room for a request of o in a full queue by refusing the newest
+// evictFor frees a place for a request of o in a full queue by refusing the newest
 // request of the owner with the largest weighted share of the queue, if that
 // share exceeds the one that o would have. This keeps a single owner from
 // filling the queue. It reports whether a request was refused.
--- a/catalogue/bench_test.go
+++ b/catalogue/bench_test.go
@@ -60,7 +60,7 @@
 		}
 	})
 	if sink == 1 {
-		b.Fatal("unlikely")
+		b.Fatal("the service numbers sum to 1")
 	}
 }
 
--- a/catalogue/editor_test.go
+++ b/catalogue/editor_test.go
@@ -24,8 +24,8 @@
 		edit Edit
 		want any
 	}{
-		{"clash", Edit{Put: []Entry{entry("catalogo", "bocina", "10.0.0.1")}}, new(*AddressConflictError)},
-		{"clash inside", Edit{Put: []Entry{entry("a", "b", "10.0.0.9"), entry("c", "b", "10.0.0.9")}}, new(*AddressConflictError)},
+		{"address conflict", Edit{Put: []Entry{entry("catalogo", "bocina", "10.0.0.1")}}, new(*AddressConflictError)},
+		{"address conflict within the edit", Edit{Put: []Entry{entry("a", "b", "10.0.0.9"), entry("c", "b", "10.0.0.9")}}, new(*AddressConflictError)},
 		{"other owner", Edit{Put: []Entry{entry("listing", "bocina", "10.0.0.1")}}, new(*OwnerError)},
 		{"other owner deletes", Edit{Owner: "bocina", Delete: []string{"listing"}}, new(*OwnerError)},
 		{"missing", Edit{Owner: "bocina", Delete: []string{"paquetes"}}, new(*EntryNotFoundError)},
--- a/catalogue/lab/spread.go
+++ b/catalogue/lab/spread.go
@@ -75,13 +75,13 @@
 	Bulks         float64         // mean number of bulk loads per node
 }
 
-// bulkResult returns the result of a run. in reports whether all nodes have
+// bulkResult returns the result of a run. converged reports whether all nodes have
 // converged, and before is the value of x.Bytes at the beginning of the
 // experiment.
-func (x *Exchange) bulkResult(in func() bool, before int) BulkResult {
+func (x *Exchange) bulkResult(converged func() bool, before int) BulkResult {
 	n := float64(len(x.Nodes))
 	return BulkResult{
-		InForce: in(), Took: x.Elapsed(), DatagramBytes: float64(x.Bytes-before) / n,
+		InForce: converged(), Took: x.Elapsed(), DatagramBytes: float64(x.Bytes-before) / n,
 		BulkBytes: float64(x.BulkBytes) / n, Bulks: float64(x.Bulks) / n,
 	}
 }
--- a/placement/lab/case.go
+++ b/placement/lab/case.go
@@ -11,7 +11,7 @@
 	Queue     int           // requests that may wait per backend server; more are refused
 	MaxConns  int           // connections per backend server
 	Zones     int           // backend servers and balancers are distributed over them in turn
-	Balancers int           //
+	Balancers int           // all of which place flows of the service
 	Load      float64       // offered work / capacity of all healthy slots
 	Duration  time.Duration // simulated time
 	Warmup    time.Duration // excluded from all figures
@@ -25,7 +25,7 @@
 	SlowFactor    float64
 	Failing       int           // number of backend servers whose requests fail immediately
 	Cold          int           // number of backend servers that cold-start at ColdAt
-	ColdAt        time.Duration //
+	ColdAt        time.Duration // time at which they start
 	ColdFor       time.Duration // time until they run at full speed
 	ColdFactor    float64       // factor of the service time at the beginning of the cold start
 	ZoneFails     bool          // the backend servers of the last zone fail at ZoneFailsAt
--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestPoliciesMeetTheSameFlows(t *testing.T) {
+func TestPoliciesReceiveTheSameFlows(t *testing.T) {
 	want := mustRun(t, testCase(), "random").Flows
 	for _, p := range Policies {
 		if got := mustRun(t, testCase(), p).Flows; got != want {
@@ -50,10 +50,11 @@
 	}
 }
 
-// The bounds leave a wide margin to the figures in docs/measure.
+// Guards against a placement that is no better than plain hashing. The bounds leave
+// a wide margin to the figures in docs/measure.
 func TestPlacementBeatsPlainHashing(t *testing.T) {
-	ours, hashed := mustRun(t, testCase(), "placement"), mustRun(t, testCase(), "rendezvous")
-	if ours.WaitP99 > hashed.WaitP99/2 || ours.WindowMaxToMean > 1.4 {
-		t.Errorf("p99 wait %v against %v, window %.3f", ours.WaitP99, hashed.WaitP99, ours.WindowMaxToMean)
+	placed, hashed := mustRun(t, testCase(), "placement"), mustRun(t, testCase(), "rendezvous")
+	if placed.WaitP99 > hashed.WaitP99/2 || placed.WindowMaxToMean > 1.4 {
+		t.Errorf("p99 wait %v against %v, window %.3f", placed.WaitP99, hashed.WaitP99, placed.WindowMaxToMean)
 	}
 }
--- a/placement/lab/policy.go
+++ b/placement/lab/policy.go
@@ -81,6 +81,7 @@
 	}
 }
 
+// chooseTwo returns the agent with the lower reported load of two random ones.
 func chooseTwo(m *model, r *rand.Rand, b int) int {
 	i, j := chooseRandom(m, r, b), chooseRandom(m, r, b)
 	if m.reportedLoad(j) < m.reportedLoad(i) {
--- a/placement/occupancy_test.go
+++ b/placement/occupancy_test.go
@@ -57,7 +57,7 @@
 // requests fail immediately always has free slots, so every balancer chooses it,
 // every primary forwards to it, and most requests of the service fail although
 // only one server of seven is broken.
-func TestFailingAgentLooksBusyUntilForgotten(t *testing.T) {
+func TestFailingAgentLooksBusyUntilFailuresDecay(t *testing.T) {
 	idle := Usage{Slots: 5, MaxConnections: 2000}
 	var m Meter
 	for range 100 {
