--- a/admission/types.go
+++ b/admission/types.go
@@ -140,7 +140,7 @@
 	Failed                      // the connection to the backend server failed
 	Shed                        // the backend server answered 503 or 429
 	TimedOut                    // the deadline passed before the answer
-	Canceled                    // the caller went away
+	Canceled                    // the caller no longer waits for the answer
 )
 
 // Result is the argument of Done: the outcome of an admitted request.
--- a/flow/lab/bound.go
+++ b/flow/lab/bound.go
@@ -9,7 +9,8 @@
 // step the slots' time goes first to requests that can still be in time, then to late
 // ones, each in order of arrival; with equal work and equal slack this serves the most
 // requests. Network delays are zero, and a slot may switch requests at any moment.
-// slots returns the work of a warm server that is done per second.
+// slots returns the number of slots that process requests at a given time, where a slot
+// that is slower than one of a warm server counts as a fraction.
 func bound(all []*request, work, extra time.Duration, end time.Time, slots func(time.Time) float64) map[*request]float64 {
 	credit := map[*request]float64{}
 	if len(all) == 0 {
--- a/flow/lab/caller.go
+++ b/flow/lab/caller.go
@@ -88,7 +88,7 @@
 	}
 	c.f.After(attemptTimeout, func() {
 		if c.flows[key] == x && !x.open {
-			c.failed(x)
+			c.fail(x)
 		}
 	})
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// failed ends a flow; its request is retried.
-func (c *callers) failed(x *callerFlow) {
+// fail ends a flow and retries its request.
+func (c *callers) fail(x *callerFlow) {
 	c.remove(x)
 	q := x.request
 	x.request = nil
@@ -111,7 +111,8 @@
 	}
 }
 
-// sendRequest sends a request on an open flow and repeats it until there is an answer.
+// sendRequest sends a request on an open flow and repeats its packet until there is an
+// answer.
 func (c *callers) sendRequest(x *callerFlow, q *request) {
 	x.request, q.flow = q, x
 	pause := 200 * time.Millisecond
@@ -147,7 +148,7 @@
 			c.sendRequest(x, x.request)
 		}
 	case s.Fin:
-		c.failed(x)
+		c.fail(x)
 	case s.Data > 0 && s.Seq == x.ack && x.request != nil:
 		x.ack += uint32(s.Data)
 		x.seq += requestSize
@@ -167,6 +168,6 @@
 // reset handles a reset sent by a balancer.
 func (c *callers) reset(key flow.Key) {
 	if x := c.flows[key]; x != nil {
-		c.failed(x)
+		c.fail(x)
 	}
 }
--- a/flow/lab/experiment.go
+++ b/flow/lab/experiment.go
@@ -30,12 +30,14 @@
 
 func (c Config) capacity() float64 { return float64(c.Agents*c.Slots) / c.Work.Seconds() }
 
-// scenario is an event, and the work of warm servers done per second from then on.
+// scenario is an event that changes the load or the fleet. slots returns the number of
+// slots that process requests at a given time since the event, as for bound.
 type scenario struct {
 	event func(f *fleet)
 	slots func(c Config, since time.Duration) float64
 }
 
+// warmSlots returns the number of slots of all servers while they are warm.
 func warmSlots(c Config) float64 { return float64(c.Agents * c.Slots) }
 
 func power(c Config) []figure.Figure {
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// fromCaller carries a caller's packet to a balancer, the same one as long as it is up.
+// fromCaller delivers a caller's packet to a balancer, the same one for all packets of a
+// flow as long as it is ready.
 func (f *fleet) fromCaller(s flow.Segment) {
 	b := f.balancerFor(s.Key)
 	if b == nil {
@@ -149,7 +150,8 @@
 	})
 }
 
-// balancerFor picks the balancer of a flow among those that are up.
+// balancerFor returns the balancer of a flow among those that are ready, by rendezvous
+// hashing, or nil if none is.
 func (f *fleet) balancerFor(key flow.Key) *balancer {
 	var best *balancer
 	var bestScore uint64
--- a/membership/audit.go
+++ b/membership/audit.go
@@ -3,8 +3,9 @@
 import "time"
 
 // audit starts observing the processes of which this balancer is an observer and
-// that have not reported here. Otherwise a process that fails together with all its observers would stay alive
-// in every member list, since no other balancer expects its heartbeats.
+// that have not reported here. Otherwise a process that fails together with all its
+// observers would stay alive in every member list, since no other balancer expects
+// its heartbeats.
 func (m *Machine) audit(now time.Time) {
 	cells := m.members.cells
 	for n := len(cells)/auditSweep + 1; n > 0; n-- {
