--- a/flow/gate_test.go
+++ b/flow/gate_test.go
@@ -290,7 +290,7 @@
 // copy of the flow's first packet opens the flow through another balancer. The first
 // balancer resumes and forwards the first packet from its socket; the server answers it
 // again. If this repeated answer resets the record of what the server has sent, the
-// caller's next packet is taken for one of another flow.
+// caller's next packet is treated as one of another flow.
 func TestRepeatedAnswerLeavesFlowOpen(t *testing.T) {
 	w := newWorld(t, 1)
 	c := w.caller(1000, listingPort)
--- a/flow/lab/lab_test.go
+++ b/flow/lab/lab_test.go
@@ -42,7 +42,7 @@
 
 // Guards against the loss of all flows with the processes that forward them. All
 // processes are killed and restart while the servers keep running; flows that no
-// process remembers must not count as ended.
+// process has in its table must not count as ended.
 func TestFlowsOutliveAllProcesses(t *testing.T) {
 	c := DefaultConfig()
 	c.Seeds = 1
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -186,8 +186,8 @@
 // buffered until an agent answers that it holds the flow: sending each packet of a
 // download to all agents would take a small VM's whole processor. A packet that arrives
 // after a caller's retransmission time triggers another query to the agents that have
-// not answered, and so does the first one with data: an agent that has restarted learns
-// whether its server holds the flow from the server's reaction, and a server does not
+// not answered, and so does the first one with data: an agent that has restarted sees
+// whether its server holds the flow by the server's reaction, and a server does not
 // react to a packet without data. Answers received before remain valid.
 func (d *Director) continueLookup(now time.Time, e *entry, s *Segment, packet []byte) {
 	l := e.lookup
--- a/flow/members.go
+++ b/flow/members.go
@@ -150,7 +150,7 @@
 
 // sendMemberList answers a request with the agents that this balancer itself has
 // received messages from. A recently started balancer marks its answer as such:
-// otherwise the few agents that it knows would be taken for all.
+// otherwise the few agents that it knows would count as all agents.
 func (d *Director) sendMemberList(now time.Time, to netip.AddrPort, request uint64) {
 	m := Message{Kind: MemberList, Incarnation: request}
 	if !d.discoveryDone(now) {
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -6,7 +6,7 @@
 )
 
 // queuePerSlot limits the flows that wait at an agent, as a multiple of its server's slots:
-// a slot processes that many in about two and a half seconds, which is how long callers
+// a slot processes 100 requests in about two and a half seconds, which is how long callers
 // wait in total. A caller refused because the queue is full retries at once as a new flow,
 // takes the place of one that could be answered in time, and has used up its attempts
 // after 30 ms. With 40 per slot, fewer requests are answered in time after a power loss:
--- a/flow/restored_test.go
+++ b/flow/restored_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against agents that learn only with their next hello message, seconds later,
+// Guards against agents that are informed only by their next hello message, seconds later,
 // that the store came back from an older copy, and check for their keys that late.
 func TestAgentsGetHelloAfterStoreRestore(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -97,7 +97,7 @@
 			d.SetOrders(now, NewOrders(50, NewRoutes(1, 0, nil), []string{"b"}))
 			d.StoreRestored(now, first)
 		}},
-		{"learns it from an agent before the orders", func(d *Director, now time.Time) {
+		{"receives it from an agent before the orders", func(d *Director, now time.Time) {
 			d.StoreRestored(now, first)
 			d.FromAgent(now, netip.MustParseAddrPort("10.0.0.1:1"), &Message{Kind: Report, State: ServerEvacuated, Zone: zone}, nil, nil)
 		}},
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -26,7 +26,7 @@
 	Resend    time.Duration // until the claim is sent again to a voter that didn't answer; default DefaultResend
 	Drift     float64       // bound on the relative drift of two clocks; default DefaultDrift
 	Voters    int           // voters of a key, at most maxVoters; default DefaultVoters
-	MaxKeys   int           // keys that a voter remembers; default DefaultMaxKeys
+	MaxKeys   int           // keys that a voter has records of; default DefaultMaxKeys
 }
 
 // maxVoters bounds Config.Voters, so that an attempt has a fixed size.
@@ -54,7 +54,7 @@
 	}
 }
 
-// VoteRetention is how long a voter remembers a vote: the window, plus the time
+// VoteRetention is how long a voter keeps a vote: the window, plus the time
 // by which the run may come after the vote, on clocks that drift apart.
 func (c Config) VoteRetention() time.Duration {
 	c = c.withDefaults()
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -7,7 +7,7 @@
 // the highest rendezvous hash scores. Before the first byte of a request goes to
 // the backend server, a [Requester] asks all voters of its key for their vote, and
 // runs the request only with the votes of more than half of them. A [Voter] grants
-// its vote on a key to one claim only, and remembers it for
+// its vote on a key to one claim only, and keeps it for
 // [Config.VoteRetention]. Two claims would need two majorities, which share a
 // voter.
 //
--- a/idempotency/simulation_test.go
+++ b/idempotency/simulation_test.go
@@ -119,7 +119,7 @@
 	s.fetchTransfers(p)
 }
 
-// fetchTransfers lets p ask each other process twice for the handover to its address.
+// fetchTransfers has p ask each other process twice for the handover to its address.
 func (s *simulation) fetchTransfers(p *process) {
 	for _, o := range slices.Concat(s.processes, s.processes) {
 		if o == p || !o.up || o.group != p.group || s.rng.Float64() < s.f.loss {
@@ -269,7 +269,7 @@
 	}
 }
 
-// begin lets a caller send a request with key to agent i.
+// begin sends a caller's request with key to agent i.
 func (s *simulation) begin(i int, key Key) {
 	p := s.processes[i]
 	if !p.up || p.left || p.pausedUntil.After(s.now) {
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -29,7 +29,7 @@
 	acceptedParts map[int]bool // parts of the handover accepted so far
 }
 
-// record is what a voter remembers of a key.
+// record is a voter's record of a key.
 type record struct {
 	id      ClaimID
 	expires time.Time
@@ -184,5 +184,5 @@
 	return max(time.Second, v.expiry[v.nextExpiry].at.Sub(now))
 }
 
-// Len returns the number of keys that the voter remembers.
+// Len returns the number of keys that the voter has a record of.
 func (v *Voter) Len() int { return len(v.records) }
--- a/membership/memberlist.go
+++ b/membership/memberlist.go
@@ -84,7 +84,7 @@
 	return i
 }
 
-// hash covers the fields that tell the versions of a record apart.
+// hash covers the fields that distinguish the versions of a record.
 func (c *cell) hash() uint64 {
 	h := mix(uint64(c.key) + 1)
 	h = mix(h ^ c.incarnation)
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -1,7 +1,7 @@
 package membership
 
 // observers is the number of balancers that observe one process. With three, a
-// majority of two decides while one of them is cut off or dead.
+// majority of two decides while one of them is cut off or has failed.
 const observers = 3
 
 // nearObservers of them are in a balancer's own availability zone; the rest are
