--- a/internal/bulk/bulk.go
+++ b/internal/bulk/bulk.go
@@ -97,14 +97,14 @@
 
 // Endpoint is the socket on which one process serves and fetches transfers.
 type Endpoint struct {
-	socket    *net.UDPConn
-	transport *quic.Transport
-	listener  *quic.Listener
-	tls       *tls.Config
-	handler   Handler
-	limits    transfer.Limits // of Fetch
-	served    chan struct{}
-	wg        sync.WaitGroup
+	socket     *net.UDPConn
+	transport  *quic.Transport
+	listener   *quic.Listener
+	tls        *tls.Config
+	handler    Handler
+	limits     transfer.Limits // of Fetch
+	serveSlots chan struct{}
+	wg         sync.WaitGroup
 }
 
 // Listen opens an endpoint at addr.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Endpoint{socket: socket, transport: &quic.Transport{Conn: socket}, tls: t, handler: h, limits: transfer.Limits{ResponseTimeout: responseTimeout, ProgressTimeout: progressTimeout}, served: make(chan struct{}, maxServedTransfers)}
+	p := &Endpoint{socket: socket, transport: &quic.Transport{Conn: socket}, tls: t, handler: h, limits: transfer.Limits{ResponseTimeout: responseTimeout, ProgressTimeout: progressTimeout}, serveSlots: make(chan struct{}, maxServedTransfers)}
 	p.listener, err = p.transport.Listen(t, quicConfig())
 	if err != nil {
 		socket.Close()
@@ -141,10 +141,10 @@
 			return err
 		}
 		select {
-		case p.served <- struct{}{}:
+		case p.serveSlots <- struct{}{}:
 			p.wg.Go(func() {
 				p.serve(conn)
-				<-p.served
+				<-p.serveSlots
 			})
 		default:
 			conn.CloseWithError(codeBusy, "busy, ask another process")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -249,14 +249,14 @@
 // changed.
 func (d *Daemon) addReload() {
 	done := make(chan struct{})
-	look := time.NewTicker(settingsPollInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	d.group.Add(func() error {
-		defer look.Stop()
+		defer ticker.Stop()
 		for {
 			select {
 			case <-reload.Signals:
 				d.runReload("signal")
-			case <-look.C:
+			case <-ticker.C:
 				if d.settingsChanged != nil && d.settingsChanged() {
 					d.runReload("settings changed")
 				}
@@ -267,16 +267,16 @@
 	}, func(error) { close(done) })
 }
 
-func (d *Daemon) runReload(why string) {
+func (d *Daemon) runReload(reason string) {
 	if d.reload == nil {
 		d.Log.Info("reload ignored: no setting can be changed while the process runs")
 		return
 	}
 	if err := d.reload(); err != nil {
-		d.Log.Error("reload refused; keeping the current settings", zap.String("why", why), zap.Error(err))
+		d.Log.Error("reload refused; keeping the current settings", zap.String("why", reason), zap.Error(err))
 		return
 	}
-	d.Log.Info("reloaded", zap.String("why", why))
+	d.Log.Info("reloaded", zap.String("why", reason))
 }
 
 func cancelOnInterrupt(ctx context.Context, cancel context.CancelFunc, signals <-chan os.Signal) {
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend simulates a customer's backend server: HTTP/1.1, a few
-// slots, a count of connections, endpoints for health and load, where the load
-// may be out of date, and a journal of the work that it started.
+// Package backend simulates a customer's backend server: HTTP/1.1, a limited
+// number of slots, endpoints for health and load, whose values may be out of date, and a
+// journal of the work that it started.
 package backend
 
 import (
@@ -27,7 +27,7 @@
 	Service         string // sent to callers in the header Backend-Service
 	Slots           int    // maximum number of short requests in progress
 	Connections     int
-	RequestDuration time.Duration     // of a short request
+	RequestDuration time.Duration     // of short requests; downloads and feeds set their own pace
 	LoadLag         time.Duration     // age of the load that /load reports
 	Traces          *tracing.Provider // nil: tracing is off
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -183,7 +183,7 @@
 	f.counts.ToBalancers++
 	f.mu.Unlock()
 	to := netip.AddrPortFrom(netip.AddrFrom4(s.key.service), port)
-	plan.run(b, func(b []byte) { s.socket.WriteToUDPAddrPort(b, to) })
+	plan.send(b, func(b []byte) { s.socket.WriteToUDPAddrPort(b, to) })
 }
 
 func (f *Fabric) fromBalancers(s *session) {
@@ -198,7 +198,7 @@
 		plan := f.plan(faults, faults.CutFrom, from.Port())
 		f.counts.ToCallers++
 		f.mu.Unlock()
-		plan.run(b[:n], func(b []byte) { f.sendToCaller(s, b) })
+		plan.send(b[:n], func(b []byte) { f.sendToCaller(s, b) })
 	}
 }
 
@@ -238,7 +238,7 @@
 	return d
 }
 
-func (d delivery) run(b []byte, send func([]byte)) {
+func (d delivery) send(b []byte, send func([]byte)) {
 	if d.after == 0 {
 		for range d.copies {
 			send(b)
--- a/internal/standin/platform/caller.go
+++ b/internal/standin/platform/caller.go
@@ -224,20 +224,20 @@
 	request := Header{Seq: f.seq, Flags: FlagAck, Data: line}
 	f.seq += uint32(len(line))
 	var body []byte
-	pause := firstPacketTimes[1]
+	retransmitDelay := firstPacketTimes[1]
 	for len(body) < size {
 		if len(body) == 0 {
 			request.Ack = f.ack
 			f.send(request)
 		}
-		h, err := f.wait(ctx, pause, func(h Header) bool {
+		h, err := f.wait(ctx, retransmitDelay, func(h Header) bool {
 			return h.Flags&FlagRst != 0 || len(h.Data) > 0
 		})
 		switch {
 		case ctx.Err() != nil:
 			return &NoAnswerError{What: "request " + id}
 		case err != nil:
-			pause = min(2*pause, 1600*time.Millisecond)
+			retransmitDelay = min(2*retransmitDelay, 1600*time.Millisecond)
 			f.send(Header{Seq: f.seq, Ack: f.ack, Flags: FlagAck})
 			continue
 		case h.Flags&FlagRst != 0:
--- a/internal/standin/platform/network.go
+++ b/internal/standin/platform/network.go
@@ -25,91 +25,92 @@
 type Network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
-	ends  map[netip.Addr]*networkPeer // by the process's own address
+	peers map[netip.Addr]*networkPeer // by the process's own address
 	fault func(from, to netip.Addr) NetworkFault
 	done  sync.WaitGroup
 }
 
 type networkPeer struct {
-	own   netip.AddrPort // where the process listens
-	known netip.AddrPort // where other processes send to
-	link  *Link          // for what the process sends on accepted connections; guarded by Network.mu
-	udp   *net.UDPConn
-	tcp   net.Listener
+	own    netip.AddrPort // where the process listens
+	public netip.AddrPort // where other processes send to
+	link   *Link          // for what the process sends on accepted connections; guarded by Network.mu
+	udp    *net.UDPConn
+	tcp    net.Listener
 }
 
 // NewNetwork returns a network without faults and processes. seed is that of the random
 // faults.
 func NewNetwork(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 7)), ends: map[netip.Addr]*networkPeer{}, fault: func(_, _ netip.Addr) NetworkFault { return NetworkFault{} }}
+	return &Network{rng: rand.New(rand.NewPCG(seed, 7)), peers: map[netip.Addr]*networkPeer{}, fault: func(_, _ netip.Addr) NetworkFault { return NetworkFault{} }}
 }
 
-// Add makes the process that listens at own reachable for the others at known.
-func (w *Network) Add(own netip.AddrPort, known netip.Addr) error {
-	e := &networkPeer{own: own, known: netip.AddrPortFrom(known, own.Port())}
+// Add makes the process that listens at own reachable for the others at public, on
+// the same port.
+func (nw *Network) Add(own netip.AddrPort, public netip.Addr) error {
+	e := &networkPeer{own: own, public: netip.AddrPortFrom(public, own.Port())}
 	var err error
-	if e.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.known)); err != nil {
+	if e.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.public)); err != nil {
 		return err
 	}
-	if e.tcp, err = net.Listen("tcp4", e.known.String()); err != nil {
+	if e.tcp, err = net.Listen("tcp4", e.public.String()); err != nil {
 		e.udp.Close()
 		return err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ends[own.Addr()] = e
-	w.done.Go(func() { w.datagrams(e) })
-	w.done.Go(func() { w.connections(e) })
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.peers[own.Addr()] = e
+	nw.done.Go(func() { nw.forwardDatagrams(e) })
+	nw.done.Go(func() { nw.forwardConnections(e) })
 	return nil
 }
 
 // SetFault sets the fault by the own addresses of sender and receiver.
-func (w *Network) SetFault(f func(from, to netip.Addr) NetworkFault) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fault = f
+func (nw *Network) SetFault(f func(from, to netip.Addr) NetworkFault) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.fault = f
 }
 
 // SetLink limits what the process with the given own address sends on connections that
 // it accepts from now on.
-func (w *Network) SetLink(own netip.Addr, l *Link) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ends[own].link = l
+func (nw *Network) SetLink(own netip.Addr, l *Link) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	nw.peers[own].link = l
 }
 
 // Close stops the network.
-func (w *Network) Close() {
-	w.mu.Lock()
-	for _, e := range w.ends {
+func (nw *Network) Close() {
+	nw.mu.Lock()
+	for _, e := range nw.peers {
 		e.udp.Close()
 		e.tcp.Close()
 	}
-	w.mu.Unlock()
-	w.done.Wait()
+	nw.mu.Unlock()
+	nw.done.Wait()
 }
 
 // Translate returns value, which reader reads from the store, with the own addresses of
 // the other processes replaced by their addresses on the network.
-func (w *Network) Translate(reader netip.Addr, value []byte) []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for addr, e := range w.ends {
+func (nw *Network) Translate(reader netip.Addr, value []byte) []byte {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	for addr, e := range nw.peers {
 		if addr != reader {
-			value = bytes.ReplaceAll(value, []byte(e.own.String()), []byte(e.known.String()))
+			value = bytes.ReplaceAll(value, []byte(e.own.String()), []byte(e.public.String()))
 		}
 	}
 	return value
 }
 
-func (w *Network) datagrams(to *networkPeer) {
+func (nw *Network) forwardDatagrams(to *networkPeer) {
 	b := make([]byte, 2048)
 	for {
 		n, source, err := to.udp.ReadFromUDPAddrPort(b)
 		if err != nil {
 			return
 		}
-		from, copies, delay := w.plan(source.Addr().Unmap(), to.own.Addr())
+		from, copies, delay := nw.plan(source.Addr().Unmap(), to.own.Addr())
 		packet := bytes.Clone(b[:n])
 		for range copies {
 			time.AfterFunc(delay, func() { from.udp.WriteToUDPAddrPort(packet, to.own) })
@@ -119,39 +120,39 @@
 
 // plan returns the sender of a datagram, how many copies of it to deliver, and after
 // which delay.
-func (w *Network) plan(source, to netip.Addr) (from *networkPeer, copies int, delay time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	from = w.ends[source]
+func (nw *Network) plan(source, to netip.Addr) (from *networkPeer, copies int, delay time.Duration) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	from = nw.peers[source]
 	if from == nil {
 		return nil, 0, 0
 	}
-	f := w.fault(source, to)
-	if f.Cut || w.rng.Float64() < f.Loss {
+	f := nw.fault(source, to)
+	if f.Cut || nw.rng.Float64() < f.Loss {
 		return from, 0, 0
 	}
 	copies = 1
-	if w.rng.Float64() < f.Duplicate {
+	if nw.rng.Float64() < f.Duplicate {
 		copies = 2
 	}
 	delay = f.Delay
 	if f.Jitter > 0 {
-		delay += time.Duration(w.rng.Int64N(int64(f.Jitter)))
+		delay += time.Duration(nw.rng.Int64N(int64(f.Jitter)))
 	}
 	return from, copies, delay
 }
 
-// connections forwards connections. On loopback the client can't be identified, so a
-// connection is refused only if the receiver is cut off from all processes.
-func (w *Network) connections(to *networkPeer) {
+// forwardConnections forwards connections to a process. On loopback the client can't be
+// identified, so a connection is refused only if the receiver is cut off from all processes.
+func (nw *Network) forwardConnections(to *networkPeer) {
 	for {
 		c, err := to.tcp.Accept()
 		if err != nil {
 			return
 		}
-		w.mu.Lock()
-		cut, link := w.fault(netip.Addr{}, to.own.Addr()).Cut, to.link
-		w.mu.Unlock()
+		nw.mu.Lock()
+		cut, link := nw.fault(netip.Addr{}, to.own.Addr()).Cut, to.link
+		nw.mu.Unlock()
 		upstream, err := net.Dial("tcp4", to.own.String())
 		if err != nil {
 			c.Close()
@@ -162,7 +163,7 @@
 			upstream.Close()
 			continue
 		}
-		w.done.Go(func() { join(link.Limit(c), upstream) })
+		nw.done.Go(func() { join(link.Limit(c), upstream) })
 	}
 }
 
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -19,8 +19,8 @@
 	App               netip.AddrPort // where it receives packets and status checks
 	Outbound          netip.AddrPort // where it sends packets to callers
 	Control           netip.AddrPort // where it sends heartbeats
-	HeartbeatInterval time.Duration  // between heartbeats
-	RequestDuration   time.Duration  // of a request
+	HeartbeatInterval time.Duration
+	RequestDuration   time.Duration
 	Slots             int
 	Journal           *Journal
 }
@@ -40,18 +40,18 @@
 	drained  time.Time // when a heartbeat that reports it was acknowledged
 	closed   bool
 	sequence uint64
-	taken    int // flows accepted so far
+	accepted int // flows accepted so far
 }
 
 type serverFlow struct {
-	service  netip.AddrPort
-	first    uint32 // the server's first sequence number
-	next     uint32 // sequence number of the next byte sent
-	expected uint32 // sequence number of the next byte from the caller
-	open     bool
-	ended    bool
-	unacked  []Header
-	tries    int
+	service         netip.AddrPort
+	first           uint32 // the server's first sequence number
+	next            uint32 // sequence number of the next byte sent
+	expected        uint32 // sequence number of the next byte from the caller
+	open            bool
+	ended           bool
+	unacked         []Header
+	retransmissions int
 }
 
 // Journal records what the servers and callers of a test observe.
@@ -145,12 +145,12 @@
 func (s *Server) Flows() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken
+	return s.accepted
 }
 
 // Deregister deregisters the server and ends it.
 func (s *Server) Deregister() {
-	s.post("deregister", nil)
+	s.postControl("deregister", nil)
 	s.Crash()
 }
 
@@ -188,7 +188,7 @@
 		"concurrency": s.cfg.Slots, "state": state, "coldRemainingMs": 0, "sequence": s.sequence,
 	}
 	s.mu.Unlock()
-	if !s.post("heartbeat", body) || state == "ready" {
+	if !s.postControl("heartbeat", body) || state == "ready" {
 		return
 	}
 	s.mu.Lock()
@@ -198,7 +198,7 @@
 	}
 }
 
-func (s *Server) post(call string, body any) bool {
+func (s *Server) postControl(call string, body any) bool {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return false
@@ -263,7 +263,7 @@
 		f = &serverFlow{service: h.Dst, first: rand.Uint32(), expected: h.Seq + 1}
 		f.next = f.first + 1
 		s.flows[h.Src] = f
-		s.taken++
+		s.accepted++
 	}
 	s.send(Header{Src: h.Dst, Dst: h.Src, Seq: f.first, Ack: f.expected, Flags: FlagSyn | FlagAck})
 }
@@ -283,7 +283,7 @@
 		}
 	}
 	f.unacked = remaining
-	f.tries = 0
+	f.retransmissions = 0
 	if h.Flags&FlagFin != 0 {
 		f.ended = true
 	}
@@ -350,10 +350,10 @@
 		}
 		s.mu.Lock()
 		for _, f := range s.flows {
-			if len(f.unacked) == 0 || f.tries == maxRetransmissions || f.ended {
+			if len(f.unacked) == 0 || f.retransmissions == maxRetransmissions || f.ended {
 				continue
 			}
-			f.tries++
+			f.retransmissions++
 			for _, h := range f.unacked {
 				s.send(h)
 			}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -79,7 +79,7 @@
 	mux.HandleFunc("GET /api/kv-watch", s.guard("watch", false, s.watch))
 	mux.HandleFunc("POST /api/kv-txn", s.guard("txn", true, s.txn))
 	mux.HandleFunc("POST /api/kv-lease", s.guard("lease", true, s.grant))
-	mux.HandleFunc("POST /api/kv-keep/{id}", s.guard("keep", true, s.keep))
+	mux.HandleFunc("POST /api/kv-keep/{id}", s.guard("keep", true, s.keepAlive))
 	mux.HandleFunc("DELETE /api/kv-lease-end/{id}", s.guard("lease-end", true, s.endLease))
 	s.http = httptest.NewServer(mux)
 	return s
@@ -337,7 +337,7 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		events, compacted := s.since(q.Get("prefix"), after)
+		events, compacted := s.eventsSince(q.Get("prefix"), after)
 		changed, revision, f := s.changed, s.revision, s.faultOf(r)
 		s.mu.Unlock()
 		switch {
@@ -359,7 +359,7 @@
 	}
 }
 
-func (s *Store) since(prefix string, after uint64) (events []item, compacted bool) {
+func (s *Store) eventsSince(prefix string, after uint64) (events []item, compacted bool) {
 	if after < s.oldest || after > s.revision {
 		return nil, true
 	}
@@ -425,7 +425,7 @@
 	return http.StatusOK, map[string]any{"lease": s.revision, "ttlMs": b.TTLMs}
 }
 
-func (s *Store) keep(r *http.Request) (int, any) {
+func (s *Store) keepAlive(r *http.Request) (int, any) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -74,7 +74,7 @@
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	for range senders {
-		wg.Go(func() { sendUntil(r.To, packets, &stop) })
+		wg.Go(func() { sendPackets(r.To, packets, &stop) })
 	}
 	for warm := 0; warm < packetsPerRound/10; {
 		warm += r.Step()
@@ -97,7 +97,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func sendUntil(to netip.AddrPort, packets [][]byte, stop *atomic.Bool) {
+// sendPackets sends packets to to, over and over, until stop is set.
+func sendPackets(to netip.AddrPort, packets [][]byte, stop *atomic.Bool) {
 	c, err := udp.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -32,14 +32,14 @@
 	store.CodeInvalid:      http.StatusBadRequest,
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func refuse(w http.ResponseWriter, e *store.ErrorBody) {
-	answer(w, statusOf[e.Code], e)
+func writeError(w http.ResponseWriter, e *store.ErrorBody) {
+	writeJSON(w, statusOf[e.Code], e)
 }
 
 // admit counts a call, applies the faults that come before its effect and
@@ -53,7 +53,7 @@
 		return false
 	}
 	if faults.Outage {
-		refuse(w, &store.ErrorBody{Code: store.CodeNotRun, Detail: "outage"})
+		writeError(w, &store.ErrorBody{Code: store.CodeNotRun, Detail: "outage"})
 		return false
 	}
 	if limit.Allow() {
@@ -63,7 +63,7 @@
 	s.calls.Limited++
 	s.mu.Unlock()
 	w.Header().Set("Retry-After", "1")
-	answer(w, http.StatusTooManyRequests, &store.ErrorBody{Code: store.CodeNotRun, Detail: "over the rate"})
+	writeJSON(w, http.StatusTooManyRequests, &store.ErrorBody{Code: store.CodeNotRun, Detail: "over the rate"})
 	return false
 }
 
@@ -81,7 +81,7 @@
 func decode(w http.ResponseWriter, r *http.Request, body any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyLimit)).Decode(body)
 	if err != nil {
-		refuse(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: err.Error()})
+		writeError(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: err.Error()})
 	}
 	return err == nil
 }
@@ -111,10 +111,10 @@
 	rec, ok := s.values[r.URL.Query().Get(store.ParamKey)]
 	s.mu.Unlock()
 	if !ok {
-		refuse(w, &store.ErrorBody{Code: store.CodeNotFound})
+		writeError(w, &store.ErrorBody{Code: store.CodeNotFound})
 		return
 	}
-	answer(w, http.StatusOK, store.ValueBody{Data: rec.Data, Version: rec.Version})
+	writeJSON(w, http.StatusOK, store.ValueBody{Data: rec.Data, Version: rec.Version})
 }
 
 func (s *Server) handleSwap(w http.ResponseWriter, r *http.Request) {
@@ -127,9 +127,9 @@
 	s.mu.Unlock()
 	switch {
 	case refused != nil:
-		refuse(w, refused)
+		writeError(w, refused)
 	case !s.loseAnswer(w):
-		answer(w, http.StatusOK, store.VersionBody{Version: version})
+		writeJSON(w, http.StatusOK, store.VersionBody{Version: version})
 	}
 }
 
@@ -143,9 +143,9 @@
 	s.mu.Unlock()
 	switch {
 	case refused != nil:
-		refuse(w, refused)
+		writeError(w, refused)
 	case !s.loseAnswer(w):
-		answer(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
@@ -155,14 +155,14 @@
 		return
 	}
 	if body.TTL <= 0 {
-		refuse(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: "ttl_ms must be above 0"})
+		writeError(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: "ttl_ms must be above 0"})
 		return
 	}
 	s.mu.Lock()
 	id := s.grant(time.Now(), time.Duration(body.TTL)*time.Millisecond)
 	s.mu.Unlock()
 	if !s.loseAnswer(w) {
-		answer(w, http.StatusOK, store.LeaseBody{Lease: id, TTL: body.TTL})
+		writeJSON(w, http.StatusOK, store.LeaseBody{Lease: id, TTL: body.TTL})
 	}
 }
 
@@ -176,9 +176,9 @@
 	s.mu.Unlock()
 	switch {
 	case !ok:
-		refuse(w, &store.ErrorBody{Code: store.CodeLeaseExpired})
+		writeError(w, &store.ErrorBody{Code: store.CodeLeaseExpired})
 	case !s.loseAnswer(w):
-		answer(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
@@ -188,15 +188,15 @@
 	}
 	after, err := strconv.ParseUint(r.URL.Query().Get(store.ParamAfter), 10, 64)
 	if err != nil {
-		refuse(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: "after: " + err.Error()})
+		writeError(w, &store.ErrorBody{Code: store.CodeInvalid, Detail: "after: " + err.Error()})
 		return
 	}
 	v, refused := s.watch(r.Context(), r.URL.Query().Get(store.ParamKey), after)
 	if refused != nil {
-		refuse(w, refused)
+		writeError(w, refused)
 		return
 	}
-	answer(w, http.StatusOK, store.ValueBody(v))
+	writeJSON(w, http.StatusOK, store.ValueBody(v))
 }
 
 // watch waits until the value has a version above after, the server's maximum wait is
@@ -243,13 +243,13 @@
 }
 
 func (s *Server) handleCalls(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, s.Calls())
+	writeJSON(w, http.StatusOK, s.Calls())
 }
 
 func (s *Server) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if decode(w, r, &f) {
 		s.SetFaults(f)
-		answer(w, http.StatusOK, f)
+		writeJSON(w, http.StatusOK, f)
 	}
 }
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -43,7 +43,7 @@
 	block cipher.Block
 	in    [flowInput]byte
 	mac   [aes.BlockSize]byte
-	limit uint64
+	limit uint64 // flows whose hash is at most limit are sampled
 }
 
 // NewFlowHasher returns a hasher with the ring's first key that samples the given
@@ -106,7 +106,7 @@
 type flowKey struct{}
 
 // WithFlowSpan returns a context in which the next span is started with the identity
-// w. The trace ID of w is used only if the span has no parent.
+// span. The trace ID of span is used only if the started span has no parent.
 func WithFlowSpan(ctx context.Context, span FlowSpan) context.Context {
 	return context.WithValue(ctx, flowKey{}, span)
 }
