--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -76,20 +76,20 @@
 	writtenBefore atomic.Int64
 }
 
-func (p *sendTracker) trace() *httptrace.ClientTrace {
+func (t *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		c, ok := i.Conn.(*countingConn)
 		if !ok {
 			return
 		}
-		p.writtenBefore.Store(c.written.Load())
-		p.conn.Store(c)
+		t.writtenBefore.Store(c.written.Load())
+		t.conn.Store(c)
 	}}
 }
 
-func (p *sendTracker) sent() bool {
-	c := p.conn.Load()
-	return c != nil && c.written.Load() > p.writtenBefore.Load()
+func (t *sendTracker) sent() bool {
+	c := t.conn.Load()
+	return c != nil && c.written.Load() > t.writtenBefore.Load()
 }
 
 // singleUse hides the type of a body, so that http.Transport can't send it again.
@@ -102,8 +102,8 @@
 
 // do sends a request once and returns the response. Errors: *CallError.
 func (b *backend) do(ctx context.Context, in *http.Request, header http.Header) (*http.Response, error) {
-	probe := &sendTracker{}
-	ctx = httptrace.WithClientTrace(ctx, probe.trace())
+	tracker := &sendTracker{}
+	ctx = httptrace.WithClientTrace(ctx, tracker.trace())
 	u := *b.url
 	u.Path, u.RawPath, u.RawQuery = in.URL.Path, in.URL.RawPath, in.URL.RawQuery
 	out := (&http.Request{
@@ -121,7 +121,7 @@
 	}
 	resp, err := b.transport.RoundTrip(out)
 	if err != nil {
-		return nil, &CallError{Sent: probe.sent(), Err: err}
+		return nil, &CallError{Sent: tracker.sent(), Err: err}
 	}
 	return resp, nil
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -43,9 +43,9 @@
 	memberListRequestedAt time.Time // when the request with memberListSeq was sent
 	tickedAt              time.Time
 	listedAt              time.Time // when the member list first contained this agent
-	complete              bool
-	otherServing          int // number of other agents of the service that accept new flows
-	otherAgents           int // number of other agents of the service
+	complete              bool      // the latest member list is complete
+	otherServing          int       // number of other agents of the service that accept new flows
+	otherAgents           int       // number of other agents of the service
 }
 
 func newClaims(link *control.Link, self netip.AddrPort, cfg idempotency.Config) *claims {
@@ -82,8 +82,8 @@
 	c.claims.do(func(now time.Time) { c.claims.req.Finish(now, c.id, s, status) })
 }
 
-// begin waits for the right to run a request with the key, or returns the fault to answer
-// with. The caller has to send the request at once, since the claim may expire otherwise.
+// begin waits for the right to run a request with the key, or returns the fault to send as
+// the response. The request has to be sent at once, since the claim may expire otherwise.
 func (c *claims) begin(ctx context.Context, key idempotency.Key) (*claim, *Fault) {
 	effects := make(chan idempotency.Effect, 2)
 	var id uint64
@@ -111,6 +111,7 @@
 	}
 }
 
+// start reports whether request id may be sent now; its claim may have expired in the meantime.
 func (c *claims) start(id uint64) (ok bool) {
 	c.do(func(now time.Time) { ok = c.req.Start(now, id) })
 	return ok
@@ -210,6 +211,8 @@
 	}
 }
 
+// recordService records what a member list shows about the other agents of the service. It
+// ignores a list that does not contain this agent. c.mu is held.
 func (c *claims) recordService(now time.Time, m control.MemberListResponse) {
 	if !slices.Contains(m.Live, c.self) {
 		return
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -31,7 +31,7 @@
 	contacts       *contact.Client
 	seeds          []netip.AddrPort // from the settings and the contact slots
 	requestedAt    time.Time
-	newerFrom      netip.AddrPort // a balancer that has another version of the entry; zero if none is known
+	newerFrom      netip.AddrPort // a balancer whose catalogue has a newer version of the entry, or no entry; zero if none is known
 	observerIndex  int            // index of the observer used last
 	health         chan bool
 	reachableSince time.Time // when the backend server became reachable; zero while it is unreachable
--- a/internal/agent/entry.go
+++ b/internal/agent/entry.go
@@ -22,7 +22,7 @@
 }
 
 // requestEntry requests the catalogue entry until it is known, and again when an
-// acknowledgement has reported another version.
+// acknowledgement has reported a newer version or that the catalogue has no entry.
 func (l *controlLoop) requestEntry(now time.Time) {
 	if now.Sub(l.requestedAt) < entryRequestInterval {
 		return
--- a/internal/agent/flows.go
+++ b/internal/agent/flows.go
@@ -16,16 +16,17 @@
 	"github.com/hemlockscale/hemlockscale/placement"
 )
 
-// flows decides which new flows this agent keeps. Only the receive loop calls place, any
-// goroutine may call load, and updateLoad and recordOutcome are called under the gate's lock.
+// flows decides which new flows this agent keeps and which it forwards, and computes the
+// agent's occupancy. Only the receive loop calls place, any goroutine may call load, and
+// updateLoad and recordOutcome are called under the gate's lock.
 type flows struct {
 	self           netip.AddrPort
 	decider        *placement.Decider
 	packet         quicwire.Packet
 	meter          placement.Meter
 	busy           prometheus.Gauge
-	maxConnections atomic.Int64 // connection limit of the catalogue entry
-	level          atomic.Uint32
+	maxConnections atomic.Int64  // connection limit of the catalogue entry
+	level          atomic.Uint32 // occupancy without the recent flows
 	perRequest     atomic.Uint32 // increase of level for one more request
 	recent         recentFlows
 	leaving        atomic.Bool
@@ -103,9 +104,9 @@
 	f.busy.Set(float64(l.Slots))
 	f.level.Store(uint32(f.meter.Occupancy(now, usage)))
 	f.recent.rotate(now)
-	more := usage
-	more.Queue++
-	f.perRequest.Store(uint32(max(1, int(more.Occupancy())-int(usage.Occupancy()))))
+	withOneMore := usage
+	withOneMore.Queue++
+	f.perRequest.Store(uint32(max(1, int(withOneMore.Occupancy())-int(usage.Occupancy()))))
 }
 
 // recordOutcome records the outcome of a request to the backend server.
@@ -116,6 +117,8 @@
 	f.meter.Done(now, o != admission.OK)
 }
 
+// occupancy returns the agent's occupancy, in which each recent flow counts as one request. It
+// is placement.Full while the agent leaves.
 func (f *flows) occupancy() placement.Occupancy {
 	if f.leaving.Load() {
 		return placement.Full
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -85,6 +85,7 @@
 	return g.await(ctx, r.ID, wait)
 }
 
+// await waits for the decision on a queued request, or withdraws it when ctx ends.
 func (g *gate) await(ctx context.Context, id uint64, wait chan admission.Effect) (*permit, error) {
 	select {
 	case e := <-wait:
@@ -139,6 +140,8 @@
 	g.deliver()
 }
 
+// deliver sends the controller's decisions to the waiting requests and calls onLoad. g.mu is
+// held.
 func (g *gate) deliver() {
 	g.effects = g.ctrl.Effects(g.effects[:0])
 	for _, e := range g.effects {
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -90,9 +90,9 @@
 	}
 	defer resp.Body.Close()
 	header.stop()
-	claim.finish(stateOfAnswer(resp), resp.StatusCode)
+	claim.finish(stateOfResponse(resp), resp.StatusCode)
 	permit.headerReceived()
-	h.answer(w, resp)
+	h.writeResponse(w, resp)
 	permit.done(admissionResult(resp))
 }
 
@@ -131,9 +131,9 @@
 	return idempotency.Released
 }
 
-// stateOfAnswer returns the state of a request with a response. A backend server that sheds
+// stateOfResponse returns the state of a request with a response. A backend server that sheds
 // a request and returns Retry-After has not run it, so a retry is allowed.
-func stateOfAnswer(resp *http.Response) idempotency.State {
+func stateOfResponse(resp *http.Response) idempotency.State {
 	if isShed(resp) && resp.Header.Get("Retry-After") != "" {
 		return idempotency.Released
 	}
@@ -223,10 +223,10 @@
 	return out
 }
 
-// answer forwards the backend server's response. If the response is truncated, the caller's
+// writeResponse forwards the backend server's response. If the response is truncated, the caller's
 // stream is reset. If it were closed normally, a response without a length would appear
 // complete.
-func (h *handler) answer(w http.ResponseWriter, resp *http.Response) {
+func (h *handler) writeResponse(w http.ResponseWriter, resp *http.Response) {
 	header := w.Header()
 	for k, v := range resp.Header {
 		header[k] = v
--- a/internal/agent/paths.go
+++ b/internal/agent/paths.go
@@ -85,9 +85,9 @@
 	stallReported bool // reportStall has reported or counted this stall
 	spacing       spacing
 
-	current      *returnPath // return path in use; nil while the path searches for one
-	currentSince time.Time
-	creditedAt   time.Time // when a delivery was last recorded for current
+	current            *returnPath // return path in use; nil while the path searches for one
+	currentSince       time.Time
+	deliveryRecordedAt time.Time // when a delivery was last recorded for current
 }
 
 // recordReceived records that a packet of the path was received through r.
@@ -119,10 +119,10 @@
 	if responseTime := now.Sub(p.sentAt); responseTime < maxResponseTimeout/2 {
 		p.responseTime += time.Duration(float64(responseTime-p.responseTime) * responseTimeGain)
 	}
-	if p.current == nil || now.Sub(p.currentSince) < switchGrace || now.Sub(p.creditedAt) < minResponseTimeout {
+	if p.current == nil || now.Sub(p.currentSince) < switchGrace || now.Sub(p.deliveryRecordedAt) < minResponseTimeout {
 		return
 	}
-	p.creditedAt = now
+	p.deliveryRecordedAt = now
 	p.current.recordDelivery()
 }
 
@@ -183,13 +183,13 @@
 // paths is the table of all paths and return paths of an agent. Idle paths are removed;
 // return paths are bounded by the number of balancers.
 type paths struct {
-	mu              sync.Mutex
-	byKey           map[pathKey]*path
-	returnPaths     map[netip.AddrPort]*returnPath
-	newest          time.Time // when a packet was last received through any return path
-	sweptAt         time.Time
-	unvalidatedTurn int // counter that rotates unvalidated paths among their return paths
-	stalls          stalls
+	mu                  sync.Mutex
+	byKey               map[pathKey]*path
+	returnPaths         map[netip.AddrPort]*returnPath
+	newest              time.Time // when a packet was last received through any return path
+	sweptAt             time.Time
+	unvalidatedSearches int // number of searches for unvalidated paths; rotates them among their return paths
+	stalls              stalls
 }
 
 func newPaths() *paths {
@@ -320,8 +320,8 @@
 		n = p.listReturnPaths(out, least, now, t.newest)
 	}
 	if !p.validated && n > 1 {
-		out[0] = out[t.unvalidatedTurn%n]
-		t.unvalidatedTurn++
+		out[0] = out[t.unvalidatedSearches%n]
+		t.unvalidatedSearches++
 		return 1
 	}
 	return n
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -208,8 +208,8 @@
 		}
 	}
 	for _, b := range allBalancers {
-		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("return path through %v is not usable: %+v", b, *w)
+		if r := c.t.returnPaths[b]; r.grade(c.now, c.t.newest) != gradeUsable {
+			t.Errorf("return path through %v is not usable: %+v", b, *r)
 		}
 	}
 }
@@ -244,8 +244,8 @@
 		c.receive(testKey, balancerC)
 	}
 	for _, b := range allBalancers[1:] {
-		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("return path through %v is not usable: %+v", b, *w)
+		if r := c.t.returnPaths[b]; r.grade(c.now, c.t.newest) != gradeUsable {
+			t.Errorf("return path through %v is not usable: %+v", b, *r)
 		}
 	}
 }
--- a/internal/agent/tracing.go
+++ b/internal/agent/tracing.go
@@ -75,7 +75,7 @@
 	f := t.byKey[key]
 	// A caller's socket may open another flow, which gets an entry of its own.
 	if f == nil || f.ids[0].Trace != flow.Trace {
-		if f == nil && !t.makeRoom(now) {
+		if f == nil && !t.ensureCapacity(now) {
 			return
 		}
 		f = &tracedFlow{at: now}
@@ -87,9 +87,9 @@
 	}
 }
 
-// makeRoom reports whether another flow may be recorded. At the limit it first removes
-// flows whose connection was never established. m.mu is held.
-func (t *tracedFlows) makeRoom(now time.Time) bool {
+// ensureCapacity reports whether another flow may be recorded. At the limit it first removes
+// flows whose connection was never established. t.mu is held.
+func (t *tracedFlows) ensureCapacity(now time.Time) bool {
 	if len(t.byKey) < maxTracedFlows {
 		return true
 	}
