--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -246,8 +246,8 @@
 }
 
 // Deregister implements node.ServerEvents.
-func (a *Agent) Deregister(instance string, born int64) {
-	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, born) })
+func (a *Agent) Deregister(instance string, startTimeMs int64) {
+	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, startTimeMs) })
 }
 
 // readBalancers is the loop that receives balancers' messages.
--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -40,7 +40,7 @@
 // Opened implements flow.GateTracer.
 func (t *tracer) Opened(_ time.Time, id flow.ID, via netip.AddrPort, after time.Duration) {
 	t.log.Info("flow opened", node.FlowField(id.Key), zap.Stringer("via", via), zap.Duration("after", after))
-	t.spans.Agent(id, via, after)
+	t.spans.RecordOpen(id, via, after)
 }
 
 // NotHeld implements flow.GateTracer.
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -36,7 +36,7 @@
 func (t *tracer) Taken(_ time.Time, id flow.ID, route flow.Route, agent netip.AddrPort, offers int, after time.Duration) {
 	t.takenTime.Observe(after.Seconds())
 	t.log.Info("flow taken", node.FlowField(id.Key), zap.String("route", route.Name), zap.Stringer("agent", agent), zap.Int("offers", offers), zap.Duration("after", after))
-	t.spans.Balancer(id, t.self, after, "", attribute.String("route", route.Name), attribute.Stringer("agent", agent), attribute.Int("offers", offers))
+	t.spans.RecordOffer(id, t.self, after, "", attribute.String("route", route.Name), attribute.Stringer("agent", agent), attribute.Int("offers", offers))
 }
 
 // Refused implements flow.Tracer.
@@ -47,7 +47,7 @@
 // Abandoned implements flow.Tracer.
 func (t *tracer) Abandoned(_ time.Time, id flow.ID, route flow.Route, reason flow.Reason, offers int, after time.Duration, reset bool) {
 	t.log.Info("flow not taken", node.FlowField(id.Key), zap.String("route", route.Name), zap.Stringer("reason", reason), zap.Int("offers", offers), zap.Duration("after", after), zap.Bool("reset", reset))
-	t.spans.Balancer(id, t.self, after, reason.String(), attribute.String("route", route.Name), attribute.Int("offers", offers))
+	t.spans.RecordOffer(id, t.self, after, reason.String(), attribute.String("route", route.Name), attribute.Int("offers", offers))
 }
 
 // Reset implements flow.Tracer.
@@ -77,7 +77,8 @@
 	why     string
 }
 
-// changedAgents lists the agents with the same state change since the last flush.
+// changedAgents lists the agents with the same state change since the last flush. since is the
+// time of the first change.
 type changedAgents struct {
 	since  time.Time
 	agents []string
@@ -88,22 +89,22 @@
 // agents, which every balancer logs, are half of all log lines in a fleet of hundreds.
 func (t *tracer) Agent(now time.Time, agent netip.AddrPort, service flow.ServiceID, state flow.ServerState, why string) {
 	kind := agentChange{service, state, why}
-	b := t.changes[kind]
-	if b == nil {
-		b = &changedAgents{since: now}
-		t.changes[kind] = b
+	changed := t.changes[kind]
+	if changed == nil {
+		changed = &changedAgents{since: now}
+		t.changes[kind] = changed
 	}
-	b.agents = append(b.agents, agent.String())
+	changed.agents = append(changed.agents, agent.String())
 }
 
 // flush logs the collected state changes of agents.
 func (t *tracer) flush(now time.Time) {
-	for kind, b := range t.changes {
+	for kind, changed := range t.changes {
 		fields := []zap.Field{zap.Uint64("service", uint64(kind.service)), zap.Stringer("state", kind.state), zap.String("why", kind.why)}
-		if len(b.agents) == 1 {
-			t.log.Info("agent", append(fields, zap.String("agent", b.agents[0]), zap.Duration("ago", now.Sub(b.since)))...)
+		if len(changed.agents) == 1 {
+			t.log.Info("agent", append(fields, zap.String("agent", changed.agents[0]), zap.Duration("ago", now.Sub(changed.since)))...)
 		} else {
-			t.log.Info("agents", append(fields, zap.Int("count", len(b.agents)), zap.Strings("agents", b.agents), zap.Duration("ago_at_most", now.Sub(b.since)))...)
+			t.log.Info("agents", append(fields, zap.Int("count", len(changed.agents)), zap.Strings("agents", changed.agents), zap.Duration("ago_at_most", now.Sub(changed.since)))...)
 		}
 	}
 	clear(t.changes)
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -108,7 +108,7 @@
 	ctx      context.Context
 	exchange *transfer.Exchange
 	resp     *http.Response
-	known    uint64 // number of the content that this process has
+	known    uint64 // content number of the value that the requesting process has
 	err      error
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,12 +15,12 @@
 	// Heartbeat handles a heartbeat. It returns false for one that was ignored and
 	// therefore must not be acknowledged.
 	Heartbeat(flow.Heartbeat) bool
-	// InvalidHeartbeat records a heartbeat that can't have come from a backend server,
-	// with the fault found in it.
+	// InvalidHeartbeat records a heartbeat that can't be decoded or has an invalid field;
+	// the error gives the reason. It can't have come from a backend server.
 	InvalidHeartbeat(error)
-	// Deregister records that an instance of the server ends. born is its start time, as in
-	// flow.Heartbeat.
-	Deregister(instance string, born int64)
+	// Deregister records that an instance of the server ends. startTimeMs is the instance's
+	// start time, as in flow.Heartbeat.
+	Deregister(instance string, startTimeMs int64)
 }
 
 // PacketCodec reads and writes the platform's packets.
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -107,12 +107,12 @@
 	before, _ := decodeKnown(known)
 	o := Orders{Configuration: before.Configuration}
 	for _, i := range snapshot.Items {
-		s.applyPut(&o, i.Key, i.Data, snapshot.Revision)
+		s.applyPut(&o, i.Key, i.Data, snapshot.Version)
 	}
 	if len(o.Configuration) == 0 {
 		return store.Value{}, &store.NotFoundError{Key: s.Keys.Configuration}
 	}
-	return s.encodeValue(&o, known, snapshot.Revision), nil
+	return s.encodeValue(&o, known, snapshot.Version), nil
 }
 
 // Watch implements ValueSource.
@@ -122,8 +122,8 @@
 		return s.Read(ctx, known)
 	}
 	changes, upTo, err := s.Store.Changes(ctx, s.Keys.Prefix, s.watchFrom(known.Version))
-	var long *store.ResponseTooLargeError
-	if errors.As(err, &long) {
+	var tooLarge *store.ResponseTooLargeError
+	if errors.As(err, &tooLarge) {
 		// The list holds several changes of a large configuration, of which only the last counts.
 		return s.Read(ctx, known)
 	}
@@ -178,9 +178,9 @@
 	}
 }
 
-// encodeValue returns the orders at a version of the store as a value, which is the known
-// one if they are the same. In a new store era unchanged orders also get a new version, which
-// notifies every process of the era.
+// encodeValue returns the orders at a version of the store as a value. It returns the known
+// value if the orders are unchanged. In a new store era unchanged orders also get a new
+// version, by which every process detects the era.
 func (s *OrdersSource) encodeValue(o *Orders, known store.Value, version uint64) store.Value {
 	v := store.Value{Data: o.Encode(), Version: version}
 	if known.Version != 0 && bytes.Equal(v.Data, known.Data) && store.EraOf(known.Version) == store.EraOf(version) {
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -44,7 +44,7 @@
 func (k *orderStore) compact() { k.oldest, k.history = k.revision, nil }
 
 func (k *orderStore) Snapshot(_ context.Context, prefix string) (store.Snapshot, error) {
-	s := store.Snapshot{Revision: k.version()}
+	s := store.Snapshot{Version: k.version()}
 	for key, data := range k.items {
 		if strings.HasPrefix(key, prefix) {
 			s.Items = append(s.Items, store.Item{Key: key, Value: store.Value{Data: data}})
@@ -202,7 +202,7 @@
 // Guards against removed routes that are served again. The store is restored from an older
 // copy without the current configuration, and a balancer reads the older one before the
 // operator has written the current one again, and serves it to a balancer that starts.
-func TestOlderConfigurationOfTheCopyIsNotTaken(t *testing.T) {
+func TestOlderConfigurationIsNotAppliedAfterRestore(t *testing.T) {
 	k := newOrderStore()
 	k.put("orders/configuration", "1")
 	copied := k.copy()
@@ -253,15 +253,15 @@
 		copied := k.copy()
 		var sources [2]OrdersSource
 		var held [2]store.Value
-		seen := map[uint64][]byte{}
+		dataByVersion := map[uint64][]byte{}
 		for i := range sources {
 			sources[i] = OrdersSource{Store: k, Keys: testKeys}
 		}
 		take := func(i int, v store.Value) {
-			if data, known := seen[v.Version]; known && !bytes.Equal(data, v.Data) {
+			if data, known := dataByVersion[v.Version]; known && !bytes.Equal(data, v.Data) {
 				t.Fatalf("two different sets of orders have version %s", store.FormatVersion(v.Version))
 			}
-			seen[v.Version] = v.Data
+			dataByVersion[v.Version] = v.Data
 			if v.Version > held[i].Version {
 				held[i] = v
 			}
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -49,7 +49,8 @@
 
 func (p *Peer) key() string { return rolePrefix(p.Role) + p.Addr.String() }
 
-// PeerError reports a key under PeersPrefix whose content no process can have written.
+// PeerError reports a key under PeersPrefix that does not hold a valid registration of a
+// process.
 type PeerError struct {
 	Key    string
 	Reason string
@@ -105,9 +106,9 @@
 	// from an older copy and the renewal of the lease. Keys have to be back within two seconds.
 	reclaimJitter = 500 * time.Millisecond
 	// retryBase and retryMax bound the delay between retries of failed calls. Keys have to be
-	// back within two seconds of the store's return, and refused calls cost as much as others:
-	// with 1 s, and 150 ms at a start, an outage that affects some of 82 processes
-	// causes a third more calls in a day, 2,070 instead of 1,594.
+	// back within two seconds of the store's return. Refused calls cost as much as others: if
+	// processes retried every 1 s, and every 150 ms while they start, an outage for some of 82
+	// processes would cause a third more calls in a day, 2,070 instead of 1,594.
 	retryBase = 200 * time.Millisecond
 	retryMax  = 1800 * time.Millisecond
 )
@@ -211,8 +212,8 @@
 }
 
 // observeOwnEra records the store era of a response of the store to this process. A new era
-// is announced to the other processes: in an idle fleet no other process may call the store
-// for a second or two, and by then their keys have to be back.
+// is announced to the other processes: in an idle fleet a second or two may pass until another
+// process calls the store, and by then the processes' keys have to be back.
 func (r *Registrar) observeOwnEra(era store.Era) {
 	if uint64(era) <= r.latestEra.Load() {
 		return
@@ -356,7 +357,7 @@
 	var restored *store.RestoredError
 	switch {
 	case errors.As(err, &expired):
-		r.Log.Warn("lease of own key expired, registering again", zap.String("lease", string(lease)))
+		r.Log.Warn("lease of this process's key expired, registering again", zap.String("lease", string(lease)))
 		r.setLease("")
 		return r.register(ctx)
 	case errors.As(err, &restored):
@@ -382,7 +383,7 @@
 	return r.takeOverOrRegister(ctx, own)
 }
 
-// list reads the keys of other processes and checks that the own key is in the store.
+// list reads the keys of other processes and checks that this process's key is in the store.
 func (r *Registrar) list(ctx context.Context) error {
 	// A balancer's first list is not stale, because after a start of the whole fleet the
 	// balancer assumes that its agents are all agents that exist.
@@ -494,6 +495,6 @@
 	if !errors.As(err, &missing) {
 		return err
 	}
-	r.Log.Warn("own key is missing from the store, registering again", zap.String("key", r.Self.key()))
+	r.Log.Warn("this process's key is missing from the store, registering again", zap.String("key", r.Self.key()))
 	return r.register(ctx)
 }
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -14,10 +14,10 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-const soundPeer = `{"role":"agent","addr":"10.1.0.22:8492","zone":"qro-a","service":"huvo11a"}`
+const validPeer = `{"role":"agent","addr":"10.1.0.22:8492","zone":"qro-a","service":"huvo11a"}`
 
 func TestPeerIsRead(t *testing.T) {
-	p, err := parsePeer(PeersPrefix+"agent/10.1.0.22:8492", []byte(soundPeer))
+	p, err := parsePeer(PeersPrefix+"agent/10.1.0.22:8492", []byte(validPeer))
 	if err != nil || p.Role != RoleAgent || p.Service != "huvo11a" {
 		t.Errorf("registration decoded as %+v, %v", p, err)
 	}
@@ -30,16 +30,16 @@
 		{"no JSON", "agent/10.1.0.22:8492", `?`},
 		{"empty", "agent/10.1.0.22:8492", `{}`},
 		{"a list", "agent/10.1.0.22:8492", `[]`},
-		{"unknown role", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `"agent"`, `"clerk"`, 1)},
-		{"role of another type", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `"agent"`, `7`, 1)},
-		{"no address", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `10.1.0.22:8492`, ``, 1)},
-		{"no port", "agent/10.1.0.22:0", strings.Replace(soundPeer, `:8492`, `:0`, 1)},
-		{"IPv6", "agent/[::1]:8492", strings.Replace(soundPeer, `10.1.0.22`, `[::1]`, 1)},
-		{"key of another address", "agent/10.1.0.23:8492", soundPeer},
-		{"key of another role", "balancer/10.1.0.22:8492", soundPeer},
-		{"key without a role", "10.1.0.22:8492", soundPeer},
-		{"no service", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `huvo11a`, ``, 1)},
-		{"no zone", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `qro-a`, ``, 1)},
+		{"unknown role", "agent/10.1.0.22:8492", strings.Replace(validPeer, `"agent"`, `"clerk"`, 1)},
+		{"role of another type", "agent/10.1.0.22:8492", strings.Replace(validPeer, `"agent"`, `7`, 1)},
+		{"no address", "agent/10.1.0.22:8492", strings.Replace(validPeer, `10.1.0.22:8492`, ``, 1)},
+		{"no port", "agent/10.1.0.22:0", strings.Replace(validPeer, `:8492`, `:0`, 1)},
+		{"IPv6", "agent/[::1]:8492", strings.Replace(validPeer, `10.1.0.22`, `[::1]`, 1)},
+		{"key of another address", "agent/10.1.0.23:8492", validPeer},
+		{"key of another role", "balancer/10.1.0.22:8492", validPeer},
+		{"key without a role", "10.1.0.22:8492", validPeer},
+		{"no service", "agent/10.1.0.22:8492", strings.Replace(validPeer, `huvo11a`, ``, 1)},
+		{"no zone", "agent/10.1.0.22:8492", strings.Replace(validPeer, `qro-a`, ``, 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if p, err := parsePeer(PeersPrefix+c.key, []byte(c.data)); err == nil {
@@ -51,7 +51,7 @@
 
 // Checks that every key that parsePeer accepts is the registration of a reachable process.
 func FuzzPeer(f *testing.F) {
-	f.Add("agent/10.1.0.22:8492", []byte(soundPeer))
+	f.Add("agent/10.1.0.22:8492", []byte(validPeer))
 	f.Add("", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, key string, data []byte) {
 		p, err := parsePeer(PeersPrefix+key, data)
@@ -70,9 +70,10 @@
 	items map[string]store.Item
 	lease int
 	calls map[string]int
-	// during, if not nil, runs once before a list is returned, from list number at on.
-	during func()
-	at     int
+	// duringList, if not nil, is called once, before the call of List with number fromList or
+	// a later one returns.
+	duringList func()
+	fromList   int
 }
 
 func newKeyStore() *keyStore {
@@ -104,8 +105,8 @@
 func (s *keyStore) List(_ context.Context, prefix string, _ bool) ([]store.Item, error) {
 	s.calls["list"]++
 	defer func() {
-		if f := s.during; f != nil && s.calls["list"] >= s.at {
-			s.during = nil
+		if f := s.duringList; f != nil && s.calls["list"] >= s.fromList {
+			s.duringList = nil
 			f()
 		}
 	}()
@@ -167,8 +168,8 @@
 			s := newKeyStore()
 			first, foundByFirst := newRegistrar(s, order[0])
 			second, foundBySecond := newRegistrar(s, order[1])
-			s.at = at
-			s.during = func() {
+			s.fromList = at
+			s.duringList = func() {
 				if err := second.step(context.Background()); err != nil {
 					t.Error(err)
 				}
@@ -209,7 +210,7 @@
 	select {
 	case <-i.leaseCheckDue():
 	default:
-		t.Error("no check of the own key is due after a new store era")
+		t.Error("no check of the process's own key is due after a new store era")
 	}
 }
 
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -35,7 +35,7 @@
 func (s *Settings) Fields() []zap.Field {
 	return []zap.Field{
 		zap.String("vm", s.Name), zap.String("zone", s.Zone), zap.String("service", s.Service), zap.Int("seeds", len(s.Seeds)),
-		zap.Duration("max_flow_age", s.MaxFlowAge), zap.Duration("grace", s.Grace), zap.Duration("address_rest", s.AddressReuseDelay), zap.Float64("link_bytes_per_second", s.LinkRate),
+		zap.Duration("max_flow_age", s.MaxFlowAge), zap.Duration("grace", s.Grace), zap.Duration("address_reuse_delay", s.AddressReuseDelay), zap.Float64("link_bytes_per_second", s.LinkRate),
 	}
 }
 
--- a/internal/node/spans.go
+++ b/internal/node/spans.go
@@ -30,10 +30,10 @@
 	return &Spans{provider: p, flows: flows}, nil
 }
 
-// Balancer records the span in which the balancer at self offered a new flow to agents.
+// RecordOffer records the span in which the balancer at self offered a new flow to agents.
 // failed is the reason why no agent accepted it, empty if one did. It is not safe for
 // concurrent use.
-func (s *Spans) Balancer(id flow.ID, self netip.AddrPort, took time.Duration, failed string, attrs ...attribute.KeyValue) {
+func (s *Spans) RecordOffer(id flow.ID, self netip.AddrPort, took time.Duration, failed string, attrs ...attribute.KeyValue) {
 	if s == nil {
 		return
 	}
@@ -41,9 +41,9 @@
 	s.provider.Record(s.flows, tracing.Hop{Name: "offer", Flow: s.id, Via: self, Root: true, Duration: took, FailureReason: failed, Attrs: attrs})
 }
 
-// Agent records the span in which an agent opened a flow that the balancer at via offered.
+// RecordOpen records the span in which an agent opened a flow that the balancer at via offered.
 // It is not safe for concurrent use.
-func (s *Spans) Agent(id flow.ID, via netip.AddrPort, took time.Duration, attrs ...attribute.KeyValue) {
+func (s *Spans) RecordOpen(id flow.ID, via netip.AddrPort, took time.Duration, attrs ...attribute.KeyValue) {
 	if s == nil || !via.IsValid() {
 		return
 	}
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -54,10 +54,10 @@
 	via := netip.MustParseAddrPort("10.0.0.1:7720")
 	balancer, endBalancer := newTestSpans(t, 1)
 	agent, endAgent := newTestSpans(t, 1)
-	balancer.Balancer(id, via, 20*time.Millisecond, "")
-	agent.Agent(id, via, 10*time.Millisecond)
+	balancer.RecordOffer(id, via, 20*time.Millisecond, "")
+	agent.RecordOpen(id, via, 10*time.Millisecond)
 	id.Opener++
-	balancer.Balancer(id, via, time.Millisecond, "busy")
+	balancer.RecordOffer(id, via, time.Millisecond, "busy")
 	offers, opens := endBalancer(), endAgent()
 	if len(offers) != 2 || len(opens) != 1 {
 		t.Fatalf("%d spans of the balancer, %d of the agent, want 2 and 1", len(offers), len(opens))
@@ -79,10 +79,10 @@
 	if s != nil || err != nil {
 		t.Fatalf("spans without a provider: %v, %v", s, err)
 	}
-	s.Balancer(flow.ID{}, netip.AddrPort{}, 0, "")
-	s.Agent(flow.ID{}, netip.AddrPort{}, 0)
+	s.RecordOffer(flow.ID{}, netip.AddrPort{}, 0, "")
+	s.RecordOpen(flow.ID{}, netip.AddrPort{}, 0)
 	none, end := newTestSpans(t, 0)
-	none.Balancer(flow.ID{}, netip.MustParseAddrPort("10.0.0.1:7720"), 0, "")
+	none.RecordOffer(flow.ID{}, netip.MustParseAddrPort("10.0.0.1:7720"), 0, "")
 	if got := end(); len(got) != 0 {
 		t.Errorf("%d spans at a sample rate of 0", len(got))
 	}
@@ -110,14 +110,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id.Opener++
-				s.Balancer(id, via, time.Millisecond, "")
+				s.RecordOffer(id, via, time.Millisecond, "")
 			}
 		})
 	}
 	b.Run("off", func(b *testing.B) {
 		var s *Spans
 		for b.Loop() {
-			s.Balancer(flow.ID{}, via, time.Millisecond, "")
+			s.RecordOffer(flow.ID{}, via, time.Millisecond, "")
 		}
 	})
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestWriteOutcomeByAnswer(t *testing.T) {
+func TestWriteOutcomeByResponse(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -86,8 +86,8 @@
 
 func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// operate makes n random operations with its own client.
-func (r *recorder) operate(t *testing.T, url string, s *standin.Server, operator, n int) {
+// runOperations makes n random operations with its own client.
+func (r *recorder) runOperations(t *testing.T, url string, s *standin.Server, operator, n int) {
 	client, err := store.New(store.Config{URL: url})
 	if err != nil {
 		t.Error(err)
@@ -169,7 +169,7 @@
 	r := &recorder{start: time.Now(), edits: make(map[catalogue.EditID]bool)}
 	var wg sync.WaitGroup
 	for operator := range 4 {
-		wg.Go(func() { r.operate(t, hs.URL, s, operator, 60) })
+		wg.Go(func() { r.runOperations(t, hs.URL, s, operator, 60) })
 	}
 	wg.Wait()
 	if res := porcupine.CheckOperationsTimeout(model, r.history, time.Minute); res != porcupine.Ok {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -56,8 +56,8 @@
 
 // Snapshot is the items whose keys begin with a prefix, at one version of the store.
 type Snapshot struct {
-	Items    []Item
-	Revision uint64 // version of the store, as returned by VersionAt
+	Items   []Item
+	Version uint64 // of the store, as returned by VersionAt
 }
 
 // Change is a write or a removal of a key.
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -20,7 +20,8 @@
 	Version uint64 `json:"version"`
 }
 
-// SwapBody is the request of a compare-and-swap or a delete.
+// SwapBody is the request of a compare-and-swap or a delete. Expect is the expected version,
+// as in Interface.
 type SwapBody struct {
 	Key    string  `json:"key"`
 	Expect uint64  `json:"expect"`
@@ -50,7 +51,8 @@
 	CodeInvalid      = "invalid"
 )
 
-// ErrorBody is the response to a failed call.
+// ErrorBody is the response to a failed call. Current is the key's version, set for
+// CodeConflict.
 type ErrorBody struct {
 	Code    string `json:"code"`
 	Current uint64 `json:"current,omitempty"`
