--- a/internal/balancer/catalogue.go
+++ b/internal/balancer/catalogue.go
@@ -70,7 +70,7 @@
 }
 
 // replyBulk answers a bulk request with a function that writes a copy of the requested
-// state. The goroutine of the request's connection calls it.
+// state. The goroutine of the request's connection calls that function.
 func (l *controlLoop) replyBulk(q bulkRequest) {
 	switch q.kind {
 	case bulk.KindCatalogue:
--- a/internal/balancer/voters.go
+++ b/internal/balancer/voters.go
@@ -74,24 +74,24 @@
 	return xxhash.Sum64(b)
 }
 
-// answer returns the response to a request for the voters of a service.
-func (v *voters) answer(q control.MemberListRequest, now time.Time) control.MemberListResponse {
-	a := control.MemberListResponse{Seq: q.Seq, Complete: now.Sub(v.started) > v.retention}
-	list := v.services[q.Service]
+// respond returns the response to a request for the voters of a service.
+func (v *voters) respond(request control.MemberListRequest, now time.Time) control.MemberListResponse {
+	response := control.MemberListResponse{Seq: request.Seq, Complete: now.Sub(v.started) > v.retention}
+	list := v.services[request.Service]
 	list = slices.DeleteFunc(list, func(e voter) bool { return !e.departedAt.IsZero() && now.Sub(e.departedAt) > v.retention })
-	v.services[q.Service] = list
+	v.services[request.Service] = list
 	for _, e := range list {
 		if e.takesFlows {
-			a.Serving++
+			response.Serving++
 		}
 		switch {
-		case e.departedAt.IsZero() && len(a.Live) < control.MaxVoters:
-			a.Live = append(a.Live, e.addr)
-		case !e.departedAt.IsZero() && len(a.Departed) < control.MaxVoters:
-			a.Departed = append(a.Departed, control.DepartedVoter{Addr: e.addr, Age: uint32(now.Sub(e.departedAt) / time.Second), Left: e.stoppedVoting})
+		case e.departedAt.IsZero() && len(response.Live) < control.MaxVoters:
+			response.Live = append(response.Live, e.addr)
+		case !e.departedAt.IsZero() && len(response.Departed) < control.MaxVoters:
+			response.Departed = append(response.Departed, control.DepartedVoter{Addr: e.addr, Age: uint32(now.Sub(e.departedAt) / time.Second), Left: e.stoppedVoting})
 		}
 	}
-	return a
+	return response
 }
 
 // sendVoters answers an agent's request for the voters on its service's idempotency keys.
@@ -101,7 +101,7 @@
 		l.b.metrics.controlRejected.Inc()
 		return
 	}
-	if err := l.link.Send(seal.TopicMemberList, to, l.voters.answer(q, now)); err != nil {
+	if err := l.link.Send(seal.TopicMemberList, to, l.voters.respond(q, now)); err != nil {
 		l.b.log.Error("list of voters could not be sent to an agent", zap.Error(err))
 	}
 }
