--- a/internal/balancer/dataplane.go
+++ b/internal/balancer/dataplane.go
@@ -104,15 +104,15 @@
 		}
 		d.clock.update()
 		for i := range n {
-			d.returnPacket(r, w, i, &h)
+			d.receiveDatagram(r, w, i, &h)
 		}
 		d.metrics.sendErrors.Add(float64(w.Flush()))
 	}
 }
 
-// returnPacket handles the i-th datagram of the batch: an agent's packet for a caller or a
+// receiveDatagram handles the i-th datagram of the batch: an agent's packet for a caller or a
 // control datagram.
-func (d *dataplane) returnPacket(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
+func (d *dataplane) receiveDatagram(r *udp.Reader, w *udp.Writer, i int, h *frame.Header) {
 	b := r.Datagram(i)
 	if len(b) > 0 && frame.Kind(b[0]) == frame.KindControl {
 		d.queueControl(r.Source(i), b)
