--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -156,7 +156,7 @@
 		StatelessResetKey:     &reset,
 		TokenGeneratorKey:     &token,
 	}
-	// Session tickets are encrypted under the service's key only. 0-RTT is off,
+	// Sessions resumed by a ticket are encrypted under the service's key only. 0-RTT is off,
 	// because early data can be replayed and a replayed request would run twice.
 	os.Setenv(bufferWarningVariable, "true")
 	tlsConfig := http3.ConfigureTLSConfig(&tls.Config{Certificates: []tls.Certificate{a.cfg.Certificate}})
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestDeadlineIsPassedOn checks that the backend server receives the remaining time of the
+// TestDeadlineIsForwarded checks that the backend server receives the remaining time of the
 // caller, and that the caller gets a response when that is over.
-func TestDeadlineIsPassedOn(t *testing.T) {
+func TestDeadlineIsForwarded(t *testing.T) {
 	received := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body is read
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -49,6 +49,6 @@
 		keysReady:        gauge("keys_ready", "1 if requests with idempotency keys can run at this agent, otherwise 0."),
 		retries:          counter("retries_total", "Requests sent to the backend server a second time."),
 		requests:         vec("requests_total", "Requests by outcome.", "outcome"),
-		refusals:         vec("refusals_total", "Requests refused before anything was sent to the backend server, by reason.", "reason"),
+		refusals:         vec("refusals_total", "Connections that were closed and requests that the agent answered instead of the backend server, by reason.", "reason"),
 	}
 }
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -78,10 +78,10 @@
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
 	}
-	on := c.send(testKey)[0]
+	used := c.send(testKey)[0]
 	c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	if to := c.send(testKey); len(to) != 3 {
-		t.Fatalf("unresponsive on %v, tried %v, want all three balancers", on, to)
+		t.Fatalf("unresponsive on %v, tried %v, want all three balancers", used, to)
 	}
 }
 
--- a/internal/agent/spacing_test.go
+++ b/internal/agent/spacing_test.go
@@ -10,13 +10,13 @@
 func TestPacketsOfUnresponsivePathAreSpaced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s spacing
-	if _, kept := s.hold([]byte{1}, now); kept != nil {
+	if _, held := s.hold([]byte{1}, now); held != nil {
 		t.Fatal("packet held on a path that was never unresponsive")
 	}
 	s.start(now)
 	now = now.Add(ackSpacing)
-	if before, kept := s.hold([]byte{2}, now); before != nil || kept != nil {
-		t.Fatalf("first packet of a burst: before %v, held %v, want neither", before, kept)
+	if before, held := s.hold([]byte{2}, now); before != nil || held != nil {
+		t.Fatalf("first packet of a burst: before %v, held %v, want neither", before, held)
 	}
 	_, second := s.hold([]byte{3}, now)
 	if second == nil {
@@ -34,7 +34,7 @@
 	}
 	now = now.Add(spacingDuration)
 	s.hold([]byte{5}, now)
-	if _, kept := s.hold([]byte{6}, now); kept != nil {
+	if _, held := s.hold([]byte{6}, now); held != nil {
 		t.Error("packet held after spacingDuration")
 	}
 }
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -224,10 +224,10 @@
 }
 
 // Heartbeat implements node.ServerEvents.
-func (a *Agent) Heartbeat(b flow.Heartbeat) (accepted bool) {
+func (a *Agent) Heartbeat(heartbeat flow.Heartbeat) (accepted bool) {
 	start := time.Now()
 	defer func() { a.heartbeatTime.Observe(time.Since(start).Seconds()) }()
-	a.handleEvent(func(now time.Time) { accepted = a.gate.Heartbeat(now, b) })
+	a.handleEvent(func(now time.Time) { accepted = a.gate.Heartbeat(now, heartbeat) })
 	return accepted
 }
 
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -150,8 +150,8 @@
 	return o, err
 }
 
-// applyPut applies a key with its data, as read at a version of the store, to o. It ignores
-// keys that hold no orders.
+// applyPut adds the order in a key, with its data as read at a version of the store, to o. It
+// ignores keys that hold no orders.
 func (s *OrdersSource) applyPut(o *Orders, key string, data []byte, version uint64) {
 	if key == s.Keys.Configuration {
 		o.Configuration = s.newerConfiguration(data, version, o.Configuration)
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -124,6 +124,7 @@
 	return v
 }
 
+// failer is the part of *testing.T and *rapid.T that the helpers need.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -320,7 +321,7 @@
 // Guards against a configuration that was in force and is reverted after the store was restored
 // from an older copy. Processes that start read the store's older configuration, while the
 // others keep the newer one, and the higher version must not decide between the two.
-func TestNoProcessGoesBackToAnOlderConfiguration(t *testing.T) {
+func TestNoProcessRevertsToOlderConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 3
 		k := newOrderStore()
@@ -334,7 +335,7 @@
 			before := held[i]
 			held[i] = sources[i].Merge(before, v)
 			if before.Version > held[i].Version || sources[i].ContentNumber(before.Data) > sources[i].ContentNumber(held[i].Data) {
-				t.Fatalf("process %d goes back from version %s with %q to version %s with %q", i, store.FormatVersion(before.Version), before.Data, store.FormatVersion(held[i].Version), held[i].Data)
+				t.Fatalf("process %d reverts from version %s with %q to version %s with %q", i, store.FormatVersion(before.Version), before.Data, store.FormatVersion(held[i].Version), held[i].Data)
 			}
 		}
 		for i := range processes {
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -139,8 +139,8 @@
 func TestLeaseOfEarlierProcessIsTakenOver(t *testing.T) {
 	s := newKeyStore()
 	for range 2 {
-		i, _ := newRegistrar(s, agentPeer)
-		if err := i.step(context.Background()); err != nil {
+		r, _ := newRegistrar(s, agentPeer)
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -149,8 +149,8 @@
 	}
 	other := agentPeer
 	other.Service = "another"
-	i, _ := newRegistrar(s, other)
-	if err := i.step(context.Background()); err != nil {
+	r, _ := newRegistrar(s, other)
+	if err := r.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if p, err := parsePeer(other.key(), s.items[other.key()].Data); err != nil || p != other {
@@ -189,18 +189,18 @@
 // other processes.
 func TestNewStoreEraInResponseIsReported(t *testing.T) {
 	s := newKeyStore()
-	i, _ := newRegistrar(s, agentPeer)
+	r, _ := newRegistrar(s, agentPeer)
 	var notified []uint64
-	i.StoreRestored = func(version uint64) { notified = append(notified, version) }
-	if err := i.step(context.Background()); err != nil {
+	r.StoreRestored = func(version uint64) { notified = append(notified, version) }
+	if err := r.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	i.setLease(store.LeaseAt(0, 7))
-	i.renewAt, i.listAt = time.Now().Add(time.Hour), time.Now()
+	r.setLease(store.LeaseAt(0, 7))
+	r.renewAt, r.listAt = time.Now().Add(time.Hour), time.Now()
 	s.items[balancerPeer.key()] = store.Item{Key: balancerPeer.key(), Value: store.Value{Version: store.VersionAt(1, 5)}}
 	s.items[agentPeer.key()] = store.Item{Key: agentPeer.key(), Value: store.Value{Version: store.VersionAt(0, 9)}}
 	for range 2 {
-		if err := i.step(context.Background()); err != nil {
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -208,7 +208,7 @@
 		t.Errorf("StoreRestored called with %v, want the era's first version once", notified)
 	}
 	select {
-	case <-i.leaseCheckDue():
+	case <-r.leaseCheckDue():
 	default:
 		t.Error("no check of the process's own key is due after a new store era")
 	}
@@ -221,8 +221,8 @@
 	other := agentPeer
 	other.Addr = netip.MustParseAddrPort("10.1.0.23:8492")
 	for _, p := range []Peer{balancerPeer, other, agentPeer} {
-		i, found := newRegistrar(s, p)
-		if err := i.step(context.Background()); err != nil {
+		r, found := newRegistrar(s, p)
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if p == agentPeer && (len(*found) != 1 || (*found)[0] != balancerPeer) {
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -13,7 +13,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/tracing"
 )
 
-// spanRecorder is an exporter that passes on the spans of a process.
+// spanRecorder is an exporter that sends the spans of a process to a channel.
 type spanRecorder struct{ spans chan sdk.ReadOnlySpan }
 
 func (k spanRecorder) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
--- a/internal/node/value_test.go
+++ b/internal/node/value_test.go
@@ -27,6 +27,7 @@
 	return f, listen(t, link, ValueHandler(f))
 }
 
+// listen starts an HTTP server, over link if that is not nil, and returns its address.
 func listen(t testing.TB, link *platform.Link, h http.Handler) netip.AddrPort {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -102,8 +103,8 @@
 	f.take(store.Value{Data: incompressible(1 << 16), Version: 61})
 	for _, known := range []store.Value{{Data: []byte("newer"), Version: 65}, {Data: []byte("other"), Version: 61}} {
 		_, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
-		var nothing *NotNewerError
-		if !errors.As(err, &nothing) || nothing.Version != 61 {
+		var notNewer *NotNewerError
+		if !errors.As(err, &notNewer) || notNewer.Version != 61 {
 			t.Fatalf("request with version %d: %v, want *NotNewerError", known.Version, err)
 		}
 	}
@@ -127,17 +128,17 @@
 func TestEveryClientReceivesTheNewestValue(t *testing.T) {
 	f, addr := startServer(t, nil)
 	version := uint64(0)
-	seen := []store.Value{{}}
+	values := []store.Value{{}}
 	rapid.Check(t, func(rt *rapid.T) {
 		for range rapid.IntRange(1, 6).Draw(rt, "values") {
 			version++
 			line := rapid.StringN(0, 40, -1).Draw(rt, "line")
 			data := []byte(strings.Repeat(line, rapid.IntRange(0, 300).Draw(rt, "repeats")))
-			seen = append(seen, store.Value{Data: data, Version: version})
-			f.take(seen[len(seen)-1])
+			values = append(values, store.Value{Data: data, Version: version})
+			f.take(values[len(values)-1])
 		}
-		newest := seen[len(seen)-1]
-		known := seen[rapid.IntRange(0, len(seen)-2).Draw(rt, "known")]
+		newest := values[len(values)-1]
+		known := values[rapid.IntRange(0, len(values)-2).Draw(rt, "known")]
 		v, err := NewValueClient().Fetch(context.Background(), []netip.AddrPort{addr}, known)
 		if err != nil || v.Version != newest.Version || string(v.Data) != string(newest.Data) {
 			rt.Fatalf("request with version %d: received version %d, %d bytes, %v", known.Version, v.Version, len(v.Data), err)
@@ -151,7 +152,7 @@
 	f, _ := startServer(t, nil)
 	f.take(store.Value{Data: []byte("before"), Version: 1})
 	f.take(store.Value{Data: []byte("after"), Version: 2})
-	damaging := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	damagingServer := listen(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("If-None-Match") != "" {
 			w.Header().Set("ETag", `"0"`)
 			w.Header().Set(versionHeader, "2")
@@ -165,11 +166,11 @@
 	c := NewValueClient()
 	known := store.Value{Data: []byte("before"), Version: 1}
 	var damaged *ValueDecodeError
-	if _, err := c.Fetch(context.Background(), []netip.AddrPort{damaging}, known); !errors.As(err, &damaged) {
-		t.Fatalf("%v", err)
+	if _, err := c.Fetch(context.Background(), []netip.AddrPort{damagingServer}, known); !errors.As(err, &damaged) {
+		t.Fatalf("fetch of a damaged value: %v, want *ValueDecodeError", err)
 	}
-	if v := fetch(t, c, known, damaging); string(v.Data) != "after" {
-		t.Fatalf("%q", v.Data)
+	if v := fetch(t, c, known, damagingServer); string(v.Data) != "after" {
+		t.Fatalf("received %q after a decode error, want the full value", v.Data)
 	}
 }
 
@@ -181,7 +182,7 @@
 		w.Write([]byte("plain"))
 	}))
 	if v := fetch(t, NewValueClient(), store.Value{Data: []byte("x"), Version: 2}, plain); string(v.Data) != "plain" {
-		t.Errorf("%q", v.Data)
+		t.Errorf("received %q from an earlier program version", v.Data)
 	}
 	f, addr := startServer(t, nil)
 	f.take(store.Value{Data: []byte("plain"), Version: 3})
--- a/internal/store/version_test.go
+++ b/internal/store/version_test.go
@@ -32,6 +32,6 @@
 // Guards against a revision above maxRevision that changes the era's bits of a version.
 func TestRevisionOutOfRange(t *testing.T) {
 	if v := VersionAt(1, maxRevision+1); EraOf(v) != 1 || RevisionOf(v) != maxRevision {
-		t.Errorf("version %s", FormatVersion(v))
+		t.Errorf("revision out of range gives version %s", FormatVersion(v))
 	}
 }
