--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -50,7 +50,7 @@
 
 // State implements flow.GateTracer.
 func (t *tracer) State(_ time.Time, before, after flow.ServerState, why string) {
-	t.log.Info("server", zap.Stringer("before", before), zap.Stringer("state", after), zap.String("why", why))
+	t.log.Info("server", zap.Stringer("before", before), zap.Stringer("state", after), zap.String("reason", why))
 	if after != flow.ServerReady {
 		return
 	}
--- a/internal/flowbalancer/trace.go
+++ b/internal/flowbalancer/trace.go
@@ -62,7 +62,7 @@
 
 // Ended implements flow.Tracer.
 func (t *tracer) Ended(_ time.Time, key flow.Key, reason flow.Reason, agent netip.AddrPort, atMost time.Duration) {
-	t.log.Info("flow ended, caller waits for capacity", node.FlowField(key), zap.Stringer("reason", reason), zap.Stringer("agent", agent), zap.Duration("at_most", atMost))
+	t.log.Info("flow ended, caller waits for capacity", node.FlowField(key), zap.Stringer("reason", reason), zap.Stringer("agent", agent), zap.Duration("wait_at_most", atMost))
 }
 
 // Found implements flow.Tracer.
@@ -100,7 +100,7 @@
 // flush logs the collected state changes of agents.
 func (t *tracer) flush(now time.Time) {
 	for kind, changed := range t.changes {
-		fields := []zap.Field{zap.Uint64("service", uint64(kind.service)), zap.Stringer("state", kind.state), zap.String("why", kind.why)}
+		fields := []zap.Field{zap.Uint64("service", uint64(kind.service)), zap.Stringer("state", kind.state), zap.String("reason", kind.why)}
 		if len(changed.agents) == 1 {
 			t.log.Info("agent", append(fields, zap.String("agent", changed.agents[0]), zap.Duration("ago", now.Sub(changed.since)))...)
 		} else {
