--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -30,7 +30,7 @@
 	st := store.ForCatalogue(client)
 
 	var mu sync.Mutex
-	moved := make(chan uint64, 64)
+	newRevisions := make(chan uint64, 64)
 	r := catalogue.NewReplica(catalogue.ReplicaConfig{Peers: func(int) []netip.AddrPort { return nil }})
 	f := catalogue.NewFollower(catalogue.FollowerConfig{CheckInterval: 50 * time.Millisecond, BackoffMax: 50 * time.Millisecond, Rand: rand.New(rand.NewPCG(1, 1))}, r)
 	do := func(run func(time.Time)) {
@@ -39,7 +39,7 @@
 		before := r.Digest().Revision
 		run(time.Now())
 		if now := r.Digest().Revision; now > before {
-			moved <- now
+			newRevisions <- now
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		for got := uint64(0); got < a.Revision; {
-			got = <-moved
+			got = <-newRevisions
 		}
 	}
 }
