--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -78,10 +78,10 @@
 	for _, b := range allBalancers {
 		c.receive(testKey, b)
 	}
-	on := c.send(testKey)[0]
+	used := c.send(testKey)[0]
 	c.now = c.now.Add(maxResponseTimeout + time.Millisecond)
 	if to := c.send(testKey); len(to) != 3 {
-		t.Fatalf("unresponsive on %v, tried %v, want all three balancers", on, to)
+		t.Fatalf("unresponsive on %v, tried %v, want all three balancers", used, to)
 	}
 }
 
@@ -208,8 +208,8 @@
 		}
 	}
 	for _, b := range allBalancers {
-		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("return path through %v is not usable: %+v", b, *w)
+		if r := c.t.returnPaths[b]; r.grade(c.now, c.t.newest) != gradeUsable {
+			t.Errorf("return path through %v is not usable: %+v", b, *r)
 		}
 	}
 }
@@ -244,8 +244,8 @@
 		c.receive(testKey, balancerC)
 	}
 	for _, b := range allBalancers[1:] {
-		if w := c.t.returnPaths[b]; w.grade(c.now, c.t.newest) != gradeUsable {
-			t.Errorf("return path through %v is not usable: %+v", b, *w)
+		if r := c.t.returnPaths[b]; r.grade(c.now, c.t.newest) != gradeUsable {
+			t.Errorf("return path through %v is not usable: %+v", b, *r)
 		}
 	}
 }
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -224,10 +224,10 @@
 }
 
 // Heartbeat implements node.ServerEvents.
-func (a *Agent) Heartbeat(b flow.Heartbeat) (accepted bool) {
+func (a *Agent) Heartbeat(heartbeat flow.Heartbeat) (accepted bool) {
 	start := time.Now()
 	defer func() { a.heartbeatTime.Observe(time.Since(start).Seconds()) }()
-	a.handleEvent(func(now time.Time) { accepted = a.gate.Heartbeat(now, b) })
+	a.handleEvent(func(now time.Time) { accepted = a.gate.Heartbeat(now, heartbeat) })
 	return accepted
 }
 
@@ -246,8 +246,8 @@
 }
 
 // Deregister implements node.ServerEvents.
-func (a *Agent) Deregister(instance string, born int64) {
-	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, born) })
+func (a *Agent) Deregister(instance string, startTimeMs int64) {
+	a.handleEvent(func(now time.Time) { a.gate.Deregister(now, instance, startTimeMs) })
 }
 
 // readBalancers is the loop that receives balancers' messages.
--- a/internal/node/registrar_test.go
+++ b/internal/node/registrar_test.go
@@ -14,10 +14,10 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-const soundPeer = `{"role":"agent","addr":"10.1.0.22:8492","zone":"qro-a","service":"huvo11a"}`
+const validPeer = `{"role":"agent","addr":"10.1.0.22:8492","zone":"qro-a","service":"huvo11a"}`
 
 func TestPeerIsRead(t *testing.T) {
-	p, err := parsePeer(PeersPrefix+"agent/10.1.0.22:8492", []byte(soundPeer))
+	p, err := parsePeer(PeersPrefix+"agent/10.1.0.22:8492", []byte(validPeer))
 	if err != nil || p.Role != RoleAgent || p.Service != "huvo11a" {
 		t.Errorf("registration decoded as %+v, %v", p, err)
 	}
@@ -30,16 +30,16 @@
 		{"no JSON", "agent/10.1.0.22:8492", `?`},
 		{"empty", "agent/10.1.0.22:8492", `{}`},
 		{"a list", "agent/10.1.0.22:8492", `[]`},
-		{"unknown role", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `"agent"`, `"clerk"`, 1)},
-		{"role of another type", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `"agent"`, `7`, 1)},
-		{"no address", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `10.1.0.22:8492`, ``, 1)},
-		{"no port", "agent/10.1.0.22:0", strings.Replace(soundPeer, `:8492`, `:0`, 1)},
-		{"IPv6", "agent/[::1]:8492", strings.Replace(soundPeer, `10.1.0.22`, `[::1]`, 1)},
-		{"key of another address", "agent/10.1.0.23:8492", soundPeer},
-		{"key of another role", "balancer/10.1.0.22:8492", soundPeer},
-		{"key without a role", "10.1.0.22:8492", soundPeer},
-		{"no service", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `huvo11a`, ``, 1)},
-		{"no zone", "agent/10.1.0.22:8492", strings.Replace(soundPeer, `qro-a`, ``, 1)},
+		{"unknown role", "agent/10.1.0.22:8492", strings.Replace(validPeer, `"agent"`, `"clerk"`, 1)},
+		{"role of another type", "agent/10.1.0.22:8492", strings.Replace(validPeer, `"agent"`, `7`, 1)},
+		{"no address", "agent/10.1.0.22:8492", strings.Replace(validPeer, `10.1.0.22:8492`, ``, 1)},
+		{"no port", "agent/10.1.0.22:0", strings.Replace(validPeer, `:8492`, `:0`, 1)},
+		{"IPv6", "agent/[::1]:8492", strings.Replace(validPeer, `10.1.0.22`, `[::1]`, 1)},
+		{"key of another address", "agent/10.1.0.23:8492", validPeer},
+		{"key of another role", "balancer/10.1.0.22:8492", validPeer},
+		{"key without a role", "10.1.0.22:8492", validPeer},
+		{"no service", "agent/10.1.0.22:8492", strings.Replace(validPeer, `huvo11a`, ``, 1)},
+		{"no zone", "agent/10.1.0.22:8492", strings.Replace(validPeer, `qro-a`, ``, 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if p, err := parsePeer(PeersPrefix+c.key, []byte(c.data)); err == nil {
@@ -51,7 +51,7 @@
 
 // Checks that every key that parsePeer accepts is the registration of a reachable process.
 func FuzzPeer(f *testing.F) {
-	f.Add("agent/10.1.0.22:8492", []byte(soundPeer))
+	f.Add("agent/10.1.0.22:8492", []byte(validPeer))
 	f.Add("", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, key string, data []byte) {
 		p, err := parsePeer(PeersPrefix+key, data)
@@ -70,9 +70,10 @@
 	items map[string]store.Item
 	lease int
 	calls map[string]int
-	// during, if not nil, runs once before a list is returned, from list number at on.
-	during func()
-	at     int
+	// duringList, if not nil, is called once, before the call of List with number fromList or
+	// a later one returns.
+	duringList func()
+	fromList   int
 }
 
 func newKeyStore() *keyStore {
@@ -104,8 +105,8 @@
 func (s *keyStore) List(_ context.Context, prefix string, _ bool) ([]store.Item, error) {
 	s.calls["list"]++
 	defer func() {
-		if f := s.during; f != nil && s.calls["list"] >= s.at {
-			s.during = nil
+		if f := s.duringList; f != nil && s.calls["list"] >= s.fromList {
+			s.duringList = nil
 			f()
 		}
 	}()
@@ -138,8 +139,8 @@
 func TestLeaseOfEarlierProcessIsTakenOver(t *testing.T) {
 	s := newKeyStore()
 	for range 2 {
-		i, _ := newRegistrar(s, agentPeer)
-		if err := i.step(context.Background()); err != nil {
+		r, _ := newRegistrar(s, agentPeer)
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -148,8 +149,8 @@
 	}
 	other := agentPeer
 	other.Service = "another"
-	i, _ := newRegistrar(s, other)
-	if err := i.step(context.Background()); err != nil {
+	r, _ := newRegistrar(s, other)
+	if err := r.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if p, err := parsePeer(other.key(), s.items[other.key()].Data); err != nil || p != other {
@@ -167,8 +168,8 @@
 			s := newKeyStore()
 			first, foundByFirst := newRegistrar(s, order[0])
 			second, foundBySecond := newRegistrar(s, order[1])
-			s.at = at
-			s.during = func() {
+			s.fromList = at
+			s.duringList = func() {
 				if err := second.step(context.Background()); err != nil {
 					t.Error(err)
 				}
@@ -188,18 +189,18 @@
 // other processes.
 func TestNewStoreEraInResponseIsReported(t *testing.T) {
 	s := newKeyStore()
-	i, _ := newRegistrar(s, agentPeer)
+	r, _ := newRegistrar(s, agentPeer)
 	var notified []uint64
-	i.StoreRestored = func(version uint64) { notified = append(notified, version) }
-	if err := i.step(context.Background()); err != nil {
+	r.StoreRestored = func(version uint64) { notified = append(notified, version) }
+	if err := r.step(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	i.setLease(store.LeaseAt(0, 7))
-	i.renewAt, i.listAt = time.Now().Add(time.Hour), time.Now()
+	r.setLease(store.LeaseAt(0, 7))
+	r.renewAt, r.listAt = time.Now().Add(time.Hour), time.Now()
 	s.items[balancerPeer.key()] = store.Item{Key: balancerPeer.key(), Value: store.Value{Version: store.VersionAt(1, 5)}}
 	s.items[agentPeer.key()] = store.Item{Key: agentPeer.key(), Value: store.Value{Version: store.VersionAt(0, 9)}}
 	for range 2 {
-		if err := i.step(context.Background()); err != nil {
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -207,9 +208,9 @@
 		t.Errorf("StoreRestored called with %v, want the era's first version once", notified)
 	}
 	select {
-	case <-i.leaseCheckDue():
+	case <-r.leaseCheckDue():
 	default:
-		t.Error("no check of the own key is due after a new store era")
+		t.Error("no check of the process's own key is due after a new store era")
 	}
 }
 
@@ -220,8 +221,8 @@
 	other := agentPeer
 	other.Addr = netip.MustParseAddrPort("10.1.0.23:8492")
 	for _, p := range []Peer{balancerPeer, other, agentPeer} {
-		i, found := newRegistrar(s, p)
-		if err := i.step(context.Background()); err != nil {
+		r, found := newRegistrar(s, p)
+		if err := r.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if p == agentPeer && (len(*found) != 1 || (*found)[0] != balancerPeer) {
