--- a/test/packets/config_test.go
+++ b/test/packets/config_test.go
@@ -15,9 +15,9 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// Guards against a balancer that stays out of rotation, and has no later change, for as long as
-// the store turns it away.
-func TestStoreServesSomeOnly(t *testing.T) {
+// Guards against a balancer that stays out of rotation, and misses later configuration changes,
+// while the store refuses its calls or does not answer them but serves all other processes.
+func TestStoreRefusesOneBalancer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault platform.Fault
@@ -33,18 +33,18 @@
 			b.process.Kill()
 			b.startProcess()
 			d.await("the balancer has the configuration", func() bool { return b.inForce(d.revision) })
-			d.await("the balancer is back", func() bool { return d.router.Ready() == len(d.balancers) })
+			d.await("the balancer is in rotation again", func() bool { return d.router.Ready() == len(d.balancers) })
 			d.serve(3, 5, "listing", "records")
-			d.idle++
+			d.unusedRoutes++
 			d.configure()
-			d.await("a change is in force there too", func() bool { return b.inForce(d.revision) })
+			d.await("the change is in force at that balancer", func() bool { return b.inForce(d.revision) })
 			d.serve(3, 5, "listing", "records")
 		})
 	}
 }
 
-// Guards against balancers that all started while the store was away and keep to an older
-// configuration once it is back.
+// Guards against balancers that keep an older configuration after the store recovers. All of
+// them start while the store refuses calls, and the configuration changes meanwhile.
 func TestStoreReturnsWithNewerConfiguration(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	for _, b := range d.balancers {
@@ -52,7 +52,7 @@
 		b.process.Kill()
 		b.startProcess()
 	}
-	d.idle++
+	d.unusedRoutes++
 	d.configure()
 	for _, b := range d.balancers {
 		b.endpoint.SetFault(platform.Fault{})
@@ -64,65 +64,64 @@
 	d.serve(2, 5, "listing")
 }
 
-// Guards against connections to the store that carry nothing and look like ones on which
-// nothing happens.
-func TestStoreConnectionsGoSilent(t *testing.T) {
+// Guards against stalled connections to the store, which stay open without data and look like
+// idle ones. Meanwhile keys are removed and the configuration changes.
+func TestStoreConnectionsStall(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	for _, v := range append(d.balancers[:2:2], d.agents...) {
 		v.endpoint.DropOpenConnections()
 	}
 	d.store.Remove("hemlock/nodes/")
-	d.idle++
+	d.unusedRoutes++
 	d.configure()
 	for _, b := range d.balancers {
 		d.await("the change is in force", func() bool { return b.inForce(d.revision) })
 	}
-	d.await("every key is back", func() bool { return len(d.store.Keys("hemlock/nodes/")) == 4 })
+	d.await("every key is in the store again", func() bool { return len(d.store.Keys("hemlock/nodes/")) == 4 })
 	d.serve(2, 5, "listing")
 }
 
-// Symptom: the store's rates are used up, and its price is the highest of all, when a
-// fleet grows.
-// Sequence: the configuration changes while many balancers run.
-// Cause: each of them watched it.
+// Guards against calls to the store that grow with the number of balancers, which would use up
+// the store's rate limits and make it the largest cost. The configuration changes while 2 and 8
+// balancers run; each of them watching the store by itself would be such a fault.
 func TestChangesCostTheSameWithMoreBalancers(t *testing.T) {
 	const changes = 5
 	for _, balancers := range []int{2, 8} {
 		d := start(t, balancers, "listing")
-		made := func() int {
+		callCount := func() int {
 			calls := d.store.Calls()
 			return calls["watch"] + calls["key"] + calls["range of orders"]
 		}
-		d.await("somebody watches", func() bool { return d.store.Calls()["watch"] > 0 })
-		before, begun := made(), time.Now()
+		d.await("a balancer watches the store", func() bool { return d.store.Calls()["watch"] > 0 })
+		before, begun := callCount(), time.Now()
 		for range changes {
-			d.idle++
+			d.unusedRoutes++
 			d.configure()
 			for _, b := range d.balancers {
 				d.await("the change is in force", func() bool { return b.inForce(d.revision) })
 			}
 		}
-		calls := made() - before
-		// Two a change and, for each Wait, a watch and half a read, twice over.
-		limit := 2*changes + 3*(1+int(time.Since(begun)/propagation.WatchTimeout))
-		if calls > limit {
-			t.Errorf("%d balancers: %d calls for %d changes, want %d at most", balancers, calls, changes, limit)
+		calls := callCount() - before
+		// Two calls for each change and, for each WatchTimeout, a watch and half a read, doubled.
+		maxCalls := 2*changes + 3*(1+int(time.Since(begun)/propagation.WatchTimeout))
+		if calls > maxCalls {
+			t.Errorf("%d balancers: %d calls for %d changes, want %d at most", balancers, calls, changes, maxCalls)
 		}
 	}
 }
 
-// Guards against open flows that stall, or a change that waits, while a large configuration is
-// read.
+// Guards against open flows that stall, and changes that are delayed, while balancers read a
+// large configuration.
 func TestManyRoutes(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	f, err := d.caller(0).Open(ctx, serviceAddr("listing"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		d.idle += 500
+		d.unusedRoutes += 500
 		d.configure()
 		for n := 0; n < 5 || !d.balancers[0].inForce(d.revision) || !d.balancers[1].inForce(d.revision); n++ {
 			if err := f.Request(ctx, d.requestID(), "listing", true, 2000); err != nil {
@@ -130,16 +129,16 @@
 			}
 		}
 	}
-	if !strings.Contains(d.balancers[0].process.Log(), fmt.Sprintf(`"routes":%d`, d.idle+len(d.routes))) {
-		t.Error("not every route is known")
+	if !strings.Contains(d.balancers[0].process.Log(), fmt.Sprintf(`"routes":%d`, d.unusedRoutes+len(d.routes))) {
+		t.Error("the balancer has not logged the number of all routes")
 	}
 	f.Close()
 	d.serve(2, 5, "listing")
 }
 
-// Guards against changed settings that count from the next start only, and wrong ones that are
-// taken.
-func TestSettingsAreReadAgain(t *testing.T) {
+// Guards against changed settings that take effect only at the next start, and invalid settings
+// that are accepted. The settings file is reloaded after SIGHUP and without a signal.
+func TestSettingsAreReloaded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		signal bool
@@ -158,16 +157,16 @@
 				if c.signal {
 					v.process.Hangup()
 				}
-				d.await("the wrong ones are refused", func() bool { return strings.Contains(v.process.Log(), "reload refused") })
+				d.await("the invalid settings are refused", func() bool { return strings.Contains(v.process.Log(), "reload refused") })
 			}
 			d.serve(1, 3, "listing")
 		})
 	}
 }
 
-// Guards against an exit code by which a supervisor starts a process with wrong settings again
-// and again.
-func TestWrongSettingsFile(t *testing.T) {
+// Guards against an exit code that makes a supervisor restart a process with invalid settings
+// in a loop. The settings file is not named, does not exist or is invalid.
+func TestInvalidSettingsFile(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "local.toml")
 	if err := os.WriteFile(bad, []byte(`ip = "nowhere"`), 0o600); err != nil {
 		t.Fatal(err)
--- a/test/packets/configuration_test.go
+++ b/test/packets/configuration_test.go
@@ -7,13 +7,13 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// inForceLimit is the time within which a change of the configuration has to be in force
-// everywhere.
+// inForceLimit is the time within which a configuration change has to be in force at every
+// balancer.
 const inForceLimit = 5 * time.Second
 
-// thinLinks gives every balancer a link that carries so many bytes a second, from the
-// store and to other balancers.
-func (d *deployment) thinLinks(bytesPerS int) {
+// limitLinks gives every balancer a link of the given rate, shared by what it receives from the
+// store and what it sends to other balancers.
+func (d *deployment) limitLinks(bytesPerS int) {
 	for _, b := range d.balancers {
 		link := platform.NewLink(bytesPerS)
 		b.endpoint.SetLink(link)
@@ -31,21 +31,21 @@
 	return time.Since(begun)
 }
 
-// Guards against a configuration that never reaches balancers whose links are too thin to
-// carry it within a fixed time.
+// Guards against a large configuration that never reaches balancers with slow links because its
+// transfer takes longer than a fixed timeout.
 func TestLargeConfigurationReachesBalancersOnThinLinks(t *testing.T) {
 	const routes, bytesPerS = 5000, 500_000
 	d := startWired(t, 1, 3, "listing", "records")
 	d.serve(2, 3, "listing", "records")
-	d.thinLinks(bytesPerS)
+	d.limitLinks(bytesPerS)
 	for _, idle := range []int{routes, routes + 1, routes / 2} {
-		d.idle = idle
+		d.unusedRoutes = idle
 		begun := time.Now()
 		d.configure()
 		took := d.awaitInForce(begun)
-		t.Logf("%d routes are in force after %v", idle, took)
+		t.Logf("%d unused routes are in force after %v", idle, took)
 		if took > inForceLimit {
-			t.Errorf("%d routes are in force after %v, want %v at most", idle, took, inForceLimit)
+			t.Errorf("%d unused routes are in force after %v, want %v at most", idle, took, inForceLimit)
 		}
 	}
 	d.serve(2, 3, "listing", "records")
--- a/test/packets/evacuate_test.go
+++ b/test/packets/evacuate_test.go
@@ -10,23 +10,22 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// evacuate has the operator take a zone out of service, and giveBack ends that.
-func (d *deployment) evacuate(zone string) { d.store.Put("op/evacuate/"+zone, []byte("{}")) }
-func (d *deployment) giveBack(zone string) { d.store.Remove("op/evacuate/" + zone) }
+// evacuate has the operator take an availability zone out of service, and endEvacuation puts it
+// back into service.
+func (d *deployment) evacuate(zone string)      { d.store.Put("op/evacuate/"+zone, []byte("{}")) }
+func (d *deployment) endEvacuation(zone string) { d.store.Remove("op/evacuate/" + zone) }
 
-// says reports whether the process has logged that its server's state has changed so.
-func (v *vm) says(state string) bool {
+// loggedState reports whether the process has logged that its server entered a state.
+func (v *vm) loggedState(state string) bool {
 	return strings.Contains(v.process.Log(), `"state":"`+state+`"`)
 }
 
-// Symptom: new flows reach backend servers of a zone seconds after the operator took it
-// out of service.
-// Sequence: a zone is evacuated; its open flows go on; one of its agents is killed and
-// starts while the store is away; the zone is given back.
-// Cause: evacuations were read by nobody, and not known to a process that starts.
+// Guards against new flows at backend servers of a zone seconds after the operator evacuated it.
+// One of the zone's agents is killed and restarted while the store refuses calls, so it cannot
+// read the evacuation there. Open flows must continue, and the zone is put back into service.
 func TestEvacuatedZone(t *testing.T) {
 	d := start(t, 2, "listing", "listing/b", "listing/b")
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	open, err := d.caller(0).Open(ctx, serviceAddr("listing"))
 	if err != nil {
@@ -35,7 +34,7 @@
 	d.evacuate("b")
 	inB := d.agents[1:]
 	for _, v := range inB {
-		d.await("the agent knows", func() bool { return v.says("evacuated") })
+		d.await("the agent has applied the evacuation", func() bool { return v.loggedState("evacuated") })
 	}
 	away := platform.Fault{RefuseStatus: http.StatusServiceUnavailable}
 	for _, v := range d.all() {
@@ -43,7 +42,7 @@
 	}
 	inB[0].process.Kill()
 	inB[0].startProcess()
-	d.await("the new process knows", func() bool { return inB[0].says("evacuated") })
+	d.await("the new process has applied the evacuation", func() bool { return inB[0].loggedState("evacuated") })
 	before := inB[0].server.Flows() + inB[1].server.Flows()
 	d.serve(4, 10, "listing")
 	if after := inB[0].server.Flows() + inB[1].server.Flows(); after > before {
@@ -56,27 +55,26 @@
 	for _, v := range d.all() {
 		v.endpoint.SetFault(platform.Fault{})
 	}
-	d.giveBack("b")
+	d.endEvacuation("b")
 	begun := time.Now()
-	d.await("the zone serves again", func() bool {
+	d.await("the zone gets new flows again", func() bool {
 		d.serve(1, 5, "listing")
 		return inB[0].server.Flows()+inB[1].server.Flows() > before
 	})
-	t.Logf("new flows %v after the zone was given back", time.Since(begun))
+	t.Logf("new flows %v after the end of the evacuation", time.Since(begun))
 }
 
-// Symptom: callers of a service wait, or get servers that they must not, when all its
-// zones are evacuated.
-// Sequence: both zones are evacuated at once, and one is given back.
-// Cause: two orders in one moment, of which one was missed.
+// Guards against callers that wait, or get servers in an evacuated zone, when all zones of a
+// service are evacuated. Both zones are evacuated at the same moment, so that one of the two
+// orders could be missed, and then one zone is put back into service.
 func TestAllZonesEvacuated(t *testing.T) {
 	d := start(t, 2, "listing", "listing/b")
 	d.evacuate("a")
 	d.evacuate("b")
 	for _, v := range d.agents {
-		d.await("the agent knows", func() bool { return v.says("evacuated") })
+		d.await("the agent has applied the evacuation", func() bool { return v.loggedState("evacuated") })
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	begun := time.Now()
 	if _, err := d.caller(0).Open(ctx, serviceAddr("listing")); err == nil {
@@ -84,7 +82,7 @@
 	} else if took := time.Since(begun); took >= time.Second {
 		t.Errorf("refused after %v, want at once", took)
 	}
-	d.giveBack("b")
+	d.endEvacuation("b")
 	c := d.caller(1)
-	d.await("the zone that was given back serves", func() bool { return d.call(ctx, c, "listing", true, 500) == nil })
+	d.await("the zone that is in service again serves", func() bool { return d.call(ctx, c, "listing", true, 500) == nil })
 }
--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -23,7 +23,7 @@
 	os.Exit(code)
 }
 
-// Ports, alike on all VMs.
+// Ports, the same on all VMs.
 const (
 	packetPort    = 8172
 	outboundPort  = 8162
@@ -39,30 +39,30 @@
 	balancerNet = iota + 1
 	agentNet
 	callerNet
-	wireNet // where processes are known to each other when a wire joins them
+	wireNet // addresses under which processes reach each other through a wire
 )
 
-// limit bounds every wait for a condition.
-const limit = 30 * time.Second
+// waitLimit bounds every wait for a condition.
+const waitLimit = 30 * time.Second
 
 // deployment runs balancers and agents as processes on the users' platform.
 type deployment struct {
-	t         testing.TB
-	net       *loopback.Network
-	store     *platform.Store
-	journal   *platform.Journal
-	router    *platform.Router
-	wire      *platform.Network // nil: processes reach each other directly
-	balancers []*vm
-	agents    []*vm
-	revision  uint64
-	routes    map[string]string // service by host
-	idle      int               // further routes that see no traffic
-	known     []netip.Addr      // addresses of the wire in use
-	requests  atomic.Uint64
+	t            testing.TB
+	net          *loopback.Network
+	store        *platform.Store
+	journal      *platform.Journal
+	router       *platform.Router
+	wire         *platform.Network // nil: processes reach each other directly
+	balancers    []*vm
+	agents       []*vm
+	revision     uint64
+	routes       map[string]string // service by host
+	unusedRoutes int               // number of routes without traffic
+	wireAddrs    []netip.Addr      // addresses of the wire that are in use
+	requests     atomic.Uint64
 }
 
-// vm is one VM with its process and, beside an agent, its server.
+// vm is a VM with its process and, if that is an agent, the backend server beside it.
 type vm struct {
 	d        *deployment
 	program  string
@@ -70,15 +70,15 @@
 	service  string
 	zone     string
 	endpoint *platform.Endpoint // where the process reaches the store
-	proxy    netip.AddrPort     // before the endpoint, if there is one
+	proxy    netip.AddrPort     // proxy before the endpoint, invalid if there is none
 	env      map[string]string
 	file     string // the settings file
-	maxAgeS  int    // bound of a flow's age in the settings, in seconds
+	maxAgeS  int    // maxFlowS in the settings file
 	process  *fleet.Process
 	server   *platform.Server
 }
 
-// settings is the platform's settings file.
+// settings is the template of the platform's settings file.
 const settings = `node = "%[1]s"
 role = "%[2]s"
 ip = "%[3]s"
@@ -105,15 +105,15 @@
 minTtlMs = 1000
 `
 
-// start runs a deployment. services names the service of each agent, and after a slash
-// its availability zone if that is another than the balancers'.
+// start runs a deployment. services has the service of each agent, followed by a slash and the
+// agent's availability zone if it differs from the balancers' zone.
 func start(t testing.TB, balancers int, services ...string) *deployment {
 	t.Helper()
 	return startOn(t, nil, balancers, services...)
 }
 
-// startWired runs a deployment whose processes reach each other by a wire that
-// can be disturbed.
+// startWired runs a deployment whose processes reach each other through a wire, which can
+// inject network faults.
 func startWired(t testing.TB, seed uint64, balancers int, services ...string) *deployment {
 	t.Helper()
 	w := platform.NewNetwork(seed)
@@ -164,20 +164,21 @@
 	return d
 }
 
-// all returns balancers and agents.
+// all returns the VMs of all balancers and agents.
 func (d *deployment) all() []*vm {
 	return append(d.balancers[:len(d.balancers):len(d.balancers)], d.agents...)
 }
 
-// addToWire makes VMs known to the others by the wire, if there is one.
+// addToWire gives VMs an address on the wire, if there is one, and has their store endpoints
+// replace addresses of processes by addresses on the wire.
 func (d *deployment) addToWire(list []*vm, port uint16) {
 	d.t.Helper()
 	if d.wire == nil {
 		return
 	}
 	for _, v := range list {
-		known := d.net.Addr(wireNet, len(d.known))
-		d.known = append(d.known, known)
+		known := d.net.Addr(wireNet, len(d.wireAddrs))
+		d.wireAddrs = append(d.wireAddrs, known)
 		if err := d.wire.Add(netip.AddrPortFrom(v.addr, port), known); err != nil {
 			d.t.Fatal(err)
 		}
@@ -207,7 +208,7 @@
 	v.env[prefix+"_ADMIN"] = v.admin()
 }
 
-// storeAddr is where the process reaches the store.
+// storeAddr returns the address at which the process reaches the store.
 func (v *vm) storeAddr() netip.AddrPort {
 	if v.proxy.IsValid() {
 		return v.proxy
@@ -234,7 +235,7 @@
 	v.d.t.Cleanup(v.server.Crash)
 }
 
-// host is the service address of a service.
+// host returns the IP address of a service.
 func host(service string) string {
 	return fmt.Sprintf("198.18.0.%d", service[0])
 }
@@ -243,7 +244,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr(host(service)), servicePort)
 }
 
-// configure writes the operator's configuration.
+// configure writes the operator's configuration under the next revision.
 func (d *deployment) configure() {
 	d.revision += 3
 	type route map[string]any
@@ -251,7 +252,7 @@
 	for h, s := range d.routes {
 		routes = append(routes, route{"name": "r-" + s, "host": h, "prefix": fmt.Sprintf("/%d/", servicePort), "service": s, "priority": 2, "targetLatencyMs": 500, "timeoutMs": 3000, "type": "idempotent"})
 	}
-	for i := range d.idle {
+	for i := range d.unusedRoutes {
 		routes = append(routes, route{"name": fmt.Sprintf("idle-%d", i), "host": fmt.Sprintf("198.19.%d.%d", i/250, i%250), "prefix": "/443/", "service": "listing", "priority": 3, "type": "idempotent"})
 	}
 	data, err := json.Marshal(map[string]any{"version": d.revision, "routes": routes, "services": []any{}, "limits": map[string]int{"idleTimeoutMs": 15000}})
@@ -263,10 +264,10 @@
 
 func (d *deployment) await(what string, ok func() bool) {
 	d.t.Helper()
-	end := time.Now().Add(limit)
+	end := time.Now().Add(waitLimit)
 	for !ok() {
 		if time.Now().After(end) {
-			d.t.Fatalf("not within %v: %s", limit, what)
+			d.t.Fatalf("not within %v: %s", waitLimit, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -294,12 +295,12 @@
 
 func (d *deployment) requestID() string { return fmt.Sprintf("q%d", d.requests.Add(1)) }
 
-// inForce reports whether the process has said that a configuration is in force.
+// inForce reports whether the process has logged that a configuration is in force.
 func (v *vm) inForce(revision uint64) bool {
 	return strings.Contains(v.process.Log(), fmt.Sprintf(`"revision":%d,"in_force":true`, revision))
 }
 
-// check fails the test for every broken promise.
+// check fails the test for every violation in the journal.
 func (d *deployment) check() {
 	d.t.Helper()
 	for _, v := range d.journal.Violations() {
--- a/test/packets/operator_test.go
+++ b/test/packets/operator_test.go
@@ -18,8 +18,8 @@
 // admin is the address of a VM's admin pages.
 func (v *vm) admin() string { return fmt.Sprintf("%s:%d", v.addr, adminPort) }
 
-// logs writes what the processes have logged into files and returns their names.
-func (d *deployment) logs() []string {
+// writeLogs writes the log of each process to a file and returns the file names.
+func (d *deployment) writeLogs() []string {
 	d.t.Helper()
 	dir := d.t.TempDir()
 	var names []string
@@ -33,9 +33,10 @@
 	return names
 }
 
-// TestOperatorSeesBeliefs drives the operators' read-only command: configuration,
-// keys and what processes believe, also while one of them is wrong.
-func TestOperatorSeesBeliefs(t *testing.T) {
+// TestOperatorReadsSnapshots runs "hemlockctl platform", which prints the configuration, the keys
+// in the store and the state snapshots of the processes, also with a draining server and with a
+// killed balancer.
+func TestOperatorReadsSnapshots(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	d.serve(2, 3, "listing")
 	nodes := []string{d.balancers[0].admin(), d.balancers[1].admin(), d.agents[0].admin(), d.agents[1].admin()}
@@ -50,23 +51,23 @@
 	d.await("the drain is acknowledged", d.agents[0].server.Drained)
 	out, code = show()
 	if code == 0 || !strings.Contains(out, "draining") {
-		t.Fatalf("exit %d with a server that drains:\n%s", code, out)
+		t.Fatalf("exit %d with a draining server:\n%s", code, out)
 	}
 	d.balancers[0].process.Kill()
 	out, _ = show()
 	if !strings.Contains(out, "unreachable") {
-		t.Fatalf("with a balancer that is gone:\n%s", out)
+		t.Fatalf("with a balancer that was killed:\n%s", out)
 	}
 }
 
-// TestOperatorFollowsFlow takes a caller's port to the timeline of its flow through
-// the logs of all processes.
+// TestOperatorFollowsFlow runs "hemlockctl flow" with a caller's address, which must print the
+// timeline of the caller's flow from the logs of all processes.
 func TestOperatorFollowsFlow(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	d.serve(1, 1, "listing")
 	opened := regexp.MustCompile(`"msg":"flow opened".*?"flow":"([^>]+)>`)
 	var caller string
-	d.await("a flow's line is there", func() bool {
+	d.await("an agent has logged a flow", func() bool {
 		for _, a := range d.agents {
 			if m := opened.FindStringSubmatch(a.process.Log()); m != nil {
 				caller = m[1]
@@ -74,18 +75,17 @@
 		}
 		return caller != ""
 	})
-	d.await("the balancer's line is there", func() bool {
+	d.await("a balancer has logged the flow", func() bool {
 		return strings.Contains(d.balancers[0].process.Log()+d.balancers[1].process.Log(), `"msg":"flow taken"`)
 	})
-	out, code := fleet.RunProgram(t, "hemlockctl", append([]string{"flow", caller}, d.logs()...)...)
+	out, code := fleet.RunProgram(t, "hemlockctl", append([]string{"flow", caller}, d.writeLogs()...)...)
 	if code != 0 || !strings.Contains(out, "flow taken") || !strings.Contains(out, "flow opened") {
 		t.Fatalf("exit %d:\n%s", code, out)
 	}
 }
 
-// Symptom: on-call looks for a metric that the page on operations names, and no
-// process has it.
-// Cause: a name was changed in one place only.
+// Guards against metrics that the operations page names and no process exports, for example
+// because a name was changed in the code alone.
 func TestMetricsOfThePageAreServed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -93,18 +93,18 @@
 	}
 	_, section, ok := strings.Cut(string(page), "## Metrics on this path")
 	if !ok {
-		t.Fatal("the page has no such section")
+		t.Fatal("docs/OPERATIONS.md has no section \"Metrics on this path\"")
 	}
 	d := start(t, 1, "listing")
 	d.serve(1, 2, "listing")
 	served := metrics(t, d.balancers[0]) + metrics(t, d.agents[0])
 	names := regexp.MustCompile("`(hemlock_[a-z_]+)").FindAllStringSubmatch(section, -1)
 	if len(names) < 10 {
-		t.Fatalf("only %d names found", len(names))
+		t.Fatalf("only %d metric names found on the page, want at least 10", len(names))
 	}
 	for _, n := range names {
 		if !strings.Contains(served, n[1]) {
-			t.Errorf("%s is not served", n[1])
+			t.Errorf("metric %s is on the page, but no process exports it", n[1])
 		}
 	}
 }
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -13,10 +13,11 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// serve has callers make requests of every service until all are answered.
+// serve has callers send requests to every service until all are answered, and checks the
+// journal for violations.
 func (d *deployment) serve(callers, requests int, services ...string) {
 	d.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range callers {
@@ -24,7 +25,7 @@
 		wg.Go(func() {
 			defer c.Close()
 			for n := range requests {
-				d.untilServed(ctx, c, services[(i+n)%len(services)])
+				d.requestUntilServed(ctx, c, services[(i+n)%len(services)])
 			}
 		})
 	}
@@ -32,8 +33,8 @@
 	d.check()
 }
 
-// untilServed repeats an idempotent request until it is answered.
-func (d *deployment) untilServed(ctx context.Context, c *platform.Caller, service string) {
+// requestUntilServed repeats an idempotent request until it is answered.
+func (d *deployment) requestUntilServed(ctx context.Context, c *platform.Caller, service string) {
 	for {
 		one, cancel := context.WithTimeout(ctx, 3*time.Second)
 		err := d.call(one, c, service, false, 4000)
@@ -42,18 +43,19 @@
 			return
 		}
 		if ctx.Err() != nil {
-			d.t.Errorf("request of %s: %v", service, err)
+			d.t.Errorf("request to %s: %v", service, err)
 			return
 		}
 	}
 }
 
+// Serves requests of two services, many requests on one flow, and a long response.
 func TestWholePath(t *testing.T) {
 	d := start(t, 3, "listing", "listing", "records")
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	d.serve(6, 5, "listing", "records")
-	// Many requests on one flow, and a long answer.
+	// Many requests on one flow, and a long response.
 	f, err := d.caller(0).Open(ctx, serviceAddr("listing"))
 	if err != nil {
 		t.Fatal(err)
@@ -70,13 +72,12 @@
 	d.check()
 }
 
-// Symptom: an open flow breaks when a balancer is stopped for an upgrade.
-// Sequence: each balancer gets SIGTERM and is started again, one after the
-// other, while flows are in use.
-// Cause: the balancer that routers hand the flow to next has never seen it.
+// Guards against open flows that break in a rolling restart. Each balancer gets SIGTERM and is
+// started again while flows are in use, so routers send the flows' packets to balancers that
+// have no state of them.
 func TestFlowSurvivesRolledBalancers(t *testing.T) {
 	d := start(t, 3, "listing", "listing", "listing")
-	ctx, cancel := context.WithTimeout(context.Background(), 2*limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitLimit)
 	defer cancel()
 	var flows []*platform.Flow
 	for i := range 6 {
@@ -97,40 +98,37 @@
 	for _, b := range d.balancers {
 		b.process.Terminate()
 		use()
-		if err := b.process.Wait(limit); err != nil {
+		if err := b.process.Wait(waitLimit); err != nil {
 			t.Fatalf("stop: %v", err)
 		}
 		b.startProcess()
 		use()
-		d.await("the balancer is back", func() bool { return d.router.Ready() == len(d.balancers) })
+		d.await("the balancer is in rotation again", func() bool { return d.router.Ready() == len(d.balancers) })
 		use()
 	}
 	d.check()
 }
 
-// Symptom: new flows reach a server that leaves, after its agent was killed.
-// Sequence: the server says that it drains, which is acknowledged; the agent is
-// killed at once and starts again.
-// Cause: an agent that starts knows nothing of what it acknowledged before.
-func TestKilledAgentRemembersNoReadiness(t *testing.T) {
+// Guards against new flows at a draining server whose agent was killed right after it had
+// acknowledged the drain. The restarted agent has no state of what it acknowledged before.
+func TestDrainingServerGetsNoFlowAfterAgentRestart(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	d.agents[0].server.Drain()
 	d.await("the drain is acknowledged", d.agents[0].server.Drained)
 	d.agents[0].process.Kill()
 	d.agents[0].startProcess()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	c := d.caller(0)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
-		d.untilServed(ctx, c, "listing")
+		d.requestUntilServed(ctx, c, "listing")
 	}
 	d.check()
 }
 
-// Symptom: a flow of one service at a server of another.
-// Sequence: a server crashes; its address goes to a server of another service,
-// with an agent whose settings name that service.
-// Cause: balancers know the address as one of the old service.
+// Guards against flows of one service at a server of another. A server crashes, and its address
+// is reused by a server and an agent of another service, while balancers still have the address
+// as one of the old service.
 func TestAddressGoesToAnotherService(t *testing.T) {
 	d := start(t, 2, "listing", "listing", "records")
 	v := d.agents[0]
@@ -142,12 +140,12 @@
 	d.serve(4, 20, "listing", "records")
 }
 
-// Symptom: a crashed server's callers wait for their deadlines.
-// Sequence: a server crashes without a word and is started anew.
-// Cause: nobody answers for the flows that it held.
+// Guards against callers of a crashed server that wait for their deadlines instead of getting a
+// reset. The server crashes without a deregistration and is restarted, and no process has
+// state of the flows that it held.
 func TestCrashedServersFlowsAreReset(t *testing.T) {
 	d := start(t, 2, "listing")
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	f, err := d.caller(0).Open(ctx, serviceAddr("listing"))
 	if err != nil {
@@ -165,10 +163,9 @@
 	d.serve(1, 3, "listing")
 }
 
-// Symptom: nothing is served while the store is away, or keys stay missing
-// after its return.
-// Sequence: the store is down, hangs, loses answers; keys are taken away.
-// Cause: whoever needs the store for what is known already stops with it.
+// Guards against processes that stop serving while the store fails, although they have all the
+// state that they need, and against keys that stay missing after it recovers. The store refuses
+// calls, hangs, loses or delays responses, and the keys of all processes are removed.
 func TestStoreInTrouble(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -186,40 +183,37 @@
 			d.store.Remove("hemlock/nodes/")
 			d.serve(2, 5, "listing")
 			d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{} })
-			d.await("every key is back", func() bool { return len(d.store.Keys("hemlock/nodes/")) == 4 })
+			d.await("every key is in the store again", func() bool { return len(d.store.Keys("hemlock/nodes/")) == 4 })
 			d.serve(2, 5, "listing")
 		})
 	}
 }
 
-// Symptom: a change of the configuration is not in force for as long as a watch
-// lasts.
-// Sequence: watches hear nothing, without an error, while a route is added.
-// Cause: a watch that hears nothing looks like one with nothing to tell.
-func TestDeafWatch(t *testing.T) {
+// Guards against a configuration change that takes effect only when the current watch times out.
+// While a route is added, watches get neither events nor errors, as if nothing had changed.
+func TestWatchWithoutEvents(t *testing.T) {
 	d := start(t, 2, "listing", "records")
 	delete(d.routes, host("records"))
 	d.configure()
 	c := d.caller(0)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	var reset *platform.ResetError
-	d.await("the route is gone", func() bool { return errors.As(d.call(ctx, c, "records", false, 100), &reset) })
+	d.await("the route is removed", func() bool { return errors.As(d.call(ctx, c, "records", false, 100), &reset) })
 	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{StopWatches: true} })
 	d.routes[host("records")] = "records"
 	start := time.Now()
 	d.configure()
-	d.await("the route is back", func() bool { return d.call(ctx, c, "records", false, 100) == nil })
+	d.await("the route is in force again", func() bool { return d.call(ctx, c, "records", false, 100) == nil })
 	if took := time.Since(start); took > 10*time.Second {
-		t.Fatalf("in force after %v; the watch lasts longer", took)
+		t.Fatalf("the change is in force only after %v, want 10s at most", took)
 	}
 	d.check()
 }
 
-// Symptom: a process ends by itself.
-// Sequence: SIGHUP, with the settings file unchanged, changed and unreadable.
-// Cause: a signal without a handler ends a process.
-func TestHangupEndsNothing(t *testing.T) {
+// Guards against processes that exit on SIGHUP, as a process without a handler for the signal
+// does. SIGHUP is sent to a balancer and to an agent.
+func TestProcessesSurviveSIGHUP(t *testing.T) {
 	d := start(t, 1, "listing")
 	for _, v := range append(d.balancers[:1:1], d.agents...) {
 		v.process.Hangup()
--- a/test/packets/restore_test.go
+++ b/test/packets/restore_test.go
@@ -11,18 +11,18 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// applyLimit is the time from the store's acknowledgement of a change in which it has to
-// be in force at every balancer.
+// applyLimit is the time after the store's acknowledgement of a change within which the change
+// has to be in force at every balancer.
 const applyLimit = 3 * time.Second
 
-// restore has the store be away until a balancer misses it, and come back from c; the
-// operator writes again what it had written.
-func (d *deployment) restore(c *platform.Backup) { d.restoreOnly(c)() }
+// restore makes the store unavailable until a call of a balancer has failed, and restores it from
+// c. The operator rewrites its keys at once.
+func (d *deployment) restore(c *platform.Backup) { d.restoreWithoutRewrite(c)() }
 
-// restoreOnly returns the function by which the operator writes again.
-func (d *deployment) restoreOnly(c *platform.Backup) (rewrite func()) {
+// restoreWithoutRewrite is restore, but the operator rewrites its keys when rewrite is called.
+func (d *deployment) restoreWithoutRewrite(c *platform.Backup) (rewrite func()) {
 	d.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{RefuseStatus: http.StatusServiceUnavailable} })
-	d.await("a balancer misses the store", func() bool {
+	d.await("a balancer has logged that the store is not available", func() bool {
 		return slices.ContainsFunc(d.balancers, func(b *vm) bool { return strings.Contains(b.process.Log(), "store not available") })
 	})
 	rewrite = d.store.Restore(c)
@@ -30,21 +30,15 @@
 	return rewrite
 }
 
-// The store was away for a moment and came back from a copy some seconds old; its
-// revisions went back and were given out again. For seconds afterwards no change of the
-// configuration was in force anywhere, although the store answered every read: processes
-// compared values by revision alone and dropped each new one as older than the one that
-// they held. The balancer that watches for all read the store 82 times a second, and as
-// often wrote 'store: the history of key "op/" after version 25 is gone', since a watch
-// went on from a revision that the store had yet to reach; this ended to within 10 ms with
-// the change that made it reach 25. Three changes had come by then, of which callers met
-// the first 3.3 s after its acknowledgement as not in force. Versions now hold the era
-// beside the revision.
+// Guards against configuration changes that take 3.3 s to be in force after the
+// store was restored from an older copy, which reuses revisions. Processes that compare values by
+// revision alone, without the store era, drop each new value as older than theirs, and the watcher
+// reads the store 82 times a second, since it watches from a revision not yet reached again.
 func TestChangesAfterStoreCameBackFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	c := d.store.Backup()
 	for range 5 {
-		d.idle++
+		d.unusedRoutes++
 		d.configure()
 	}
 	for _, b := range d.balancers {
@@ -52,53 +46,51 @@
 	}
 	d.restore(c)
 	for range 3 {
-		d.idle++
+		d.unusedRoutes++
 		d.configure()
 		acknowledged := time.Now()
 		for _, b := range d.balancers {
 			d.await("the change is in force", func() bool { return b.inForce(d.revision) })
 		}
 		if took := time.Since(acknowledged); took > applyLimit {
-			t.Errorf("in force after %v, want %v at most", took, applyLimit)
+			t.Errorf("the change is in force after %v, want %v at most", took, applyLimit)
 		}
 	}
 	d.serve(2, 5, "listing")
 }
 
-// reentryLimit is the time from the store's return in which the keys of all processes
-// have to be there again.
-const reentryLimit = 2 * time.Second
+// keyRestoreLimit is the time after a restore of the store within which the keys of all processes
+// have to be in the store again.
+const keyRestoreLimit = 2 * time.Second
 
-// An agent had written its key after the copy from which the store came back: the key was
-// gone, and its lease's number was given out again, to a process that started then. For
-// up to 14 s, until it renewed its lease, no balancer that started learnt of the agent;
-// and the renewal was answered with 200, since the number was another's lease. A lease is
-// now known by its era beside its number, and a process that hears of a new era looks for
-// its key at once.
+// Guards against an agent whose key is missing after the store was restored from a copy older
+// than the key. Balancers that start would not find the agent until it renews its lease, up to
+// 14 s later. If leases are compared by number without the store era, even the renewal is answered
+// with 200, since the restored store has granted the number again to another process.
 func TestKeysAfterStoreCameBackFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing")
 	c := d.store.Backup()
 	late := d.addAgent("listing")
-	d.await("the new agent's key", func() bool { return d.hasKey(late) })
+	d.await("the new agent's key is in the store", func() bool { return d.hasKey(late) })
 	d.restore(c)
 	back := time.Now()
 	other := d.addAgent("listing")
-	d.await("the key is back", func() bool { return d.hasKey(late) })
-	if took := time.Since(back); took > reentryLimit {
-		t.Errorf("key back after %v, want %v at most", took, reentryLimit)
+	d.await("the key is in the store again", func() bool { return d.hasKey(late) })
+	if took := time.Since(back); took > keyRestoreLimit {
+		t.Errorf("key in the store again after %v, want %v at most", took, keyRestoreLimit)
 	}
-	d.await("the other agent's key", func() bool { return d.hasKey(other) })
+	d.await("the other agent's key is in the store", func() bool { return d.hasKey(other) })
 	other.process.Terminate()
-	if err := other.process.Wait(limit); err != nil {
+	if err := other.process.Wait(waitLimit); err != nil {
 		t.Errorf("agent after SIGTERM: %v", err)
 	}
 	if !d.hasKey(late) {
-		t.Error("the key went with another process's lease")
+		t.Error("the key was removed with the lease of another process")
 	}
 	d.serve(2, 5, "listing")
 }
 
-// addAgent starts one more agent with its server.
+// addAgent starts another agent with its backend server.
 func (d *deployment) addAgent(service string) *vm {
 	v := d.newVM("hemlock-agent", d.net.Addr(agentNet, len(d.agents)), service)
 	d.agents = append(d.agents, v)
@@ -107,27 +99,27 @@
 	return v
 }
 
-// hasKey reports whether the store has the key of an agent.
+// hasKey reports whether the key of an agent is in the store.
 func (d *deployment) hasKey(v *vm) bool {
 	return len(d.store.Keys("hemlock/nodes/agent/"+v.addr.String())) == 1
 }
 
-// rewriteAfter is the time after which the operator has written its orders again.
-const rewriteAfter = 2 * time.Second
+// rewriteDelay is the time after a restore at which the operator rewrites its orders.
+const rewriteDelay = 2 * time.Second
 
-// The store came back from a copy of before a zone was evacuated, and the operator wrote the
-// evacuation again a moment later. In between the store said that the zone was in service,
-// and its agents took new flows.
+// Guards against new flows in an evacuated zone after the store was restored from a copy older
+// than the evacuation. Until the operator has rewritten the evacuation, the store has the zone as
+// in service.
 func TestEvacuationStaysUntilOperatorWritesItAgain(t *testing.T) {
 	d := start(t, 2, "listing", "listing/b")
 	c := d.store.Backup()
 	d.evacuate("b")
 	inB := d.agents[1]
-	d.await("the agent knows", func() bool { return inB.says("evacuated") })
+	d.await("the agent has applied the evacuation", func() bool { return inB.loggedState("evacuated") })
 	before := inB.server.Flows()
-	rewrite := d.restoreOnly(c)
-	d.awaitRestoreNoticed()
-	for end := time.Now().Add(rewriteAfter); time.Now().Before(end); {
+	rewrite := d.restoreWithoutRewrite(c)
+	d.awaitRestoreDetected()
+	for end := time.Now().Add(rewriteDelay); time.Now().Before(end); {
 		d.serve(4, 10, "listing")
 	}
 	rewrite()
@@ -135,18 +127,17 @@
 	if after := inB.server.Flows(); after > before {
 		t.Errorf("%d new flows in the evacuated zone", after-before)
 	}
-	d.giveBack("b")
-	d.await("the zone serves again", func() bool {
+	d.endEvacuation("b")
+	d.await("the zone gets new flows again", func() bool {
 		d.serve(1, 5, "listing")
 		return inB.server.Flows() > before
 	})
 }
 
-// The store came back from a copy of before a route was added. A balancer that started
-// before the operator had written that again read the older configuration in the store,
-// under the number that the others gave to the newer one that they had carried over; so it
-// refused the route's callers until the operator wrote.
-func TestBalancerThatStartsHasTheCarriedConfiguration(t *testing.T) {
+// Guards against a restarted balancer that refuses callers of a route because the store was
+// restored from a copy older than the route. Until the operator rewrites the configuration, the
+// store has the older one under the same number as the newer one that other balancers retained.
+func TestRestartedBalancerHasRetainedConfiguration(t *testing.T) {
 	d := start(t, 2, "listing")
 	c := d.store.Backup()
 	d.routes[host("records")] = "listing"
@@ -154,18 +145,18 @@
 	for _, b := range d.balancers {
 		d.await("the route is in force", func() bool { return b.inForce(d.revision) })
 	}
-	d.restoreOnly(c)
-	d.awaitRestoreNoticed()
+	d.restoreWithoutRewrite(c)
+	d.awaitRestoreDetected()
 	b := d.balancers[0]
 	b.process.Kill()
 	b.startProcess()
-	d.await("the new process has the route", func() bool { return b.inForce(d.revision) })
+	d.await("the restarted process has the route", func() bool { return b.inForce(d.revision) })
 }
 
-// awaitRestoreNoticed waits until every balancer knows that the store came back.
-func (d *deployment) awaitRestoreNoticed() {
+// awaitRestoreDetected waits until every balancer has logged that the store was restored.
+func (d *deployment) awaitRestoreDetected() {
 	d.t.Helper()
 	for _, b := range d.balancers {
-		d.await("the balancer has noticed", func() bool { return strings.Contains(b.process.Log(), "older copy") })
+		d.await("the balancer has logged the restore", func() bool { return strings.Contains(b.process.Log(), "older copy") })
 	}
 }
--- a/test/packets/soak_faults_test.go
+++ b/test/packets/soak_faults_test.go
@@ -11,42 +11,44 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// during runs f for a VM that no other fault is at work on.
-func (s *soaker) during(list []*vm, f func(v *vm)) {
+// runFault runs f in the background for a random VM of list, unless another fault of that VM is
+// in progress.
+func (s *soaker) runFault(list []*vm, f func(v *vm)) {
 	v := list[s.rng.IntN(len(list))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[v] {
+	if s.faulty[v] {
 		return
 	}
 	s.restartIfEnded(v)
-	s.open[v] = true
+	s.faulty[v] = true
 	s.wg.Go(func() {
 		f(v)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.open, v)
+		delete(s.faulty, v)
 	})
 }
 
-func (s *soaker) pause(least, span time.Duration) time.Duration {
+// randomDuration returns a duration of at least least and less than least+span.
+func (s *soaker) randomDuration(least, span time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int64N(int64(span)))
 }
 
 func (s *soaker) killBalancer() {
-	down := s.pause(50*time.Millisecond, time.Second)
-	s.during(s.balancers, func(v *vm) {
+	down := s.randomDuration(50*time.Millisecond, time.Second)
+	s.runFault(s.balancers, func(v *vm) {
 		v.process.Kill()
 		time.Sleep(down)
 		v.startProcess()
 	})
 }
 
-func (s *soaker) rollBalancer() {
-	s.during(s.balancers, func(v *vm) {
+func (s *soaker) restartBalancer() {
+	s.runFault(s.balancers, func(v *vm) {
 		v.process.Terminate()
 		v.process.Terminate()
-		if err := v.process.Wait(limit); err != nil {
+		if err := v.process.Wait(waitLimit); err != nil {
 			s.t.Errorf("balancer after SIGTERM: %v", err)
 		}
 		v.startProcess()
@@ -54,26 +56,26 @@
 }
 
 func (s *soaker) freezeBalancer() {
-	d := s.pause(100*time.Millisecond, 2*time.Second)
-	s.during(s.balancers, func(v *vm) {
+	d := s.randomDuration(100*time.Millisecond, 2*time.Second)
+	s.runFault(s.balancers, func(v *vm) {
 		v.process.Freeze()
 		time.Sleep(d)
 		v.process.Resume()
 	})
 }
 
-func (s *soaker) hangup() {
+func (s *soaker) sendHangup() {
 	v := s.all()[s.rng.IntN(len(s.balancers)+len(s.agents))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.open[v] {
+	if !s.faulty[v] {
 		v.process.Hangup()
 	}
 }
 
 func (s *soaker) killAgent() {
-	down := s.pause(20*time.Millisecond, 500*time.Millisecond)
-	s.during(s.agents, func(v *vm) {
+	down := s.randomDuration(20*time.Millisecond, 500*time.Millisecond)
+	s.runFault(s.agents, func(v *vm) {
 		v.process.Kill()
 		time.Sleep(down)
 		v.startProcess()
@@ -81,8 +83,8 @@
 }
 
 func (s *soaker) freezeAgent() {
-	d := s.pause(100*time.Millisecond, 1500*time.Millisecond)
-	s.during(s.agents, func(v *vm) {
+	d := s.randomDuration(100*time.Millisecond, 1500*time.Millisecond)
+	s.runFault(s.agents, func(v *vm) {
 		v.process.Freeze()
 		time.Sleep(d)
 		v.process.Resume()
@@ -90,25 +92,25 @@
 }
 
 func (s *soaker) crashServer() {
-	down := s.pause(100*time.Millisecond, 1500*time.Millisecond)
-	s.during(s.agents, func(v *vm) {
+	down := s.randomDuration(100*time.Millisecond, 1500*time.Millisecond)
+	s.runFault(s.agents, func(v *vm) {
 		v.server.Crash()
 		time.Sleep(down)
 		v.startServer()
 	})
 }
 
-// replaceServer drains a server and gives its VM a new one, at times of the
-// other service.
+// replaceServer drains a server and replaces it and its agent on the same VM, in one of three
+// cases by ones of the other service.
 func (s *soaker) replaceServer() {
 	other := s.rng.IntN(3) == 0
-	s.during(s.agents, func(v *vm) {
+	s.runFault(s.agents, func(v *vm) {
 		v.server.Drain()
 		s.await("the drain is acknowledged", v.server.Drained)
 		time.Sleep(1500 * time.Millisecond)
 		v.server.Deregister()
 		v.process.Terminate()
-		if err := v.process.Wait(limit); err != nil {
+		if err := v.process.Wait(waitLimit); err != nil {
 			s.t.Errorf("agent after SIGTERM: %v", err)
 		}
 		if other && s.count(v.service) > 1 {
@@ -133,7 +135,7 @@
 		{RefuseStatus: http.StatusServiceUnavailable}, {RefuseStatus: http.StatusTooManyRequests}, {Hang: true}, {LoseAnswers: true}, {StopWatches: true},
 		{Delay: 300 * time.Millisecond},
 	}[s.rng.IntN(6)]
-	d := s.pause(200*time.Millisecond, 2*time.Second)
+	d := s.randomDuration(200*time.Millisecond, 2*time.Second)
 	s.store.SetFault(func(netip.Addr) platform.Fault { return f })
 	s.wg.Go(func() {
 		time.Sleep(d)
@@ -141,10 +143,10 @@
 	})
 }
 
-// storeTurnsAway has the store serve all processes but one.
-func (s *soaker) storeTurnsAway() {
+// faultOneEndpoint injects a store fault that applies to one process only.
+func (s *soaker) faultOneEndpoint() {
 	f := []platform.Fault{{RefuseStatus: http.StatusServiceUnavailable}, {Hang: true}, {StopWatches: true}}[s.rng.IntN(3)]
-	d := s.pause(500*time.Millisecond, 3*time.Second)
+	d := s.randomDuration(500*time.Millisecond, 3*time.Second)
 	v := s.all()[s.rng.IntN(len(s.proxies))]
 	v.endpoint.SetFault(f)
 	s.wg.Go(func() {
@@ -153,11 +155,11 @@
 	})
 }
 
-// wireFault is what is wrong between two VMs.
+// wireFault returns the fault of datagrams from one VM to another.
 func (s *soaker) wireFault(from, to netip.Addr) platform.NetworkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for v, f := range s.wires {
+	for v, f := range s.wireFaults {
 		if v.addr == to || f.both && v.addr == from {
 			return f.NetworkFault
 		}
@@ -165,39 +167,39 @@
 	return platform.NetworkFault{}
 }
 
-// badWire loses, doubles and delays what one VM is sent.
-func (s *soaker) badWire() {
+// degradeWire loses, duplicates, reorders or delays the datagrams to one VM.
+func (s *soaker) degradeWire() {
 	f := []platform.NetworkFault{
 		{Loss: 0.1}, {Duplicate: 0.5}, {Jitter: 40 * time.Millisecond}, {Delay: 60 * time.Millisecond, Loss: 0.02},
 	}[s.rng.IntN(4)]
-	s.disturb(s.pause(300*time.Millisecond, 2*time.Second), wireTrouble{NetworkFault: f})
+	s.setWireFault(s.randomDuration(300*time.Millisecond, 2*time.Second), vmWireFault{NetworkFault: f})
 }
 
-// cutWire cuts a VM off from all others, or only from what they send to it.
-func (s *soaker) cutWire() {
-	f := wireTrouble{NetworkFault: platform.NetworkFault{Cut: true}, both: s.rng.IntN(2) == 0}
-	s.disturb(s.pause(200*time.Millisecond, 2500*time.Millisecond), f)
+// cutOffVM drops all datagrams to a VM, and in one of two cases all datagrams from it.
+func (s *soaker) cutOffVM() {
+	f := vmWireFault{NetworkFault: platform.NetworkFault{Cut: true}, both: s.rng.IntN(2) == 0}
+	s.setWireFault(s.randomDuration(200*time.Millisecond, 2500*time.Millisecond), f)
 }
 
-// disturb puts a fault on the way to a VM for a while.
-func (s *soaker) disturb(d time.Duration, f wireTrouble) {
+// setWireFault applies a fault to a random VM for d, unless that VM has one.
+func (s *soaker) setWireFault(d time.Duration, f vmWireFault) {
 	v := s.all()[s.rng.IntN(len(s.proxies))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, there := s.wires[v]; there {
+	if _, there := s.wireFaults[v]; there {
 		return
 	}
-	s.wires[v] = f
+	s.wireFaults[v] = f
 	s.wg.Go(func() {
 		time.Sleep(d)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.wires, v)
+		delete(s.wireFaults, v)
 	})
 }
 
-// linkFault silences, delays or resets connections to the store: of all processes,
-// or of one if faults of single processes are drawn.
+// linkFault stalls, delays or resets connections to the store: those of all processes in a
+// directSoak, those of one process in all others.
 func (s *soaker) linkFault() {
 	name := fmt.Sprint("fault", s.rng.Uint64())
 	stream := [...]string{"upstream", "downstream"}[s.rng.IntN(2)]
@@ -206,7 +208,7 @@
 		`{"name":%q,"type":"latency","stream":%q,"attributes":{"latency":300,"jitter":200}}`,
 		`{"name":%q,"type":"reset_peer","stream":%q,"attributes":{"timeout":10}}`,
 	}[s.rng.IntN(3)]
-	d := s.pause(200*time.Millisecond, 1500*time.Millisecond)
+	d := s.randomDuration(200*time.Millisecond, 1500*time.Millisecond)
 	at := s.all()
 	if s.kind != directSoak {
 		n := s.rng.IntN(len(at))
@@ -227,19 +229,19 @@
 	})
 }
 
-// restoreStore takes a copy of the store, or has it be away and come back from the one
-// taken before; the operator writes again what it had written, late enough for processes to
-// start before it has.
+// restoreStore takes a copy of the store or, if there is one, makes the store unavailable and
+// restores it from that copy. The operator then rewrites its keys, after a delay in which
+// processes may start.
 func (s *soaker) restoreStore() {
-	away, rewriteAfter := s.pause(50*time.Millisecond, time.Second), s.pause(0, 3*time.Second)
+	away, rewriteAfter := s.randomDuration(50*time.Millisecond, time.Second), s.randomDuration(0, 3*time.Second)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.copied
+	c := s.storeCopy
 	if c == nil {
-		s.copied = s.store.Backup()
+		s.storeCopy = s.store.Backup()
 		return
 	}
-	s.copied = nil
+	s.storeCopy = nil
 	s.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	s.wg.Go(func() {
 		time.Sleep(away)
@@ -250,7 +252,7 @@
 	})
 }
 
-func (s *soaker) takeKeys() { s.store.Remove("hemlock/nodes/") }
+func (s *soaker) removeKeys() { s.store.Remove("hemlock/nodes/") }
 
 func (s *soaker) compact() { s.store.Compact() }
 
@@ -267,16 +269,16 @@
 }
 
 const (
-	// soakLink is what the link of a balancer carries in a thinSoak, in bytes a second.
-	soakLink = 1_000_000
-	// soakRoutes bounds the routes of its configuration that no caller uses.
-	soakRoutes = 5000
+	// soakLinkBytesPerS is the rate of a balancer's link in a thinSoak.
+	soakLinkBytesPerS = 1_000_000
+	// soakMaxUnusedRoutes bounds the number of unused routes in a thinSoak.
+	soakMaxUnusedRoutes = 5000
 )
 
-// resizeConfig makes the configuration longer or shorter by thousands of routes.
+// resizeConfig changes the number of unused routes in the configuration by up to thousands.
 func (s *soaker) resizeConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle = s.rng.IntN(soakRoutes)
+	s.unusedRoutes = s.rng.IntN(soakMaxUnusedRoutes)
 	s.configure()
 }
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -23,31 +23,31 @@
 )
 
 var (
-	soakSeeds  = flag.String("soak.seeds", "1", "seeds of the soak besides those that failed once: FIRST or FIRST-LAST; 0 is a fresh one")
-	soakTime   = flag.Duration("soak.time", 8*time.Second, "how long faults are injected for each seed")
-	soakAgents = flag.Int("soak.agents", 5, "agents of a soak, each with a backend server")
-	soakEntry  = flag.Int("soak.balancers", 3, "balancers of a soak")
+	soakSeeds     = flag.String("soak.seeds", "1", "seeds of the soak test besides the regression cases: FIRST or FIRST-LAST; 0 draws a random seed")
+	soakTime      = flag.Duration("soak.time", 8*time.Second, "duration of the fault injection for each seed")
+	soakAgents    = flag.Int("soak.agents", 5, "number of agents, each with a backend server")
+	soakBalancers = flag.Int("soak.balancers", 3, "number of balancers")
 )
 
-// soakKind is a set of faults. A seed decides an order of faults only together
-// with the set that they are drawn from.
+// soakKind selects a set of faults. The order of faults depends on the seed and on the set that
+// they are drawn from.
 type soakKind int
 
 const (
-	// directSoak has processes that reach each other directly; what is wrong with
-	// connections to the store is wrong for all processes.
+	// directSoak has processes that reach each other directly. Faults of connections to the
+	// store apply to all processes at once.
 	directSoak soakKind = iota
-	// wiredSoak disturbs datagrams between processes too, and lets the store turn
-	// single processes away.
+	// wiredSoak injects faults into datagrams between processes too, and store faults that
+	// apply to single processes.
 	wiredSoak
-	// restoredSoak is wiredSoak with a store that comes back from older copies of itself.
+	// restoredSoak is wiredSoak with a store that is restored from older copies of itself.
 	restoredSoak
-	// thinSoak is wiredSoak on thin links, with a configuration that grows and shrinks by
+	// thinSoak is wiredSoak on slow links, with a configuration that grows and shrinks by
 	// thousands of routes.
 	thinSoak
 )
 
-// soakCase is one run.
+// soakCase is one run of the soak test.
 type soakCase struct {
 	kind soakKind
 	seed uint64
@@ -57,25 +57,25 @@
 	return fmt.Sprintf("%s seed=%d", [...]string{"direct", "wired", "restored", "thin"}[c.kind], c.seed)
 }
 
-// regressions are the runs that failed once, with the cause.
+// regressions are cases that once failed, each with the failure that it guards against.
 var regressions = []soakCase{
-	{directSoak, 1},  // two balancers did not know each other, and one not the agent that the other knew
-	{directSoak, 2},  // a balancer that had just started and knew no other took its agents for all
-	{directSoak, 4},  // a balancer did not know an agent that had started while the store was away
-	{directSoak, 5},  // as seed 4; flows of two agents were reset
-	{directSoak, 7},  // a flow was reset while its server held it; wired seed 7 showed the likely cause
-	{directSoak, 10}, // an agent ended right after its start, its log empty; a SIGHUP is the likely cause, not proved
-	{wiredSoak, 7},   // a flow that an agent had only asked its server about counted as lost with the server's instance
+	{directSoak, 1},  // two balancers did not know each other, and one lacked an agent that the other knew
+	{directSoak, 2},  // a recently started balancer that knew no other balancer assumed that its agents were all agents
+	{directSoak, 4},  // a balancer did not know an agent that had started while the store was unavailable
+	{directSoak, 5},  // as seed 4, and flows of two agents were reset
+	{directSoak, 7},  // a flow was reset while its server held it; the likely cause is that of wired seed 7
+	{directSoak, 10}, // an agent ended right after its start with an empty log; the likely, unproved cause is SIGHUP
+	{wiredSoak, 7},   // a flow that an agent had only queried at its server was counted as lost with the server's instance
 	{wiredSoak, 34},  // as seed 7
-	{wiredSoak, 10},  // one balancer missed the message that tells of a new agent, and reset its flows
+	{wiredSoak, 10},  // a balancer missed the message that announces a new agent, and reset its flows
 }
 
-// TestSoak injects faults from outside into running processes, in an order that
-// the seed decides, while callers go on; what callers and servers see must keep
-// every promise, and all must be served again at the end.
+// TestSoak injects faults into running processes in an order that the seed determines, while
+// callers send requests. The journal of callers and servers must have no violations, and all
+// callers must be served again at the end.
 func TestSoak(t *testing.T) {
 	cases := regressions
-	for _, seed := range seedsOf(t, *soakSeeds) {
+	for _, seed := range parseSeeds(t, *soakSeeds) {
 		cases = append(cases, soakCase{wiredSoak, seed}, soakCase{restoredSoak, seed}, soakCase{thinSoak, seed})
 	}
 	for _, c := range cases {
@@ -83,7 +83,7 @@
 	}
 }
 
-func seedsOf(t *testing.T, s string) []uint64 {
+func parseSeeds(t *testing.T, s string) []uint64 {
 	var first, last uint64
 	if _, err := fmt.Sscanf(s, "%d-%d", &first, &last); err != nil {
 		n, err := strconv.ParseUint(s, 10, 64)
@@ -103,21 +103,21 @@
 	return seeds
 }
 
-// soaker injects faults into one deployment.
+// soaker injects faults into a deployment.
 type soaker struct {
 	*deployment
-	kind    soakKind
-	rng     *rand.Rand
-	proxies map[*vm]*toxiproxy.Proxy // between a VM and the store
-	open    map[*vm]bool             // VMs in the middle of a fault
-	wires   map[*vm]wireTrouble
-	copied  *platform.Backup // of the store, some time ago; nil: none
-	mu      sync.Mutex
-	wg      sync.WaitGroup
+	kind       soakKind
+	rng        *rand.Rand
+	proxies    map[*vm]*toxiproxy.Proxy // between a VM and the store
+	faulty     map[*vm]bool             // VMs with a fault in progress
+	wireFaults map[*vm]vmWireFault
+	storeCopy  *platform.Backup // earlier copy of the store, nil if there is none
+	mu         sync.Mutex
+	wg         sync.WaitGroup
 }
 
-// wireTrouble is what is wrong on the way to a VM, and from it if both is set.
-type wireTrouble struct {
+// vmWireFault is a fault of datagrams to a VM, and of datagrams from it if both is set.
+type vmWireFault struct {
 	platform.NetworkFault
 	both bool
 }
@@ -133,13 +133,13 @@
 			return startWired(t, c.seed, balancers, services...)
 		}
 	}
-	d := begin(t, *soakEntry, services...)
+	d := begin(t, *soakBalancers, services...)
 	s := &soaker{
 		deployment: d, kind: c.kind, rng: rand.New(rand.NewPCG(c.seed, 1)),
-		proxies: map[*vm]*toxiproxy.Proxy{}, open: map[*vm]bool{}, wires: map[*vm]wireTrouble{},
+		proxies: map[*vm]*toxiproxy.Proxy{}, faulty: map[*vm]bool{}, wireFaults: map[*vm]vmWireFault{},
 	}
 	if c.kind == thinSoak {
-		d.thinLinks(soakLink)
+		d.limitLinks(soakLinkBytesPerS)
 	}
 	s.proxyStore()
 	if d.wire != nil {
@@ -153,28 +153,29 @@
 		c := d.caller(i)
 		callers.Go(func() {
 			defer c.Close()
-			s.calls(ctx, c, i, &served, &lost)
+			s.makeRequests(ctx, c, i, &served, &lost)
 		})
 	}
 	supervising, stopSupervising := context.WithCancel(ctx)
 	var supervisor sync.WaitGroup
 	supervisor.Go(func() { s.supervise(supervising) })
-	s.faults(*soakTime)
+	s.injectFaults(*soakTime)
 	s.wg.Wait()
 	stopSupervising()
 	supervisor.Wait()
-	s.heal()
+	s.awaitRecovery()
 	cancel()
 	callers.Wait()
-	t.Logf("%v: %d requests served, %d not", c, served.Load(), lost.Load())
+	t.Logf("%v: %d requests answered, %d failed", c, served.Load(), lost.Load())
 	if served.Load() == 0 {
-		t.Error("nothing was served during the faults")
+		t.Error("no request was answered during the faults")
 	}
 	d.serve(4, 5, "listing", "records")
 }
 
-// calls makes requests: half of the callers on long flows, half on one flow each.
-func (s *soaker) calls(ctx context.Context, c *platform.Caller, i int, served, lost *atomic.Int64) {
+// makeRequests sends requests until ctx ends. Half of the callers send 20 requests on each flow,
+// half open a flow for each request.
+func (s *soaker) makeRequests(ctx context.Context, c *platform.Caller, i int, served, lost *atomic.Int64) {
 	service := [...]string{"listing", "records"}[i/2%2]
 	for ctx.Err() == nil {
 		one, cancel := context.WithTimeout(ctx, 3*time.Second)
@@ -202,8 +203,8 @@
 	}
 }
 
-// proxyStore puts a fault-injecting proxy between each process and the store, and
-// starts the processes anew.
+// proxyStore puts a fault-injecting proxy between each process and the store, and restarts the
+// processes.
 func (s *soaker) proxyStore() {
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
 	for _, v := range s.all() {
@@ -220,15 +221,15 @@
 	s.await("all balancers in rotation", func() bool { return s.router.Ready() == len(s.balancers) })
 }
 
-// faults injects one fault after the other; they overlap.
-func (s *soaker) faults(d time.Duration) {
+// injectFaults starts one fault after the other for d. Faults overlap.
+func (s *soaker) injectFaults(d time.Duration) {
 	actions := []func(){
-		s.killBalancer, s.rollBalancer, s.freezeBalancer, s.hangup,
+		s.killBalancer, s.restartBalancer, s.freezeBalancer, s.sendHangup,
 		s.killAgent, s.freezeAgent, s.crashServer, s.replaceServer,
-		s.storeFault, s.linkFault, s.takeKeys, s.changeConfig, s.compact,
+		s.storeFault, s.linkFault, s.removeKeys, s.changeConfig, s.compact,
 	}
 	if s.kind != directSoak {
-		actions = append(actions, s.storeTurnsAway, s.badWire, s.cutWire)
+		actions = append(actions, s.faultOneEndpoint, s.degradeWire, s.cutOffVM)
 	}
 	if s.kind == restoredSoak {
 		actions = append(actions, s.restoreStore, s.restoreStore)
@@ -242,15 +243,15 @@
 	}
 }
 
-// restartDelay is the time after which the platform starts a process again that has ended.
+// restartDelay is the time after which the platform restarts a process that has ended.
 const restartDelay = 100 * time.Millisecond
 
-// supervise starts processes again that have ended by themselves, as the platform does.
+// supervise restarts processes that have ended unexpectedly, as the platform does.
 func (s *soaker) supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, v := range s.all() {
 			s.mu.Lock()
-			if !s.open[v] {
+			if !s.faulty[v] {
 				s.restartIfEnded(v)
 			}
 			s.mu.Unlock()
@@ -259,26 +260,25 @@
 	}
 }
 
-// restartIfEnded starts a process again that has ended by itself, with s.mu held. Only
-// SIGHUP may end one, before the program's first instruction and so without a line of it.
+// restartIfEnded restarts a process that has ended unexpectedly. s.mu must be held. Only SIGHUP
+// may end a process, and only before the program's first instruction, so its log is empty.
 func (s *soaker) restartIfEnded(v *vm) {
 	if !v.process.Ended() {
 		return
 	}
 	var exit *exec.ExitError
-	err := v.process.Wait(limit)
+	err := v.process.Wait(waitLimit)
 	hungUp := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGHUP
 	if !hungUp || v.process.Log() != "" {
-		s.t.Errorf("%s ended by itself: %v", v.process.Name, err)
+		s.t.Errorf("%s ended unexpectedly: %v", v.process.Name, err)
 	}
-	s.t.Logf("%s ended by SIGHUP and is started again", v.process.Name)
+	s.t.Logf("%s was ended by SIGHUP and is restarted", v.process.Name)
 	v.startProcess()
 }
 
-// heal waits until every process and server is at work again. A process that a
-// signal met before it could handle one has ended, and is started again as the
-// platform does.
-func (s *soaker) heal() {
+// awaitRecovery waits until every process and server works again. A process that received a
+// signal before it could handle it has ended, and is restarted as by the platform.
+func (s *soaker) awaitRecovery() {
 	for _, v := range s.all() {
 		if v.process.Ended() {
 			v.startProcess()
@@ -290,21 +290,21 @@
 	})
 	switch s.kind {
 	case restoredSoak:
-		s.inForceInTime(s.changeConfig, applyLimit)
+		s.checkInForceWithin(s.changeConfig, applyLimit)
 	case thinSoak:
-		s.inForceInTime(s.resizeConfig, inForceLimit)
+		s.checkInForceWithin(s.resizeConfig, inForceLimit)
 	}
 }
 
-// inForceInTime fails the test if a change of the configuration is not in force everywhere
+// checkInForceWithin fails the test if a configuration change is not in force at every balancer
 // within limit.
-func (s *soaker) inForceInTime(change func(), limit time.Duration) {
+func (s *soaker) checkInForceWithin(change func(), limit time.Duration) {
 	change()
 	acknowledged := time.Now()
 	for _, b := range s.balancers {
 		s.await("the change is in force", func() bool { return b.inForce(s.revision) })
 	}
 	if took := time.Since(acknowledged); took > limit {
-		s.t.Errorf("in force after %v, want %v at most", took, limit)
+		s.t.Errorf("the change is in force after %v, want %v at most", took, limit)
 	}
 }
--- a/test/packets/wire_test.go
+++ b/test/packets/wire_test.go
@@ -9,11 +9,9 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// Symptom: callers of one balancer get nothing for as long as it is cut off,
-// although others could serve them.
-// Sequence: a balancer is cut off from every other process, in both directions
-// or only in what it sends; routers still reach it. The cut heals.
-// Cause: it goes on saying that it takes packets.
+// Guards against a partitioned balancer that stays in rotation, so that its callers get no
+// response although other balancers could serve them. The balancer is cut off from every other
+// process, in both directions or only in what it sends, but routers still reach it.
 func TestCutOffBalancerLeavesRotation(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -26,20 +24,20 @@
 			d.wire.SetFault(func(from, to netip.Addr) platform.NetworkFault {
 				return platform.NetworkFault{Cut: from == lost || c.both && to == lost}
 			})
-			stop := d.calling("listing", "records")
+			stop := d.startRequests("listing", "records")
 			d.await("the balancer is out of rotation", func() bool { return d.router.Ready() == 2 })
 			d.serve(3, 3, "listing", "records")
 			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return platform.NetworkFault{} })
-			d.await("the balancer is back", func() bool { return d.router.Ready() == 3 })
+			d.await("the balancer is in rotation again", func() bool { return d.router.Ready() == 3 })
 			stop()
 			d.serve(3, 3, "listing", "records")
 		})
 	}
 }
 
-// calling has callers make requests until stop is called, whether they are
-// answered or not.
-func (d *deployment) calling(services ...string) (stop func()) {
+// startRequests has callers send requests until stop is called, whether or not the requests are
+// answered.
+func (d *deployment) startRequests(services ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -58,12 +56,10 @@
 	}
 }
 
-// Symptom: an open flow breaks, or a request is worked on twice.
-// Sequence: of the datagrams between processes a part is lost, comes twice, or is
-// overtaken, while flows are in use and balancers are rolled.
-// Cause: an answer that is lost or late is taken for the answer to something
-// else.
-func TestBadWire(t *testing.T) {
+// Guards against flows that break and requests that run twice because a lost or late response
+// is taken for the response to another message. A part of the datagrams between processes is
+// lost, duplicated or reordered while flows are in use and balancers restart in turn.
+func TestPacketLossDuplicationAndReordering(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault platform.NetworkFault
@@ -75,14 +71,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := startWired(t, 2, 3, "listing", "listing", "records")
 			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return c.fault })
-			stop := d.calling("listing", "records")
+			stop := d.startRequests("listing", "records")
 			for _, b := range d.balancers {
 				b.process.Terminate()
-				if err := b.process.Wait(limit); err != nil {
+				if err := b.process.Wait(waitLimit); err != nil {
 					t.Fatalf("stop: %v", err)
 				}
 				b.startProcess()
-				d.await("the balancer is back", func() bool { return d.router.Ready() == 3 })
+				d.await("the balancer is in rotation again", func() bool { return d.router.Ready() == 3 })
 			}
 			stop()
 			d.serve(3, 5, "listing", "records")
