--- a/test/answers_test.go
+++ b/test/answers_test.go
@@ -14,15 +14,14 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// TestWholeAnswersThroughBadFabric: symptom: a caller gets a cut answer or that
-// of another. Sequence: the fabric loses, doubles, holds back and delays
-// packets all at once while many callers ask for answers that are all
-// different, some of them long.
-func TestWholeAnswersThroughBadFabric(t *testing.T) {
+// Guards against truncated answers and answers to another caller. The fabric loses, duplicates,
+// reorders and delays packets at the same time, while many callers request answers that all
+// differ, some of them long.
+func TestAnswersAreCompleteOnLossyFabric(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	f.Fabric.SetFaults(fabric.Faults{Loss: 0.03, Duplicate: 0.1, Reorder: 0.1, ReorderDelay: 5 * time.Millisecond, Delay: time.Millisecond})
-	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.WaitLimit)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -43,14 +42,14 @@
 	}
 	wg.Wait()
 	if f.Fabric.Counts().Lost == 0 {
-		t.Error("the fabric lost nothing; the test proves nothing")
+		t.Error("the fabric lost no packet, so no fault was tested")
 	}
 }
 
-// TestFaultyBackendShows: symptom: a cut answer looks whole to the caller, or a
-// request that ran is said not to have run. Sequence: the backend server runs a
-// request and then fails in every way that HTTP/1.1 lets an agent see.
-func TestFaultyBackendShows(t *testing.T) {
+// Guards against truncated answers that look complete to the caller, and against the outcome
+// not-run for a request that ran. The backend server runs a request and then fails in each way
+// that an agent can observe over HTTP/1.1.
+func TestBackendFailureIsVisibleToCaller(t *testing.T) {
 	t.Parallel()
 	faults := map[string]backend.Fault{
 		"no answer": backend.FaultNoAnswer, "garbage": backend.FaultGarbage, "half header": backend.FaultHalfHeader,
@@ -63,17 +62,17 @@
 		}
 		for i := range 4 {
 			c := f.Caller("listing")
-			patience := fleet.Limit
+			timeout := fleet.WaitLimit
 			if fault == backend.FaultStallBody {
-				patience = 2 * time.Second
+				timeout = 2 * time.Second
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			a, err := c.Card(ctx, fmt.Sprint(name, i)[:1])
-			mustShow(t, name+", read", a, err)
+			checkFailureVisible(t, name+", read", a, err)
 			a, err = c.Reserve(ctx, fmt.Sprint(name, i), "part")
-			mustShow(t, name+", reservation", a, err)
-			if err == nil && a.Outcome == "not-run" && ran(f, fmt.Sprint(name, i)) {
-				t.Errorf("%s: said not to have run, and ran", name)
+			checkFailureVisible(t, name+", reservation", a, err)
+			if err == nil && a.Outcome == "not-run" && ranAnywhere(f, fmt.Sprint(name, i)) {
+				t.Errorf("%s: outcome not-run for a request that ran", name)
 			}
 			cancel()
 			c.Close()
@@ -82,11 +81,11 @@
 	for _, a := range f.Agents {
 		a.Backend.SetFault(backend.FaultNone)
 	}
-	serves(t, f, "listing")
+	awaitServed(t, f, "listing")
 }
 
-// mustShow fails the test unless the caller saw that something failed.
-func mustShow(t *testing.T, name string, a *caller.Answer, err error) {
+// checkFailureVisible fails the test unless the caller could see that the request failed.
+func checkFailureVisible(t *testing.T, name string, a *caller.Answer, err error) {
 	t.Helper()
 	var e *caller.Error
 	switch {
@@ -94,9 +93,9 @@
 	case err != nil:
 		t.Errorf("%s: %v", name, err)
 	case a.Status < 500 || a.Outcome == "":
-		t.Errorf("%s: looks whole: status %d, %d bytes", name, a.Status, len(a.Body))
+		t.Errorf("%s: failure is not visible: status %d, %d bytes", name, a.Status, len(a.Body))
 	}
 }
 
-// ran reports whether any backend server journaled a key.
-func ran(f *fleet.Fleet, key string) bool { return runs(f)[key] > 0 }
+// ranAnywhere reports whether the journal of any backend server has a key.
+func ranAnywhere(f *fleet.Fleet, key string) bool { return runsByKey(f)[key] > 0 }
--- a/test/catalogue_test.go
+++ b/test/catalogue_test.go
@@ -11,10 +11,10 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// edit raises a limit of the entry and returns the accepted revision.
-func edit(t *testing.T, f *fleet.Fleet, service string, queue int) uint64 {
+// editQueueLimit sets the queue limit of a service's entry and returns the revision of the edit.
+func editQueueLimit(t *testing.T, f *fleet.Fleet, service string, queue int) uint64 {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 	defer cancel()
 	c, _, _, err := catalogue.Load(ctx, f.Editor.Store)
 	if err != nil {
@@ -29,12 +29,12 @@
 	return a.Revision
 }
 
-// inForce waits until every balancer has a revision in force, and fails the
-// test if one goes back meanwhile.
-func inForce(t *testing.T, f *fleet.Fleet, revision uint64) {
+// awaitInForce waits until a revision is in force at every balancer, and fails the test if a
+// balancer's revision decreases meanwhile.
+func awaitInForce(t *testing.T, f *fleet.Fleet, revision uint64) {
 	t.Helper()
 	highest := make([]uint64, len(f.Balancers))
-	fleet.Eventually(t, fmt.Sprintf("revision %d in force on every balancer", revision), func() bool {
+	fleet.Eventually(t, fmt.Sprintf("revision %d in force at every balancer", revision), func() bool {
 		all := true
 		for i, b := range f.Balancers {
 			s, err := b.Status()
@@ -51,70 +51,64 @@
 	})
 }
 
-// sixBalancers is one availability zone with more balancers than contact slots.
+// sixBalancers is a fleet of one availability zone with more balancers than contact slots.
 func sixBalancers() fleet.Config {
 	c := kanatpar()
 	c.Balancers = 6
 	return c
 }
 
-// TestEditReachesBalancersWithoutSlot: symptom: a new limit is in force on some
-// balancers only. Sequence: an edit is accepted; three of six balancers hold a
-// contact slot and read the store. Cause: the others have no other source.
+// Guards against a new limit that is in force at some balancers only. Three of six balancers hold
+// a contact slot and read the store; the others have no other source than these.
 func TestEditReachesBalancersWithoutSlot(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, sixBalancers())
 	for n := range 5 {
 		start := time.Now()
-		inForce(t, f, edit(t, f, "listing", 60+n))
+		awaitInForce(t, f, editQueueLimit(t, f, "listing", 60+n))
 		t.Log("in force after", time.Since(start))
 	}
 	if calls := f.Store.Calls(); calls.Watches == 0 {
-		t.Errorf("nobody watches the store: %+v", calls)
+		t.Errorf("no balancer watches the store: %+v", calls)
 	}
 }
 
-// TestBalancersStartWhileStoreIsDown: symptom: after a restart balancers drop
-// every packet. Sequence: the store goes down; all balancers but one are
-// replaced. Cause: a balancer that starts knows the catalogue from the store
-// alone.
+// Guards against restarted balancers that drop every packet while the store is down. All balancers
+// but one are replaced then, and a recently started balancer must not depend on the store alone
+// for the catalogue.
 func TestBalancersStartWhileStoreIsDown(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
-	revision := edit(t, f, "listing", 70)
-	inForce(t, f, revision)
+	revision := editQueueLimit(t, f, "listing", 70)
+	awaitInForce(t, f, revision)
 	f.Store.SetFaults(standin.Faults{Outage: true})
 	for i := range 2 {
 		f.Balancers[i].Kill()
 		f.StartBalancer(i)
 	}
-	inForce(t, f, revision)
+	awaitInForce(t, f, revision)
 	f.WaitReady()
-	ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 	defer cancel()
 	if a, err := f.Caller("listing").Card(ctx, "1"); err != nil || a.Status != 200 {
 		t.Errorf("card: %v %v", a, err)
 	}
 	f.Store.SetFaults(standin.Faults{})
-	inForce(t, f, edit(t, f, "listing", 71))
+	awaitInForce(t, f, editQueueLimit(t, f, "listing", 71))
 }
 
-// TestWatchThatStopsSilently: symptom: an edit is in force on no balancer though
-// the store answers. Sequence: watches are forgotten by the store; an edit is
-// accepted. Cause: a waiting watch says nothing until it is answered, so that
-// its loss looks like a quiet catalogue.
-func TestWatchThatStopsSilently(t *testing.T) {
+// Guards against an edit that is in force at no balancer although the store answers. The store
+// drops its watches without an error, and a lost watch looks like one of an unchanged catalogue.
+func TestLostWatch(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	f.Store.SetFaults(standin.Faults{StopWatches: true})
-	inForce(t, f, edit(t, f, "listing", 80))
+	awaitInForce(t, f, editQueueLimit(t, f, "listing", 80))
 }
 
-// TestFrozenSlotHolderDoesNotRevert: symptom: a limit that was raised falls back
-// to its old value. Sequence: a balancer that holds a contact slot is frozen;
-// edits are accepted; its lease lapses; it wakes and believes that it still
-// holds the slot, and spreads what it knew. Cause: a node trusted the sender's
-// role instead of the revision.
+// Guards against a raised limit that reverts to its old value. A balancer that holds a contact
+// slot is frozen during edits, loses its lease, resumes as if it still held the slot, and sends
+// its old catalogue. Receivers must compare revisions, whatever the sender's role.
 func TestFrozenSlotHolderDoesNotRevert(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
@@ -124,18 +118,17 @@
 	awake := *f
 	awake.Balancers = f.Balancers[1:]
 	for n := range 4 {
-		revision = edit(t, f, "listing", 90+n)
-		inForce(t, &awake, revision)
+		revision = editQueueLimit(t, f, "listing", 90+n)
+		awaitInForce(t, &awake, revision)
 	}
 	frozen.Resume()
-	inForce(t, f, revision)
-	inForce(t, f, edit(t, f, "records", 99))
+	awaitInForce(t, f, revision)
+	awaitInForce(t, f, editQueueLimit(t, f, "records", 99))
 }
 
-// TestAllBalancersRestartWhileStoreIsDown: symptom: after a power cut of the
-// entry VMs every packet is dropped until the store is back. Sequence: the
-// store goes down; all balancers are restarted at once. Cause: the catalogue
-// was in balancers and the store only. Agents hold their own entries.
+// Guards against a fleet that drops every packet until the store recovers, after all balancers
+// restarted at once while the store was down, as in a power failure of the entry VMs. Agents hold
+// the entries of their own services, from which the balancers recover.
 func TestAllBalancersRestartWhileStoreIsDown(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
@@ -147,9 +140,9 @@
 		f.StartBalancer(i)
 	}
 	f.WaitReady()
-	serves(t, f, "listing")
-	serves(t, f, "records")
+	awaitServed(t, f, "listing")
+	awaitServed(t, f, "records")
 	f.Store.SetFaults(standin.Faults{})
-	inForce(t, f, edit(t, f, "listing", 72))
-	serves(t, f, "listing")
+	awaitInForce(t, f, editQueueLimit(t, f, "listing", 72))
+	awaitServed(t, f, "listing")
 }
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -27,7 +27,7 @@
 	return fleet.RunProgram(t, "hemlockctl", append([]string{command, "-store", f.StoreURL}, args...)...)
 }
 
-// entryFile writes a file with one entry.
+// entryFile writes a file with one entry and returns its path.
 func entryFile(t *testing.T, service, owner, address string, queue int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), service+".yaml")
@@ -38,7 +38,7 @@
 	return path
 }
 
-// expectCode fails the test if a command ended otherwise.
+// expectCode fails the test if a command ended with another exit code.
 func expectCode(t *testing.T, what, out string, got, want int) {
 	t.Helper()
 	if got != want {
@@ -46,9 +46,8 @@
 	}
 }
 
-// TestOperatorEditsCatalogue drives the operators' command against a running
-// fleet: an edit, what it shows, refusals with a remedy, and the revision in
-// force at every balancer.
+// TestOperatorEditsCatalogue runs hemlockctl against a running fleet: an edit, the display of its
+// result, refused edits, and the revision in force at every balancer.
 func TestOperatorEditsCatalogue(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
@@ -62,14 +61,14 @@
 		t.Errorf("get does not show the address:\n%s", out)
 	}
 	out, code = ctl(t, f, "apply", "-editor", "ada", "-f", entryFile(t, "other", "exchange", address, 20))
-	expectCode(t, "clash of addresses", out, code, ctlRefused)
+	expectCode(t, "address conflict", out, code, ctlRefused)
 	out, code = ctl(t, f, "apply", "-editor", "ada", "-f", entryFile(t, "stock", "somebody", address, 20))
 	expectCode(t, "another owner's entry", out, code, ctlRefused)
 	out, code = ctl(t, f, "apply", "-nonsense")
 	expectCode(t, "unknown flag", out, code, ctlUsage)
 
 	c := f.Entry("stock")
-	fleet.Eventually(t, "status shows one revision everywhere", func() bool {
+	fleet.Eventually(t, "status shows the revision of every balancer", func() bool {
 		var admins []string
 		for _, b := range f.Balancers {
 			admins = append(admins, b.Admin)
@@ -82,10 +81,9 @@
 	}
 }
 
-// TestLostAnswerOfEdit: symptom: an operator applies an edit twice, or gives up
-// on one that is in force. Sequence: the store carries out the write and its
-// answer is lost. Cause: a lost answer looks like a failed write. The command
-// says unknown, or settles it by reading back.
+// Guards against an operator who applies an edit twice, or gives up an edit that is in force,
+// because the store carried out the write and its response was lost. The command reports the
+// outcome as unknown, or resolves it by reading back.
 func TestLostAnswerOfEdit(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
--- a/test/fleet/catalogue.go
+++ b/test/fleet/catalogue.go
@@ -7,7 +7,7 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// Entry returns the entry of a service as the store holds it.
+// Entry returns the entry of a service in the store.
 func (f *Fleet) Entry(service string) catalogue.Entry {
 	f.T.Helper()
 	c, _, _, err := catalogue.Load(context.Background(), f.Editor.Store)
@@ -21,7 +21,7 @@
 	return e
 }
 
-// Apply edits the catalogue and returns the revision that holds the edit.
+// Apply writes an edit of the catalogue and returns the revision that contains it.
 func (f *Fleet) Apply(e catalogue.Edit) uint64 {
 	f.T.Helper()
 	accepted, err := f.Editor.Apply(context.Background(), e)
@@ -31,7 +31,7 @@
 	return accepted.Revision
 }
 
-// WaitRevision waits until a revision is in force on every balancer.
+// WaitRevision waits until a revision is in force at every balancer.
 func (f *Fleet) WaitRevision(revision uint64) {
 	f.T.Helper()
 	for _, b := range f.Balancers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// SpareAddress returns an address that belongs to no service at the start.
+// SpareAddress returns the n-th address that belongs to no service when the fleet starts.
 func (f *Fleet) SpareAddress(n int) netip.Addr { return f.addr(4, n) }
 
 // Ports returns the ports of all balancers.
--- a/test/fleet/cut.go
+++ b/test/fleet/cut.go
@@ -11,20 +11,19 @@
 	"github.com/rs/zerolog"
 )
 
-// Link is a TCP connection path of the fleet that a test can disturb.
+// Link is a TCP path of the fleet into which a test can inject faults.
 type Link struct {
 	t     testing.TB
 	proxy *toxiproxy.Proxy
 }
 
-// Toxic is a disturbance of a link, with the attributes that toxiproxy knows
-// it by.
+// Toxic is a fault of a link, in toxiproxy's terms.
 type Toxic struct {
 	Type       string // timeout, reset_peer, limit_data, latency or slicer
 	Attributes string // JSON object
 }
 
-// newLink starts a proxy before a TCP address.
+// newLink starts a proxy in front of a TCP address.
 func newLink(t testing.TB, name, upstream string) *Link {
 	t.Helper()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
@@ -36,11 +35,11 @@
 	return &Link{t: t, proxy: p}
 }
 
-// Addr returns the address to connect to in place of the upstream's.
+// Addr returns the proxy's address, to connect to instead of the upstream's.
 func (l *Link) Addr() string { return l.proxy.Listen }
 
-// Disturb adds a disturbance of what the upstream sends.
-func (l *Link) Disturb(x Toxic) {
+// AddToxic adds a fault to what the upstream sends.
+func (l *Link) AddToxic(x Toxic) {
 	l.t.Helper()
 	spec := fmt.Sprintf(`{"name":%q,"type":%q,"stream":"downstream","toxicity":1,"attributes":%s}`, x.Type, x.Type, x.Attributes)
 	if _, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(spec)); err != nil {
@@ -48,5 +47,5 @@
 	}
 }
 
-// Heal removes all disturbances.
-func (l *Link) Heal() { l.proxy.Toxics.ResetToxics(context.Background()) }
+// RemoveToxics removes all faults.
+func (l *Link) RemoveToxics() { l.proxy.Toxics.ResetToxics(context.Background()) }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs the system as real processes for tests: the platform's
-// store, the fabric and the backend servers are stand-ins in the test's own
-// process, balancers and agents are the binaries.
+// Package fleet runs the system as real processes for tests. Balancers and agents are the
+// binaries; the platform's store, the fabric and the backend servers are stand-ins in the test's
+// process.
 package fleet
 
 import (
@@ -29,25 +29,25 @@
 // Service is one service of a fleet.
 type Service = deployment.Service
 
-// Config is the make-up of a fleet.
+// Config describes a fleet.
 type Config struct {
 	Balancers int
 	Services  []Service
-	Zones     []string // balancers and agents take turns; default one zone
+	Zones     []string // assigned to balancers and agents in turn; default one zone
 	Seed      uint64
-	// Links puts a fault-injecting proxy before the store and before each
-	// backend server.
+	// Links puts a fault-injecting proxy in front of the store and of each backend server.
 	Links bool
-	// RepeatWindow is the window in which a key runs at most once; default
-	// DefaultRepeatWindow. Starting a fleet takes a little longer than it.
-	RepeatWindow time.Duration
+	// IdempotencyWindow is the window within which a key runs at most once,
+	// DefaultIdempotencyWindow if it is 0. The start of a fleet takes a little longer than the
+	// window.
+	IdempotencyWindow time.Duration
 }
 
-// DefaultRepeatWindow is far below the agent's own default, so that a test
-// need not wait for a fence of more than a minute.
-const DefaultRepeatWindow = 2 * time.Second
+// DefaultIdempotencyWindow is far below the agent's own default, so that tests need not wait for a
+// fence of more than a minute.
+const DefaultIdempotencyWindow = 2 * time.Second
 
-// Agent is an agent and its backend server.
+// Agent is an agent process and its backend server.
 type Agent struct {
 	*Process
 	Service  string
@@ -82,7 +82,7 @@
 	cfg       Config
 	net       *loopback.Network
 	authority *pki.Authority
-	fleetKey  string // of processes started from now on
+	fleetKey  string // fleet keys of processes that are started from now on
 }
 
 const (
@@ -90,16 +90,16 @@
 	adminPort    = 7701
 	// FleetKey is the fleet key that a fleet starts with.
 	FleetKey = "1:000102030405060708090a0b0c0d0e0f"
-	// atOnce bounds the fleets of one test run that run at a time, so that
-	// parallel tests do not starve each other of processor time.
-	atOnce = 6
-	// Limit bounds every wait on a condition. It is far above what a sound
-	// fleet takes on a busy machine.
-	Limit = 30 * time.Second
+	// maxParallelFleets bounds the fleets of one test run that run at the same time, so that
+	// parallel tests have enough processor time.
+	maxParallelFleets = 6
+	// WaitLimit bounds every wait for a condition. It is far above the time that a correct fleet
+	// needs on a busy machine.
+	WaitLimit = 30 * time.Second
 )
 
 var (
-	running = make(chan struct{}, atOnce)
+	fleetSlots = make(chan struct{}, maxParallelFleets)
 )
 
 // Start starts a fleet and waits until every service is served.
@@ -108,13 +108,13 @@
 	if len(cfg.Zones) == 0 {
 		cfg.Zones = []string{"zone-a"}
 	}
-	running <- struct{}{}
-	t.Cleanup(func() { <-running })
-	if cfg.RepeatWindow == 0 {
-		cfg.RepeatWindow = DefaultRepeatWindow
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+	if cfg.IdempotencyWindow == 0 {
+		cfg.IdempotencyWindow = DefaultIdempotencyWindow
 	}
 	f := &Fleet{T: t, cfg: cfg, Addresses: make(map[string]netip.Addr), fleetKey: FleetKey}
-	f.reserveNet()
+	f.reserveNetwork()
 	f.startStore()
 	f.fillCatalogue()
 	var err error
@@ -134,8 +134,8 @@
 	return f
 }
 
-// reserveNet gives the fleet loopback addresses of its own.
-func (f *Fleet) reserveNet() {
+// reserveNetwork reserves loopback addresses for the fleet.
+func (f *Fleet) reserveNetwork() {
 	f.T.Helper()
 	network, err := loopback.Reserve()
 	if err != nil {
@@ -196,7 +196,7 @@
 	return s
 }
 
-// StartBalancer starts the i-th balancer, or starts it again.
+// StartBalancer starts or restarts the i-th balancer.
 func (f *Fleet) StartBalancer(i int) *Balancer {
 	f.T.Helper()
 	b := &Balancer{
@@ -225,22 +225,22 @@
 // SetFleetKey sets the fleet keys of processes that are started from now on.
 func (f *Fleet) SetFleetKey(keys string) { f.fleetKey = keys }
 
-// StartAgent starts one more agent of a service, with a backend server.
+// StartAgent starts another agent of a service, with a backend server.
 func (f *Fleet) StartAgent(s Service) *Agent {
 	f.T.Helper()
 	f.Agents = append(f.Agents, nil)
 	return f.startAgent(s, len(f.Agents)-1)
 }
 
-// StartAgentBySlots is StartAgent for an agent that knows balancers from the
-// contact slots in the store alone.
+// StartAgentBySlots is StartAgent for an agent without configured balancers, which finds balancers
+// by the contact slots in the store.
 func (f *Fleet) StartAgentBySlots(s Service) *Agent {
 	f.T.Helper()
 	f.Agents = append(f.Agents, nil)
 	return f.startAgent(s, len(f.Agents)-1, "HEMLOCK_AGENT_BALANCERS")
 }
 
-// startAgent starts the i-th agent without the settings named in without.
+// startAgent starts the i-th agent. The settings named in without are not set.
 func (f *Fleet) startAgent(s Service, i int, without ...string) *Agent {
 	f.T.Helper()
 	slots := s.Limits.Slots
@@ -278,7 +278,7 @@
 		"HEMLOCK_AGENT_ADMIN":            a.Admin,
 		"HEMLOCK_AGENT_TLS_CERT":         string(cert),
 		"HEMLOCK_AGENT_TLS_KEY":          string(key),
-		"HEMLOCK_AGENT_REPEAT_WINDOW":    f.cfg.RepeatWindow.String(),
+		"HEMLOCK_AGENT_REPEAT_WINDOW":    f.cfg.IdempotencyWindow.String(),
 		"HEMLOCK_AGENT_REPEAT_EXPIRY":    "500ms",
 		"HEMLOCK_AGENT_REPEAT_SKEW":      "500ms",
 		"HEMLOCK_AGENT_REPEAT_FRESHNESS": "1s",
@@ -297,21 +297,21 @@
 	a.Process = StartProcess(f.T, a.Process.Name+"-again", "hemlock-agent", a.env)
 }
 
-// StartAgentAt starts an agent of a service at the addresses of old, which has
-// ended, and puts it in old's place.
+// StartAgentAt starts an agent of a service at the addresses of old, which has ended, and replaces
+// old by it in Agents.
 func (f *Fleet) StartAgentAt(s Service, old *Agent) *Agent {
 	f.T.Helper()
 	return f.startAgent(s, slices.Index(f.Agents, old))
 }
 
-// Caller returns a caller of a service. It is closed at the end of the test.
+// Caller returns a caller of a service, which is closed at the end of the test.
 func (f *Fleet) Caller(service string) *caller.Caller {
 	f.T.Helper()
 	return f.CallerWith(caller.Config{Service: service})
 }
 
-// CallerWith returns a caller with settings; an address that is not set is the
-// service's first.
+// CallerWith returns a caller with the given settings. The default address is the first one of the
+// service.
 func (f *Fleet) CallerWith(cfg caller.Config) *caller.Caller {
 	f.T.Helper()
 	if !cfg.Address.IsValid() {
@@ -326,8 +326,7 @@
 	return c
 }
 
-// WaitReady waits until all processes are ready and every balancer knows all
-// agents.
+// WaitReady waits until all processes are ready and every balancer has all agents as ready.
 func (f *Fleet) WaitReady() {
 	f.T.Helper()
 	for _, b := range f.Balancers {
@@ -342,29 +341,29 @@
 	}
 	want := float64(len(f.Agents))
 	for _, b := range f.Balancers {
-		f.Eventually(b.Name+" knows all agents", func() bool {
+		f.Eventually(b.Name+" has all agents as ready", func() bool {
 			n, ok := Metric(b.Admin, "hemlock_balancer_agents_ready")
 			return ok && n == want
 		})
 	}
 }
 
-// Eventually waits until condition holds, and fails the test after Limit.
+// Eventually waits until condition holds, and fails the test after WaitLimit.
 func (f *Fleet) Eventually(what string, condition func() bool) {
 	f.T.Helper()
 	Eventually(f.T, what, condition)
 }
 
-// Eventually waits until condition holds, and fails the test after Limit.
+// Eventually waits until condition holds, and fails the test after WaitLimit.
 func Eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	const interval = 20 * time.Millisecond
-	deadline := time.Now().Add(Limit)
+	deadline := time.Now().Add(WaitLimit)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", Limit, what)
+			t.Fatalf("not within %v: %s", WaitLimit, what)
 		}
 		<-tick.C
 	}
@@ -379,13 +378,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Status is the admin page /catalogue of a balancer.
+// Status is the response of a balancer's admin page /catalogue.
 type Status struct {
 	Revision uint64 `json:"revision"`
 	Checksum string `json:"checksum"`
 }
 
-// Status returns what a balancer says of its catalogue.
+// Status reads the balancer's admin page /catalogue.
 func (b *Balancer) Status() (s Status, err error) {
 	resp, err := http.Get("http://" + b.Admin + "/catalogue")
 	if err != nil {
--- a/test/fleet/metric.go
+++ b/test/fleet/metric.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Metric returns the value of a metric on an admin page. name is the metric
-// with its labels, as the page writes them.
+// Metric returns the value of a metric on an admin page. name is the metric with its labels, as on
+// the page.
 func Metric(admin, name string) (value float64, ok bool) {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
--- a/test/fleet/once.go
+++ b/test/fleet/once.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Result is how a program that ended by itself did so.
+// Result is the outcome of a program that ended.
 type Result struct {
 	Exit           int
 	Stdout, Stderr string
 }
 
-// RunOnce runs a program of this module that is expected to end by itself, and
-// ends it after Limit.
+// RunOnce runs a program of this module that is expected to end by itself, and kills it after
+// WaitLimit.
 func RunOnce(t testing.TB, program string, env map[string]string, args ...string) Result {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -28,7 +28,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	timer := time.AfterFunc(Limit, func() { cmd.Process.Kill() })
+	timer := time.AfterFunc(WaitLimit, func() { cmd.Process.Kill() })
 	defer timer.Stop()
 	err := cmd.Wait()
 	var exit *exec.ExitError
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Process is one running binary of the system.
+// Process is a running program of the system.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
@@ -23,7 +23,7 @@
 	err  error // valid once done is closed
 }
 
-// logBuffer holds what a process wrote.
+// logBuffer holds the output of a process.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -47,7 +47,7 @@
 	err  error
 }
 
-// binary returns the path of a program of this module, built once a test run.
+// binary returns the path of a program of this module. All programs are built once in a test run.
 func binary(t testing.TB, program string) string {
 	t.Helper()
 	build.once.Do(func() {
@@ -66,14 +66,14 @@
 	return filepath.Join(build.dir, program)
 }
 
-// RemoveBinaries deletes what was built. TestMain calls it at the end.
+// RemoveBinaries deletes the built programs. TestMain calls it at the end.
 func RemoveBinaries() {
 	if build.dir != "" {
 		os.RemoveAll(build.dir)
 	}
 }
 
-// StartProcess runs a program of this module with settings in the environment.
+// StartProcess runs a program of this module with its settings in the environment.
 func StartProcess(t testing.TB, name, program string, env map[string]string) *Process {
 	t.Helper()
 	p := &Process{Name: name, log: &logBuffer{}, done: make(chan struct{})}
@@ -102,10 +102,10 @@
 	return p
 }
 
-// Log returns what the process wrote so far.
+// Log returns the output of the process so far.
 func (p *Process) Log() string { return p.log.String() }
 
-// Kill ends the process as a crash would, and waits for its end.
+// Kill ends the process with SIGKILL, as a crash would, and waits for its end.
 func (p *Process) Kill() {
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
@@ -122,39 +122,38 @@
 	}
 }
 
-// Terminate asks the process for a graceful stop.
+// Terminate sends SIGTERM, which requests a graceful stop.
 func (p *Process) Terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Hangup asks the process to read its settings anew.
+// Hangup sends SIGHUP, which requests a reload of the settings.
 func (p *Process) Hangup() { p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// Freeze stops the process from running until Resume.
+// Freeze suspends the process with SIGSTOP until Resume.
 func (p *Process) Freeze() { p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process run on.
+// Resume continues a frozen process.
 func (p *Process) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// ErrStillRuns is returned by Wait for a process that did not end in time.
-var ErrStillRuns = errors.New("process still runs")
+// ErrStillRunning is returned by Wait if the process did not end in time.
+var ErrStillRunning = errors.New("process is still running")
 
-// Wait returns how the process ended.
+// Wait waits at most limit for the end of the process, and returns its exit error.
 func (p *Process) Wait(limit time.Duration) error {
 	select {
 	case <-p.done:
 		return p.err
 	case <-time.After(limit):
-		return ErrStillRuns
+		return ErrStillRunning
 	}
 }
 
-// Env returns a copy of the settings that the balancer was started with.
+// Env returns a copy of the environment of the balancer's process.
 func (b *Balancer) Env() map[string]string { return maps.Clone(b.env) }
 
-// Env returns a copy of the settings that the agent was started with.
+// Env returns a copy of the environment of the agent's process.
 func (a *Agent) Env() map[string]string { return maps.Clone(a.env) }
 
-// RunProgram runs a program of this module to its end and returns what it wrote
-// and its exit code.
+// RunProgram runs a program of this module to its end, and returns its output and its exit code.
 func RunProgram(t testing.TB, program string, args ...string) (out string, code int) {
 	t.Helper()
 	cmd := exec.Command(binary(t, program), args...)
--- a/test/flows_test.go
+++ b/test/flows_test.go
@@ -17,41 +17,41 @@
 	downloadRate = 2 << 20 // bytes per second
 )
 
-// flows are open feeds and downloads whose every byte is checked.
+// flows is a set of open feeds and downloads whose every byte is checked.
 type flows struct {
 	t       *testing.T
 	wg      sync.WaitGroup
-	begun   atomic.Int64 // feeds and downloads that have received something
+	started atomic.Int64 // feeds and downloads that have received data
 	mu      sync.Mutex
-	longest []time.Duration // by flow: the longest time without progress
+	longest []time.Duration // of each flow: the longest time without progress
 	slowest time.Duration
 }
 
-// openFlows starts feeds of listing and downloads of records, n of each, that
-// last for about a time, and returns once all of them are under way.
+// openFlows starts n feeds of listing and n downloads of records that take about the time last,
+// and returns once each has received data.
 func openFlows(t *testing.T, f *fleet.Fleet, n int, last time.Duration) *flows {
 	t.Helper()
 	l := &flows{t: t}
 	events := int(last / feedInterval)
 	size := uint64(last.Seconds() * downloadRate)
 	for i := range n {
-		l.run(f.Caller("listing"), func(ctx context.Context, c *caller.Caller, w *stallWatch) error {
+		l.run(f.Caller("listing"), func(ctx context.Context, c *caller.Caller, w *progressTimer) error {
 			_, err := c.Feed(ctx, events, feedInterval, uint64(i), func(int) { w.progress() })
 			return err
 		})
-		l.run(f.Caller("records"), func(ctx context.Context, c *caller.Caller, w *stallWatch) error {
+		l.run(f.Caller("records"), func(ctx context.Context, c *caller.Caller, w *progressTimer) error {
 			_, err := c.DownloadAt(ctx, size, downloadRate, uint64(i), func(uint64) { w.progress() })
 			return err
 		})
 	}
-	fleet.Eventually(t, "all flows under way", func() bool { return l.begun.Load() == int64(2*n) })
+	fleet.Eventually(t, "all flows have received data", func() bool { return l.started.Load() == int64(2*n) })
 	return l
 }
 
-func (l *flows) run(c *caller.Caller, flow func(context.Context, *caller.Caller, *stallWatch) error) {
-	w := &stallWatch{begun: &l.begun}
+func (l *flows) run(c *caller.Caller, flow func(context.Context, *caller.Caller, *progressTimer) error) {
+	w := &progressTimer{started: &l.started}
 	l.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.Limit)
+		ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.WaitLimit)
 		defer cancel()
 		start := time.Now()
 		if err := flow(ctx, c, w); err != nil {
@@ -64,10 +64,10 @@
 	})
 }
 
-// wait waits for the end of all flows, each of which must be whole, and logs
-// their longest pauses. These are not judged: when acknowledgements are lost
-// the caller's and the agent's QUIC double their timeouts, so the pauses have a
-// long tail. What the agent can do about it is judged in its own tests.
+// wait waits for the end of all flows, each of which must be complete, and logs their longest
+// pauses. The pauses are not checked here: when acknowledgements are lost, QUIC at the caller and
+// at the agent doubles its timeouts, so the pauses have a long tail. The agent's part in them is
+// checked in its own tests.
 func (l *flows) wait() {
 	l.t.Helper()
 	l.wg.Wait()
@@ -76,23 +76,22 @@
 	l.t.Logf("longest pause by flow, %d flows: min %v median %v max %v; slowest flow took %v", n, l.longest[0], l.longest[n/2], l.longest[n-1], l.slowest)
 }
 
-// stallWatch measures the longest time without progress of one flow.
-type stallWatch struct {
-	begun   *atomic.Int64
+// progressTimer measures the longest time without progress of one flow.
+type progressTimer struct {
+	started *atomic.Int64
 	last    time.Time
 	longest time.Duration
 }
 
-func (w *stallWatch) progress() {
+func (p *progressTimer) progress() {
 	now := time.Now()
-	if w.last.IsZero() {
-		w.begun.Add(1)
+	if p.last.IsZero() {
+		p.started.Add(1)
 	} else {
-		w.longest = max(w.longest, now.Sub(w.last))
+		p.longest = max(p.longest, now.Sub(p.last))
 	}
-	w.last = now
+	p.last = now
 }
 
-// pause waits while flows run on under a fault. It is no wait for a condition:
-// the fault is to last.
+// pause keeps a fault in place while flows go on. It waits for no condition.
 func pause(d time.Duration) { <-time.After(d) }
--- a/test/isolation_test.go
+++ b/test/isolation_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	foreignIDs    = `hemlock_balancer_caller_packets_total{verdict="foreign_id"}`
-	noService     = `hemlock_balancer_caller_packets_total{verdict="no_service"}`
-	malformed     = `hemlock_balancer_caller_packets_total{verdict="malformed"}`
-	agentForeign  = "hemlock_agent_foreign_packets_total"
-	packetsOfKind = 50
+	foreignIDs     = `hemlock_balancer_caller_packets_total{verdict="foreign_id"}`
+	noService      = `hemlock_balancer_caller_packets_total{verdict="no_service"}`
+	malformed      = `hemlock_balancer_caller_packets_total{verdict="malformed"}`
+	agentForeign   = "hemlock_agent_foreign_packets_total"
+	packetsPerCase = 50
 )
 
-// shortHeader returns a packet that carries id.
+// shortHeader returns a QUIC packet with a short header and the connection ID id.
 func shortHeader(id [connid.Len]byte) []byte {
 	b := make([]byte, 100)
 	b[0] = 0x40
@@ -35,7 +35,7 @@
 	return b
 }
 
-func mint(t *testing.T, key string, target connid.Target) [connid.Len]byte {
+func mintConnID(t *testing.T, key string, target connid.Target) [connid.Len]byte {
 	t.Helper()
 	ring, err := fleetkey.Parse(key)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return ids.Mint(target)
 }
 
-// sendTo sends copies of a datagram straight to a socket of the system.
+// sendTo sends copies of a datagram directly to a socket of a process.
 func sendTo(t *testing.T, to netip.AddrPort, b []byte, copies int) {
 	t.Helper()
 	c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(to))
@@ -61,8 +61,8 @@
 	}
 }
 
-// counted waits until a metric has grown by n since before.
-func counted(t *testing.T, admin, name string, before float64, n int) {
+// awaitCount waits until a metric is at least n above before.
+func awaitCount(t *testing.T, admin, name string, before float64, n int) {
 	t.Helper()
 	fleet.Eventually(t, name+" counts every datagram", func() bool {
 		v, ok := fleet.Metric(admin, name)
@@ -79,10 +79,9 @@
 	return v
 }
 
-// TestForgedConnectionIDs: symptom: a packet meant for one service reaches
-// another. Sequence: packets with connection IDs of the other service, with
-// random ones, with ones under a key that is not the fleet's, to an address of
-// no service. Each is dropped by the balancer that it came to and counted.
+// Guards against packets for one service that reach another. Packets have connection IDs of the
+// other service, random ones, ones under a key that is not the fleet's, or an address of no
+// service. The balancer that receives such a packet must drop and count it.
 func TestForgedConnectionIDs(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
@@ -93,53 +92,53 @@
 		address       netip.Addr
 		packet        []byte
 	}{
-		{"of another service", foreignIDs, f.Addresses["records"], shortHeader(mint(t, fleet.FleetKey, ofListing))},
+		{"of another service", foreignIDs, f.Addresses["records"], shortHeader(mintConnID(t, fleet.FleetKey, ofListing))},
 		{"random", foreignIDs, f.Addresses["records"], shortHeader([connid.Len]byte{0: 1, 5: 99})},
-		{"under a stranger's key", foreignIDs, f.Addresses["listing"], shortHeader(mint(t, "1:ffffffffffffffffffffffffffffffff", ofListing))},
-		{"under an unknown key number", foreignIDs, f.Addresses["listing"], shortHeader(mint(t, "9:ffffffffffffffffffffffffffffffff", ofListing))},
-		{"to an address of no service", noService, f.SpareAddress(9), shortHeader(mint(t, fleet.FleetKey, ofListing))},
+		{"under a key that is not the fleet's", foreignIDs, f.Addresses["listing"], shortHeader(mintConnID(t, "1:ffffffffffffffffffffffffffffffff", ofListing))},
+		{"under an unknown key number", foreignIDs, f.Addresses["listing"], shortHeader(mintConnID(t, "9:ffffffffffffffffffffffffffffffff", ofListing))},
+		{"to an address of no service", noService, f.SpareAddress(9), shortHeader(mintConnID(t, fleet.FleetKey, ofListing))},
 		{"truncated", malformed, f.Addresses["listing"], []byte{0x40, 1, 2, 3}},
-		{"first packet too short", malformed, f.Addresses["listing"], initial(quicwire.MinInitial - 1)},
+		{"first packet too short", malformed, f.Addresses["listing"], initialPacket(quicwire.MinInitial - 1)},
 	}
 	for _, c := range cases {
 		for _, b := range f.Balancers {
 			before := metric(t, b.Admin, c.counter)
-			sendTo(t, netip.AddrPortFrom(c.address, b.Port), c.packet, packetsOfKind)
-			counted(t, b.Admin, c.counter, before, packetsOfKind)
+			sendTo(t, netip.AddrPortFrom(c.address, b.Port), c.packet, packetsPerCase)
+			awaitCount(t, b.Admin, c.counter, before, packetsPerCase)
 		}
 	}
-	// The agent is the second line: a balancer with an old roster or an old
-	// catalogue forwards under a service that the agent does not have.
-	stale := shortHeader(mint(t, fleet.FleetKey, connid.Target{Agent: f.Agents[2].Internal, Service: listing.Number}))
+	// The agent checks the service too, because a balancer with an outdated member list or
+	// catalogue forwards packets of a service that the agent does not have.
+	stale := shortHeader(mintConnID(t, fleet.FleetKey, connid.Target{Agent: f.Agents[2].Internal, Service: listing.Number}))
 	before := metric(t, f.Agents[2].Admin, agentForeign)
-	sendTo(t, netip.AddrPortFrom(f.Addresses["listing"], f.Balancers[0].Port), stale, packetsOfKind)
-	counted(t, f.Agents[2].Admin, agentForeign, before, packetsOfKind)
+	sendTo(t, netip.AddrPortFrom(f.Addresses["listing"], f.Balancers[0].Port), stale, packetsPerCase)
+	awaitCount(t, f.Agents[2].Admin, agentForeign, before, packetsPerCase)
 	if records.Number == listing.Number {
-		t.Error("two services with one number")
+		t.Error("two services have the same number")
 	}
-	serves(t, f, "listing")
-	serves(t, f, "records")
+	awaitServed(t, f, "listing")
+	awaitServed(t, f, "records")
 }
 
-// initial returns a datagram of n bytes that looks like a first packet.
-func initial(n int) []byte {
+// initialPacket returns a datagram of n bytes that starts like a QUIC Initial packet.
+func initialPacket(n int) []byte {
 	b := make([]byte, n)
 	copy(b, []byte{0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8})
 	return b
 }
 
-// serves waits until new callers of a service are answered several times in a row.
-func serves(t *testing.T, f *fleet.Fleet, service string) {
+// awaitServed waits until several new callers of a service in a row are answered.
+func awaitServed(t *testing.T, f *fleet.Fleet, service string) {
 	t.Helper()
 	const inARow = 8
-	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.WaitLimit)
 	defer cancel()
 	row := 0
 	fleet.Eventually(t, service+" is served", func() bool {
 		c := f.CallerWith(caller.Config{Service: service, IdleTimeout: 3 * time.Second})
 		defer c.Close()
 		a, err := c.Card(ctx, fmt.Sprint("after-", row))
-		mustNotBeWrong(t, err)
+		checkAnswerError(t, err)
 		if err != nil || a.Status != 200 {
 			row = 0
 			return false
@@ -149,24 +148,22 @@
 	})
 }
 
-// mustNotBeWrong fails the test for what a caller must never see; a failure
-// that shows is none.
-func mustNotBeWrong(t *testing.T, err error) {
+// checkAnswerError fails the test for an error that a caller must never see. A visible failure is
+// allowed.
+func checkAnswerError(t *testing.T, err error) {
 	var e *caller.Error
 	if errors.As(err, &e) && e.Kind != caller.BrokenFlow {
 		t.Error(err)
 	}
 }
 
-// TestAgentAddressReused: symptom: callers of one service reach the other, or a
-// part of new callers gets no connection. Sequence: an agent is killed with
-// flows open; an agent of the other service starts at its address and port;
-// packets of the old flows, and for a while new ones, still go there. Cause:
-// an address says nothing about the service behind it.
+// Guards against callers of one service that reach the other, and new callers that get no
+// connection. An agent is killed with open flows, and an agent of the other service starts at its
+// address and port, which still receives packets of the old flows and, for a while, of new ones.
 func TestAgentAddressReused(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
-	ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.WaitLimit)
 	defer cancel()
 	var open, broken atomic.Int64
 	var wg sync.WaitGroup
@@ -175,7 +172,7 @@
 			c := f.CallerWith(caller.Config{Service: "records", IdleTimeout: 3 * time.Second})
 			var once sync.Once
 			_, err := c.DownloadAt(ctx, 4*downloadRate, downloadRate, uint64(i), func(uint64) { once.Do(func() { open.Add(1) }) })
-			mustNotBeWrong(t, err)
+			checkAnswerError(t, err)
 			if err != nil {
 				broken.Add(1)
 			}
@@ -194,26 +191,24 @@
 	if int64(held) != broken.Load() {
 		t.Errorf("%d flows broke, the killed agent held %v", broken.Load(), held)
 	}
-	serves(t, f, "records")
-	serves(t, f, "listing")
+	awaitServed(t, f, "records")
+	awaitServed(t, f, "listing")
 }
 
-// TestAddressMovedBetweenServices: symptom: a caller of one service is answered
-// by the other. Sequence: while callers call at an address, an edit gives the
-// address to the other service; balancers learn it one after the other; packets
-// and whole connections are under way. Each answer comes from the service that
-// was asked, or the call fails visibly.
+// Guards against callers of one service that are answered by another. While callers use an
+// address, an edit moves it to the other service, which the balancers apply one after the other.
+// Each answer must be from the requested service, or the call must fail visibly.
 func TestAddressMovedBetweenServices(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	moved, spare := f.Addresses["listing"], f.SpareAddress(0)
-	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*fleet.WaitLimit)
 	defer cancel()
 	var answered [2]atomic.Int64
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	defer wg.Wait()
-	defer close(stop) // also when the test fails: callers that go on would hold it up
+	defer close(stop) // also when the test fails, since running callers would keep it from ending
 	for i := range 8 {
 		wg.Go(func() {
 			service := []string{"listing", "records"}[i%2]
@@ -226,7 +221,7 @@
 				c := f.CallerWith(caller.Config{Service: service, Address: netip.AddrPortFrom(moved, f.Fabric.Port()), IdleTimeout: time.Second})
 				for range 3 {
 					a, err := c.Card(ctx, fmt.Sprint(i, "-", n))
-					mustNotBeWrong(t, err)
+					checkAnswerError(t, err)
 					if err == nil && a.Status == 200 {
 						answered[i%2].Add(1)
 					}
@@ -245,7 +240,7 @@
 	f.WaitRevision(f.Apply(catalogue.Edit{Editor: "test", Put: []catalogue.Entry{listing, records}}))
 	fleet.Eventually(t, "records answers at the address", func() bool { return answered[1].Load() > 20 })
 	before := answered[0].Load()
-	fleet.Eventually(t, "records goes on answering", func() bool { return answered[1].Load() > 60 })
+	fleet.Eventually(t, "records continues to answer at the address", func() bool { return answered[1].Load() > 60 })
 	if n := answered[0].Load() - before; n > 0 {
 		t.Errorf("listing answered %d times at an address that it no longer has", n)
 	}
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -11,33 +11,31 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// linked is a fleet with a fault-injecting proxy before the store and before
-// each backend server.
-func linked() fleet.Config {
+// linkedFleet is a fleet with a fault-injecting proxy in front of the store and of each backend
+// server.
+func linkedFleet() fleet.Config {
 	c := kanatpar()
 	c.Links = true
 	return c
 }
 
-// TestStoreLinkStalls: symptom: edits are in force nowhere though the store is
-// up. Sequence: the connections to the store stay open and carry nothing; edits
-// are accepted meanwhile; the connections carry again. Cause: a call without a
-// limit of its own waits for an answer that is lost.
+// Guards against edits that are in force at no balancer although the store works. Connections to
+// the store stay open but carry no data while an edit is accepted, and recover later. A call
+// without a timeout of its own waits forever for its lost response.
 func TestStoreLinkStalls(t *testing.T) {
 	t.Parallel()
-	f := fleet.Start(t, linked())
-	f.StoreLink.Disturb(fleet.Toxic{Type: "timeout", Attributes: `{"timeout":0}`})
-	revision := edit(t, f, "listing", 61)
-	serves(t, f, "listing")
-	f.StoreLink.Heal()
-	inForce(t, f, revision)
-	inForce(t, f, edit(t, f, "listing", 62))
+	f := fleet.Start(t, linkedFleet())
+	f.StoreLink.AddToxic(fleet.Toxic{Type: "timeout", Attributes: `{"timeout":0}`})
+	revision := editQueueLimit(t, f, "listing", 61)
+	awaitServed(t, f, "listing")
+	f.StoreLink.RemoveToxics()
+	awaitInForce(t, f, revision)
+	awaitInForce(t, f, editQueueLimit(t, f, "listing", 62))
 }
 
-// TestBackendLinkBreaks: symptom: a caller takes a cut answer for a whole one, or
-// a reservation that ran is said not to have run. Sequence: the connection to
-// the backend server is reset, or ends after a few bytes of the answer. Cause:
-// the end of a connection looks like the end of an answer.
+// Guards against truncated answers that callers take for complete, and against the outcome not-run
+// for a reservation that ran. The connection to the backend server is reset, or ends after a few
+// bytes of the answer, which looks like the end of the answer.
 func TestBackendLinkBreaks(t *testing.T) {
 	t.Parallel()
 	for _, x := range []fleet.Toxic{
@@ -47,43 +45,44 @@
 	} {
 		t.Run(x.Type, func(t *testing.T) {
 			t.Parallel()
-			f := fleet.Start(t, linked())
+			f := fleet.Start(t, linkedFleet())
 			for _, a := range f.Agents {
-				a.Link.Disturb(x)
+				a.Link.AddToxic(x)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.Limit)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.WaitLimit)
 			defer cancel()
 			for n := range 10 {
-				breakOne(ctx, t, f, n)
+				requestOverFaultyLink(ctx, t, f, n)
 			}
 			for _, a := range f.Agents {
-				a.Link.Heal()
+				a.Link.RemoveToxics()
 			}
-			serves(t, f, "listing")
-			expectOnce(t, f)
+			awaitServed(t, f, "listing")
+			checkRunOnce(t, f)
 		})
 	}
 }
 
-// breakOne sends a reservation and a download over a disturbed link.
-func breakOne(ctx context.Context, t *testing.T, f *fleet.Fleet, n int) {
+// requestOverFaultyLink sends a reservation and a download over a faulty link and checks what the
+// caller sees.
+func requestOverFaultyLink(ctx context.Context, t *testing.T, f *fleet.Fleet, n int) {
 	t.Helper()
 	c := f.Caller("listing")
 	defer c.Close()
 	key := fmt.Sprint("broken-", n)
 	a, err := c.Reserve(ctx, key, "part")
-	mustNotBeWrong(t, err)
-	if a != nil && a.Outcome == "not-run" && runs(f)[key] > 0 {
-		t.Errorf("%s: said not to have run, and ran", key)
+	checkAnswerError(t, err)
+	if a != nil && a.Outcome == "not-run" && runsByKey(f)[key] > 0 {
+		t.Errorf("%s: outcome not-run for a request that ran", key)
 	}
-	if a != nil && a.Status == http.StatusCreated && runs(f)[key] == 0 {
-		t.Errorf("%s: said to have run, and did not", key)
+	if a != nil && a.Status == http.StatusCreated && runsByKey(f)[key] == 0 {
+		t.Errorf("%s: status 201 for a request that did not run", key)
 	}
 	d := f.CallerWith(caller.Config{Service: "records", IdleTimeout: 5 * time.Second})
 	defer d.Close()
 	_, err = d.Download(ctx, 1<<20, uint64(n), nil)
-	mustNotBeWrong(t, err)
+	checkAnswerError(t, err)
 	if err == nil {
-		t.Errorf("download %d came whole over a link that breaks", n)
+		t.Errorf("download %d was complete over a link that breaks", n)
 	}
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -21,7 +21,7 @@
 	overloadSlots    = overloadBackends * catalogue.DefaultSlots
 )
 
-func overloaded() fleet.Config {
+func overloadFleet() fleet.Config {
 	return fleet.Config{
 		Balancers: 3,
 		Seed:      1,
@@ -32,63 +32,62 @@
 	}
 }
 
-// counts is what callers saw.
-type counts struct {
-	mu                                sync.Mutex
-	whole, refused, silent, lost, odd int
-	slowest                           time.Duration
+// outcomes counts the outcomes of requests at the callers.
+type outcomes struct {
+	mu                                                sync.Mutex
+	complete, refused, noRetryAfter, lost, unexpected int
+	slowest                                           time.Duration
 }
 
-// offer runs callers that ask one request after another until the time is over.
-func offer(f *fleet.Fleet, callers int, last time.Duration) *counts {
-	n := &counts{}
+// offerLoad runs callers that send one request after another until the time is over.
+func offerLoad(f *fleet.Fleet, callers int, last time.Duration) *outcomes {
+	o := &outcomes{}
 	end := time.Now().Add(last)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
 			c := f.Caller("listing")
 			for k := 0; time.Now().Before(end); k++ {
-				ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+				ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 				start := time.Now()
 				a, err := c.Card(ctx, fmt.Sprint(i, "-", k))
 				cancel()
-				n.mu.Lock()
-				n.slowest = max(n.slowest, time.Since(start))
+				o.mu.Lock()
+				o.slowest = max(o.slowest, time.Since(start))
 				switch {
 				case err != nil:
-					n.lost++
+					o.lost++
 				case a.Status == http.StatusOK:
-					n.whole++
+					o.complete++
 				case a.Outcome == "not-run" && a.RetryAfter != "":
-					n.refused++
+					o.refused++
 				case a.Status == http.StatusServiceUnavailable && a.RetryAfter == "":
-					n.silent++
+					o.noRetryAfter++
 				default:
-					n.odd++
+					o.unexpected++
 				}
-				n.mu.Unlock()
+				o.mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	return n
+	return o
 }
 
-// TestOverloadIsRefusedAtOnce: symptom: under overload answers come late or not
-// at all, and less work is done than at the peak. Sequence: five times as many
-// callers as slots ask without a pause. Cause: work that nobody waits for any
-// more is queued before work that somebody does. Each request must be answered
-// whole or refused with a time to come back.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+// Guards against late or missing answers and reduced goodput under overload, which arise if
+// requests whose callers have given up are queued before others. Five times as many callers as
+// slots send requests without a pause, and each must be answered completely or refused with a
+// Retry-After.
+func TestOverloadIsRefusedImmediately(t *testing.T) {
 	t.Parallel()
-	f := fleet.Start(t, overloaded())
-	n := offer(f, 5*overloadSlots, 2*time.Second)
-	t.Logf("whole %d refused %d slowest %v", n.whole, n.refused, n.slowest)
-	if n.silent+n.lost+n.odd > 0 {
-		t.Errorf("%d refusals without a time to come back, %d lost, %d odd", n.silent, n.lost, n.odd)
+	f := fleet.Start(t, overloadFleet())
+	n := offerLoad(f, 5*overloadSlots, 2*time.Second)
+	t.Logf("complete %d refused %d slowest %v", n.complete, n.refused, n.slowest)
+	if n.noRetryAfter+n.lost+n.unexpected > 0 {
+		t.Errorf("%d refusals without Retry-After, %d lost, %d unexpected", n.noRetryAfter, n.lost, n.unexpected)
 	}
-	if n.whole == 0 || n.refused == 0 {
-		t.Errorf("whole %d refused %d: no overload was reached", n.whole, n.refused)
+	if n.complete == 0 || n.refused == 0 {
+		t.Errorf("complete %d refused %d: no overload was reached", n.complete, n.refused)
 	}
 }
 
@@ -97,13 +96,13 @@
 	if !*overloadMeasure {
 		return
 	}
-	f := fleet.Start(t, overloaded())
+	f := fleet.Start(t, overloadFleet())
 	capacity := float64(overloadSlots) / overloadWork.Seconds()
 	t.Logf("capacity of the backend servers %.0f/s", capacity)
 	for _, times := range []float64{0.5, 1, 2, 5, 10} {
 		const last = 5 * time.Second
-		n := offer(f, int(times*overloadSlots), last)
-		t.Logf("callers %4.1f x slots: goodput %4.0f/s refused %5.0f/s lost %d odd %d slowest %v",
-			times, float64(n.whole)/last.Seconds(), float64(n.refused)/last.Seconds(), n.lost, n.odd, n.slowest)
+		n := offerLoad(f, int(times*overloadSlots), last)
+		t.Logf("callers %4.1f x slots: goodput %4.0f/s refused %5.0f/s lost %d unexpected %d slowest %v",
+			times, float64(n.complete)/last.Seconds(), float64(n.refused)/last.Seconds(), n.lost, n.unexpected, n.slowest)
 	}
 }
--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -177,9 +177,9 @@
 		return
 	}
 	for _, v := range list {
-		known := d.net.Addr(wireNet, len(d.wireAddrs))
-		d.wireAddrs = append(d.wireAddrs, known)
-		if err := d.wire.Add(netip.AddrPortFrom(v.addr, port), known); err != nil {
+		addr := d.net.Addr(wireNet, len(d.wireAddrs))
+		d.wireAddrs = append(d.wireAddrs, addr)
+		if err := d.wire.Add(netip.AddrPortFrom(v.addr, port), addr); err != nil {
 			d.t.Fatal(err)
 		}
 		v.endpoint.Translate = func(value []byte) []byte { return d.wire.Translate(v.addr, value) }
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -36,8 +36,8 @@
 // requestUntilServed repeats an idempotent request until it is answered.
 func (d *deployment) requestUntilServed(ctx context.Context, c *platform.Caller, service string) {
 	for {
-		one, cancel := context.WithTimeout(ctx, 3*time.Second)
-		err := d.call(one, c, service, false, 4000)
+		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		err := d.call(callCtx, c, service, false, 4000)
 		cancel()
 		if err == nil {
 			return
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -178,14 +178,14 @@
 func (s *soaker) makeRequests(ctx context.Context, c *platform.Caller, i int, served, lost *atomic.Int64) {
 	service := [...]string{"listing", "records"}[i/2%2]
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, 3*time.Second)
-		f, err := c.Open(one, serviceAddr(service))
+		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		f, err := c.Open(callCtx, serviceAddr(service))
 		requests := 1
 		if i%2 == 0 {
 			requests = 20
 		}
 		for n := 0; n < requests && err == nil; n++ {
-			if err = f.Request(one, s.requestID(), service, i%4 == 0, 3000); err == nil {
+			if err = f.Request(callCtx, s.requestID(), service, i%4 == 0, 3000); err == nil {
 				served.Add(1)
 			}
 		}
--- a/test/packets/wire_test.go
+++ b/test/packets/wire_test.go
@@ -44,8 +44,8 @@
 		defer close(done)
 		for i := 0; ctx.Err() == nil; i++ {
 			c := d.caller(200 + i%20)
-			one, end := context.WithTimeout(ctx, 200*time.Millisecond)
-			d.call(one, c, services[i%len(services)], false, 100)
+			callCtx, end := context.WithTimeout(ctx, 200*time.Millisecond)
+			d.call(callCtx, c, services[i%len(services)], false, 100)
 			end()
 			c.Close()
 		}
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -18,7 +18,7 @@
 	os.Exit(code)
 }
 
-// kanatpar is the first user's deployment in small.
+// kanatpar is a small version of the first user's deployment.
 func kanatpar() fleet.Config {
 	return fleet.Config{
 		Balancers: 3,
@@ -30,11 +30,11 @@
 	}
 }
 
-// TestWholePath serves short requests, feeds and downloads through a fabric
-// that hands each packet to any of three balancers.
+// TestWholePath serves short requests, feeds and downloads through a fabric that sends each packet
+// to any of three balancers.
 func TestWholePath(t *testing.T) {
 	f := fleet.Start(t, kanatpar())
-	ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -61,8 +61,8 @@
 	wg.Wait()
 }
 
-// TestAgentFindsBalancersBySlots starts an agent that knows no balancer: it
-// reads a contact slot in the platform's store.
+// TestAgentFindsBalancersBySlots starts an agent without configured balancers, which reads a
+// contact slot in the platform's store.
 func TestAgentFindsBalancersBySlots(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
--- a/test/perf/calls_test.go
+++ b/test/perf/calls_test.go
@@ -20,13 +20,12 @@
 )
 
 const (
-	service     = "listing"
-	slots       = 64
-	readyWithin = 30 * time.Second
-	// callsPerTurn is how many calls one way makes before the other one has
-	// its turn.
-	callsPerTurn = 1000
-	maxLatency   = time.Minute
+	service      = "listing"
+	slots        = 64
+	readyTimeout = 30 * time.Second
+	// callsPerBatch is the number of calls that one variant makes before the other one does.
+	callsPerBatch = 1000
+	maxLatency    = time.Minute
 )
 
 // start starts a deployment of one service without tracing.
@@ -51,7 +50,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(d.Close)
-	if err := d.WaitReady(readyWithin); err != nil {
+	if err := d.WaitReady(readyTimeout); err != nil {
 		b.Fatal(err)
 	}
 	return d
@@ -60,8 +59,8 @@
 // call makes one call and checks its answer.
 type call func(ctx context.Context, c *caller.Caller, n int) error
 
-// way is one way to make calls, with what it measured.
-type way struct {
+// variant is one of two compared ways to make calls, with its measurements.
+type variant struct {
 	name    string
 	callers []*caller.Caller
 	call    call
@@ -70,37 +69,37 @@
 	took    time.Duration
 }
 
-func newWay(b *testing.B, name string, callers int, c call, open func() (*caller.Caller, error)) *way {
+func newVariant(b *testing.B, name string, callers int, c call, open func() (*caller.Caller, error)) *variant {
 	b.Helper()
-	w := &way{name: name, call: c, latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
+	v := &variant{name: name, call: c, latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 	for range callers {
 		one, err := open()
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Cleanup(one.Close)
-		w.callers = append(w.callers, one)
+		v.callers = append(v.callers, one)
 	}
-	return w
+	return v
 }
 
-// turn makes callsPerTurn calls, each caller its share one after another.
-func (w *way) turn(b *testing.B, record bool) {
+// runBatch makes callsPerBatch calls. Each caller makes its share of them one after another.
+func (v *variant) runBatch(b *testing.B, record bool) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex // guards w.latency
 	began := time.Now()
-	for _, c := range w.callers {
+	for _, c := range v.callers {
 		wg.Go(func() {
-			for n := range callsPerTurn / len(w.callers) {
+			for n := range callsPerBatch / len(v.callers) {
 				at := time.Now()
-				if err := w.call(context.Background(), c, n); err != nil {
-					b.Error(w.name, err)
+				if err := v.call(context.Background(), c, n); err != nil {
+					b.Error(v.name, err)
 					return
 				}
 				took := time.Since(at)
 				if record {
 					mu.Lock()
-					w.latency.RecordValue(took.Microseconds())
+					v.latency.RecordValue(took.Microseconds())
 					mu.Unlock()
 				}
 			}
@@ -108,27 +107,27 @@
 	}
 	wg.Wait()
 	if record {
-		w.took += time.Since(began)
-		w.calls += callsPerTurn / len(w.callers) * len(w.callers)
+		v.took += time.Since(began)
+		v.calls += callsPerBatch / len(v.callers) * len(v.callers)
 	}
 }
 
-func (w *way) rate() float64 { return float64(w.calls) / w.took.Seconds() }
+func (v *variant) rate() float64 { return float64(v.calls) / v.took.Seconds() }
 
-func (w *way) report(b *testing.B) {
-	b.ReportMetric(w.rate(), w.name+"-calls/s")
+func (v *variant) report(b *testing.B) {
+	b.ReportMetric(v.rate(), v.name+"-calls/s")
 	for _, q := range []float64{50, 99, 99.9} {
-		b.ReportMetric(float64(w.latency.ValueAtQuantile(q)), fmt.Sprintf("%s-p%v-us", w.name, q))
+		b.ReportMetric(float64(v.latency.ValueAtQuantile(q)), fmt.Sprintf("%s-p%v-us", v.name, q))
 	}
 }
 
-// compare lets two ways make calls in turns; one iteration is one turn of each.
-func compare(b *testing.B, base, other *way) {
-	base.turn(b, false) // opens the connections
-	other.turn(b, false)
+// compare runs batches of two variants alternately. An iteration is one batch of each.
+func compare(b *testing.B, base, other *variant) {
+	base.runBatch(b, false) // opens the connections
+	other.runBatch(b, false)
 	for b.Loop() {
-		base.turn(b, true)
-		other.turn(b, true)
+		base.runBatch(b, true)
+		other.runBatch(b, true)
 	}
 	base.report(b)
 	other.report(b)
@@ -147,8 +146,8 @@
 	return err
 }
 
-// BenchmarkCalls compares calls through fabric, balancers and agent with calls
-// of the same agent's handler on a plain HTTP/3 server.
+// BenchmarkCalls compares calls through fabric, balancers and agent with calls to the same agent's
+// handler on a plain HTTP/3 server.
 func BenchmarkCalls(b *testing.B) {
 	for _, callers := range []int{1, 16} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -158,15 +157,15 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(server.Close)
-			direct := newWay(b, "direct", callers, card, func() (*caller.Caller, error) { return d.CallerTo(service, server.Addr) })
-			path := newWay(b, "path", callers, card, func() (*caller.Caller, error) { return d.Caller(service) })
+			direct := newVariant(b, "direct", callers, card, func() (*caller.Caller, error) { return d.CallerTo(service, server.Addr) })
+			path := newVariant(b, "path", callers, card, func() (*caller.Caller, error) { return d.Caller(service) })
 			compare(b, direct, path)
 		})
 	}
 }
 
-// BenchmarkCallsTraced compares calls of which every one is traced with calls
-// without tracing. The spans are made, queued and thrown away.
+// BenchmarkCallsTraced compares calls that are all traced with calls without tracing. The spans
+// are created, queued and discarded.
 func BenchmarkCallsTraced(b *testing.B) {
 	const callers = 1
 	providers := make(map[deployment.Role]*tracing.Provider)
@@ -177,22 +176,22 @@
 	}
 	off := start(b, 3, 1)
 	on := startTraced(b, 3, 1, func(r deployment.Role) *tracing.Provider { return providers[r] })
-	plain := newWay(b, "off", callers, card, func() (*caller.Caller, error) { return off.Caller(service) })
-	traced := newWay(b, "on", callers, card, func() (*caller.Caller, error) { return on.Caller(service) })
+	plain := newVariant(b, "off", callers, card, func() (*caller.Caller, error) { return off.Caller(service) })
+	traced := newVariant(b, "on", callers, card, func() (*caller.Caller, error) { return on.Caller(service) })
 	compare(b, plain, traced)
 }
 
-// BenchmarkIdempotencyKey compares non-idempotent calls without and with a key,
-// for which the service's agents vote before the request runs.
+// BenchmarkIdempotencyKey compares non-idempotent calls without and with a key. For a call with a
+// key, the service's agents vote before the request runs.
 func BenchmarkIdempotencyKey(b *testing.B) {
 	d := start(b, 3, 3)
 	open := func() (*caller.Caller, error) { return d.Caller(service) }
 	var keys atomic.Uint64
-	plain := newWay(b, "plain", 1, func(ctx context.Context, c *caller.Caller, _ int) error {
+	plain := newVariant(b, "plain", 1, func(ctx context.Context, c *caller.Caller, _ int) error {
 		a, err := c.Do(ctx, http.MethodPost, "/reserve", nil, []byte("part"))
 		return statusError(a, err, http.StatusCreated)
 	}, open)
-	keyed := newWay(b, "keyed", 1, func(ctx context.Context, c *caller.Caller, _ int) error {
+	keyed := newVariant(b, "keyed", 1, func(ctx context.Context, c *caller.Caller, _ int) error {
 		a, err := c.Reserve(ctx, fmt.Sprint("key-", keys.Add(1)), "part")
 		return statusError(a, err, http.StatusCreated)
 	}, open)
--- a/test/perf/doc.go
+++ b/test/perf/doc.go
@@ -1,3 +1,3 @@
-// Package perf measures the whole data path. It holds benchmarks only, which a
-// plain go test does not run.
+// Package perf measures the whole data path. It has benchmarks only, which a plain go test does
+// not run.
 package perf
--- a/test/perf/footprint_test.go
+++ b/test/perf/footprint_test.go
@@ -23,7 +23,7 @@
 	targetZones     = 18
 )
 
-// control is what a balancer holds of the fleet.
+// control is the control state of a balancer.
 type control struct {
 	machine *membership.Machine
 	replica *catalogue.Replica
@@ -99,9 +99,9 @@
 	return c
 }
 
-// churn replaces the address table many times, as edits at the target's rate
-// would in ten minutes: garbage that the collector has to take away.
-func (c *control) churn() {
+// replaceTables rebuilds the address table as often as edits do in ten minutes at the target rate,
+// which produces garbage for the collector.
+func (c *control) replaceTables() {
 	const edits = 220
 	for range edits {
 		c.table = c.replica.Catalogue().Table()
@@ -136,7 +136,7 @@
 			defer debug.SetMemoryLimit(debug.SetMemoryLimit(c.limit))
 			debug.FreeOSMemory()
 			for b.Loop() {
-				state.churn()
+				state.replaceTables()
 			}
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
--- a/test/perf/memory_test.go
+++ b/test/perf/memory_test.go
@@ -25,13 +25,13 @@
 var maxFlows = flag.Int("perf.flows", 10_000, "open flows at one agent in BenchmarkMemory")
 
 const (
-	flowSteps   = 5
-	opening     = 32 // connections opened at once
-	perSocket   = 50 // connections that share one caller socket, for the limit on open files
-	eventPeriod = 10 * time.Second
-	// settle is how long the processes go on before their memory is read.
-	settle = 2 * time.Second
-	idle   = time.Minute
+	flowSteps      = 5
+	parallelOpens  = 32 // connections opened at once
+	connsPerSocket = 50 // connections that share one caller socket, because of the limit on open files
+	eventPeriod    = 10 * time.Second
+	// settleTime is the delay before the processes' memory is read.
+	settleTime  = 2 * time.Second
+	idleTimeout = time.Minute
 )
 
 func TestMain(m *testing.M) {
@@ -40,20 +40,20 @@
 	os.Exit(code)
 }
 
-// flows holds open feeds, each on a connection of its own.
+// flows is a set of open feeds, each on its own connection.
 type flows struct {
-	address netip.AddrPort
-	open    int
-	socket  *quic.Transport
-	cleanup func(func())
-	closing atomic.Bool
-	broken  atomic.Int64
-	first   atomic.Value // why the first broken feed ended
+	address    netip.AddrPort
+	open       int
+	socket     *quic.Transport
+	cleanup    func(func())
+	closing    atomic.Bool
+	broken     atomic.Int64
+	firstError atomic.Value // error of the first feed that ended early
 }
 
-// next returns the transport that the next connection goes through.
-func (f *flows) next() (*quic.Transport, error) {
-	if f.open%perSocket == 0 {
+// nextTransport returns the transport for the nextTransport connection.
+func (f *flows) nextTransport() (*quic.Transport, error) {
+	if f.open%connsPerSocket == 0 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return nil, err
@@ -66,27 +66,26 @@
 	return f.socket, nil
 }
 
-// grow opens feeds until there are n.
-func (f *flows) grow(n int) error {
+// openUntil opens feeds until n are open.
+func (f *flows) openUntil(n int) error {
 	var g errgroup.Group
-	g.SetLimit(opening)
+	g.SetLimit(parallelOpens)
 	for f.open < n {
-		t, err := f.next()
+		t, err := f.nextTransport()
 		if err != nil {
 			return err
 		}
-		g.Go(func() error { return f.feed(t) })
+		g.Go(func() error { return f.openFeed(t) })
 	}
 	return g.Wait()
 }
 
-// feed opens one feed and waits for its first bytes.
-func (f *flows) feed(t *quic.Transport) error {
+// openFeed opens one openFeed and waits for its first byte.
+func (f *flows) openFeed(t *quic.Transport) error {
 	h := &http3.Transport{
-		// The certificate is checked by the tests of the path; here it would
-		// only cost time.
+		// The certificate is verified by other tests; here it would only take time.
 		TLSClientConfig: &tls.Config{ServerName: service, InsecureSkipVerify: true, NextProtos: []string{http3.NextProtoH3}},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: idle},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: idleTimeout},
 		Dial: func(ctx context.Context, _ string, c *tls.Config, q *quic.Config) (*quic.Conn, error) {
 			return t.DialEarly(ctx, net.UDPAddrFromAddrPort(f.address), c, q)
 		},
@@ -108,23 +107,23 @@
 	if _, err = io.ReadFull(resp.Body, make([]byte, 1)); err != nil {
 		return err
 	}
-	go f.follow(resp.Body)
+	go f.readToEnd(resp.Body)
 	return nil
 }
 
-// follow reads a feed to its end, which must not come while it is measured.
-func (f *flows) follow(body io.Reader) {
+// readToEnd reads a feed to its end, which must not come during the measurement.
+func (f *flows) readToEnd(body io.Reader) {
 	_, err := io.Copy(io.Discard, body)
 	if f.closing.Load() {
 		return
 	}
 	if f.broken.Add(1) == 1 {
-		f.first.Store(fmt.Sprint(err))
+		f.firstError.Store(fmt.Sprint(err))
 	}
 }
 
-// BenchmarkMemory measures the resident memory of a balancer's and an agent's
-// process against the number of open flows. Run it with -benchtime 1x.
+// BenchmarkMemory measures the resident memory of a balancer's and an agent's process by the
+// number of open flows. Run it with -benchtime 1x.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		f := fleet.Start(b, fleet.Config{Balancers: 2, Seed: 1, Services: []fleet.Service{{
@@ -137,13 +136,13 @@
 		var lastAgent, lastBalancer float64
 		for step := 1; step <= flowSteps; step++ {
 			n := *maxFlows * step / flowSteps
-			if err := open.grow(n); err != nil {
+			if err := open.openUntil(n); err != nil {
 				b.Fatal(err)
 			}
 			lastAgent, lastBalancer = report(b, n, agent, balancer)
 		}
 		if n := open.broken.Load(); n > 0 {
-			b.Errorf("%d feeds ended, the first by: %v", n, open.first.Load())
+			b.Errorf("%d feeds ended early, the first with: %v", n, open.firstError.Load())
 		}
 		open.closing.Store(true)
 		b.ReportMetric((lastAgent-idleAgent)/float64(*maxFlows), "agent-B/flow")
@@ -153,7 +152,7 @@
 
 func report(b *testing.B, flows int, agent, balancer string) (agentBytes, balancerBytes float64) {
 	b.Helper()
-	<-time.After(settle)
+	<-time.After(settleTime)
 	connections, _ := fleet.Metric(agent, "hemlock_agent_connections")
 	agentBytes, balancerBytes = resident(b, agent), resident(b, balancer)
 	heap, _ := fleet.Metric(agent, "go_memstats_heap_inuse_bytes")
@@ -169,7 +168,7 @@
 	b.Helper()
 	v, ok := fleet.Metric(admin, "process_resident_memory_bytes")
 	if !ok {
-		b.Fatal("no resident memory on the page of metrics")
+		b.Fatal("metric process_resident_memory_bytes is missing on the admin page")
 	}
 	return v
 }
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -14,14 +14,14 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// refusalCase is one way in which a request is refused.
+// refusalCase is a cause of refused requests.
 type refusalCase struct {
 	name   string
-	reason string // empty if the end of the first agent is what is waited for
+	reason string // value of Hemlock-Reason; if empty, the case ends with the first agent
 	limits catalogue.Limits
 	work   time.Duration
 	header http.Header
-	// fault is done once the callers are at work.
+	// fault is injected once requests are in progress.
 	fault func(f *fleet.Fleet)
 }
 
@@ -37,22 +37,21 @@
 	}
 }
 
-func drainOne(f *fleet.Fleet) { f.Agents[0].Terminate() }
+func drainOneAgent(f *fleet.Fleet) { f.Agents[0].Terminate() }
 
 var refusalCases = []refusalCase{
 	{name: "queue full", reason: "queue_full", limits: catalogue.Limits{Slots: 1, Queue: 1}, work: 200 * time.Millisecond},
 	{name: "rate", reason: "limit", limits: catalogue.Limits{Rate: 5}},
 	{name: "deadline", reason: "deadline", limits: catalogue.Limits{Slots: 1}, work: 300 * time.Millisecond, header: http.Header{"Request-Timeout-Ms": {"350"}}},
-	{name: "drain", work: 20 * time.Millisecond, fault: drainOne},
+	{name: "drain", work: 20 * time.Millisecond, fault: drainOneAgent},
 	{name: "shed", reason: "shed", header: http.Header{"Request-Timeout-Ms": {"500"}}, fault: setShed},
 	{name: "no backend server", reason: "no_backend", work: 20 * time.Millisecond, fault: closeBackends},
 }
 
-// TestNotRunWasNotRun: symptom: a refusal says that a reservation was not run,
-// the caller sends it again, and it runs twice. Sequence: each way in which a
-// request is refused, under load, while others run. Each refusal is held
-// against the backend servers' own journals, and says when to come back.
-func TestNotRunWasNotRun(t *testing.T) {
+// Guards against a reservation that runs twice because it was refused with the outcome not-run and
+// had run, so that the caller sends it again. Requests are refused for each cause under load. Each
+// refusal is compared with the backend servers' journals and must have a Retry-After.
+func TestNotRunOutcomeIsCorrect(t *testing.T) {
 	t.Parallel()
 	for _, c := range refusalCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,7 +66,7 @@
 	}
 }
 
-// refusals collects what callers were told.
+// refusals collects the answers to reservations.
 type refusals struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -76,11 +75,11 @@
 	reasons map[string]int
 }
 
-// offer has callers send reservations until the wanted reason was given often.
+// offer has callers send reservations until the expected reason was given often enough.
 func (r *refusals) offer(f *fleet.Fleet, c refusalCase) {
-	// Twice as many callers as the smallest case has slots and places to wait.
+	// Twice as many callers as slots and queue places in the smallest case.
 	const callers, enough = 16, 30
-	ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range callers {
@@ -93,7 +92,7 @@
 					header[k] = v
 				}
 				a, err := user.Do(ctx, http.MethodPost, "/reserve", header, []byte("part"))
-				if err == nil && r.take(key, a) >= enough && a.Outcome != "" {
+				if err == nil && r.record(key, a) >= enough && a.Outcome != "" {
 					if r.count(c.reason) >= enough {
 						cancel()
 					}
@@ -102,11 +101,11 @@
 		})
 	}
 	if c.fault != nil {
-		f.Eventually("reservations run", func() bool { return len(runs(f)) > 20 })
+		f.Eventually("reservations run", func() bool { return len(runsByKey(f)) > 20 })
 		c.fault(f)
 	}
 	if c.reason == "" {
-		if err := f.Agents[0].Wait(fleet.Limit); err != nil {
+		if err := f.Agents[0].Wait(fleet.WaitLimit); err != nil {
 			r.t.Error(err)
 		}
 		cancel()
@@ -114,8 +113,8 @@
 	wg.Wait()
 }
 
-// take records an answer and returns how many refusals there were so far.
-func (r *refusals) take(key string, a *caller.Answer) int {
+// record records an answer and returns the number of refusals so far.
+func (r *refusals) record(key string, a *caller.Answer) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -123,7 +122,7 @@
 		r.notRun = append(r.notRun, key)
 		r.reasons[a.Header.Get("Hemlock-Reason")]++
 		if seconds, err := strconv.Atoi(a.RetryAfter); err != nil || seconds < 1 {
-			r.t.Errorf("%s refused (%s) without when to come back: %q", key, a.Header.Get("Hemlock-Reason"), a.RetryAfter)
+			r.t.Errorf("%s refused (%s) without Retry-After: %q", key, a.Header.Get("Hemlock-Reason"), a.RetryAfter)
 		}
 	case a.Status == http.StatusCreated:
 		r.ran = append(r.ran, key)
@@ -137,13 +136,13 @@
 	return r.reasons[reason]
 }
 
-// check holds what callers were told against the journals.
+// check compares the answers with the backend servers' journals.
 func (r *refusals) check(f *fleet.Fleet, reason string) {
 	r.t.Helper()
-	journal := runs(f)
+	journal := runsByKey(f)
 	for _, key := range r.notRun {
 		if journal[key] > 0 {
-			r.t.Errorf("%s was said not to have run, and ran", key)
+			r.t.Errorf("%s had the outcome not-run, and ran", key)
 		}
 	}
 	for _, key := range r.ran {
@@ -157,9 +156,9 @@
 	}
 }
 
-// TestConnectionLimit: symptom: a backend server with 2,000 connections gets
-// more. Sequence: callers go on connecting to an agent that has as many as its
-// entry allows. Cause: the limit was counted and not enforced.
+// Guards against new connections at a backend server above its limit, for example 2,000, because
+// the limit is counted but not enforced. Callers continue to connect to an agent that has as many
+// connections as its entry allows.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	const limit = 4
@@ -167,13 +166,13 @@
 		Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 1,
 		Limits: catalogue.Limits{Connections: limit},
 	}}})
-	ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.WaitLimit)
 	defer cancel()
 	served, refused := 0, 0
 	for n := range 3 * limit {
 		c := f.Caller("listing") // stays connected to the end of the test
 		a, err := c.Card(ctx, fmt.Sprint("card-", n))
-		mustNotBeWrong(t, err)
+		checkAnswerError(t, err)
 		switch {
 		case err != nil:
 			refused++
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -17,80 +17,79 @@
 
 var (
 	faultsSeed    = flag.Uint64("faults.seed", 1, "seed of the schedule of faults")
-	faultsMinutes = flag.Float64("faults.minutes", 0.2, "how long the schedule of faults lasts")
+	faultsMinutes = flag.Float64("faults.minutes", 0.2, "duration of the schedule of faults in minutes")
 )
 
-// fault is one thing that goes wrong, and how it is set right again.
+// fault is a fault and how it ends.
 type fault struct {
 	name  string
 	begin func(*schedule)
 	end   func(*schedule)
 }
 
-// schedule draws faults from a seed and has at most two of them at once. Each
-// takes the balancer that it hits from the same draw, so that a seed replays
-// the same faults in the same order.
+// schedule draws faults from a seed, at most two at the same time. The balancer that a fault
+// applies to is drawn from the same source, so a seed replays the same faults in the same order.
 type schedule struct {
-	t    *testing.T
-	f    *fleet.Fleet
-	rng  *rand.Rand
-	hit  int // index of the balancer that the fault hits
-	wire fabric.Faults
+	t            *testing.T
+	f            *fleet.Fleet
+	rng          *rand.Rand
+	target       int // index of the balancer that the fault applies to
+	fabricFaults fabric.Faults
 }
 
-func (s *schedule) balancer() *fleet.Balancer { return s.f.Balancers[s.hit] }
+func (s *schedule) balancer() *fleet.Balancer { return s.f.Balancers[s.target] }
 
-func (s *schedule) setWire(change func(*fabric.Faults)) {
-	change(&s.wire)
-	s.f.Fabric.SetFaults(s.wire)
+func (s *schedule) changeFabricFaults(change func(*fabric.Faults)) {
+	change(&s.fabricFaults)
+	s.f.Fabric.SetFaults(s.fabricFaults)
 }
 
 func (s *schedule) restart() {
-	s.f.StartBalancer(s.hit)
+	s.f.StartBalancer(s.target)
 	s.f.Eventually("balancer ready again", func() bool {
 		v, ok := fleet.Metric(s.balancer().Admin, "hemlock_balancer_agents_ready")
 		return ok && int(v) == len(s.f.Agents)
 	})
 }
 
-// balancerFaults hit one balancer each.
+// balancerFaults apply to one balancer each.
 var balancerFaults = []fault{
 	{"kill", func(s *schedule) { s.balancer().Kill() }, (*schedule).restart},
 	{"stop", func(s *schedule) { s.balancer().Terminate() }, func(s *schedule) {
-		if err := s.balancer().Wait(fleet.Limit); err != nil {
+		if err := s.balancer().Wait(fleet.WaitLimit); err != nil {
 			s.t.Errorf("%s: %v", s.balancer().Name, err)
 		}
 		s.restart()
 	}},
 	{"freeze", func(s *schedule) { s.balancer().Freeze() }, func(s *schedule) { s.balancer().Resume() }},
 	{"cut to", func(s *schedule) {
-		s.setWire(func(w *fabric.Faults) { w.CutTo = append(w.CutTo, s.balancer().Port) })
-	}, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.CutTo = nil }) }},
+		s.changeFabricFaults(func(w *fabric.Faults) { w.CutTo = append(w.CutTo, s.balancer().Port) })
+	}, func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.CutTo = nil }) }},
 	{"cut from", func(s *schedule) {
-		s.setWire(func(w *fabric.Faults) { w.CutFrom = append(w.CutFrom, s.balancer().Port) })
-	}, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.CutFrom = nil }) }},
+		s.changeFabricFaults(func(w *fabric.Faults) { w.CutFrom = append(w.CutFrom, s.balancer().Port) })
+	}, func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.CutFrom = nil }) }},
 }
 
-// wireFaults hit all packets.
-var wireFaults = []fault{
-	{"loss", func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Loss = 0.03 }) }, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Loss = 0 }) }},
+// packetFaults apply to all packets.
+var packetFaults = []fault{
+	{"loss", func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.Loss = 0.03 }) }, func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.Loss = 0 }) }},
 	{"duplicates and reordering", func(s *schedule) {
-		s.setWire(func(w *fabric.Faults) { w.Duplicate, w.Reorder, w.ReorderDelay = 0.1, 0.1, 5*time.Millisecond })
-	}, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Duplicate, w.Reorder = 0, 0 }) }},
-	{"delay", func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Delay = 3 * time.Millisecond }) }, func(s *schedule) { s.setWire(func(w *fabric.Faults) { w.Delay = 0 }) }},
+		s.changeFabricFaults(func(w *fabric.Faults) { w.Duplicate, w.Reorder, w.ReorderDelay = 0.1, 0.1, 5*time.Millisecond })
+	}, func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.Duplicate, w.Reorder = 0, 0 }) }},
+	{"delay", func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.Delay = 3 * time.Millisecond }) }, func(s *schedule) { s.changeFabricFaults(func(w *fabric.Faults) { w.Delay = 0 }) }},
 }
 
-// round has one balancer fault and one wire fault at once, every third time the
-// same balancer fault twice in a row, and sets both right again.
+// round injects a balancer fault and a packet fault at the same time, and ends both. In every
+// third round the balancer fault is injected twice in a row.
 func (s *schedule) round(n int) {
-	s.hit = s.rng.IntN(len(s.f.Balancers))
-	b, w := balancerFaults[s.rng.IntN(len(balancerFaults))], wireFaults[s.rng.IntN(len(wireFaults))]
+	s.target = s.rng.IntN(len(s.f.Balancers))
+	b, w := balancerFaults[s.rng.IntN(len(balancerFaults))], packetFaults[s.rng.IntN(len(packetFaults))]
 	last := time.Duration(300+s.rng.IntN(1200)) * time.Millisecond
 	times := 1
 	if n%3 == 2 {
 		times = 2
 	}
-	s.t.Logf("round %d: %s of balancer %d, %d times, with %s, %v", n, b.name, s.hit, times, w.name, last)
+	s.t.Logf("round %d: %s of balancer %d, %d times, with %s, %v", n, b.name, s.target, times, w.name, last)
 	w.begin(s)
 	for range times {
 		b.begin(s)
@@ -100,9 +99,9 @@
 	w.end(s)
 }
 
-// TestScheduleOfFaults: two faults at once and the same one twice, drawn from a
-// seed, while feeds, downloads and reservations go on. Every flow must be whole,
-// no answer wrong, nothing run twice, nothing run that was said not to.
+// TestScheduleOfFaults injects two faults at the same time, and the same one twice, drawn from a
+// seed, while feeds, downloads and reservations go on. Every flow must be complete, no answer may
+// be wrong, no request may run twice, and none may run that was refused with the outcome not-run.
 //
 //	go test ./test -run TestScheduleOfFaults -faults.seed 7 -faults.minutes 10 -timeout 30m
 func TestScheduleOfFaults(t *testing.T) {
@@ -114,14 +113,14 @@
 	t.Logf("seed %d, %v minutes", *faultsSeed, *faultsMinutes)
 	end := time.Now().Add(time.Duration(*faultsMinutes * float64(time.Minute)))
 	w := newWork(t, f)
-	defer w.halt() // also when the test fails: callers that go on would hold it up
+	defer w.stopAndWait() // also when the test fails, since running callers would keep it from ending
 	for n := 0; time.Now().Before(end); n++ {
 		s.round(n)
 	}
 	w.finish()
 }
 
-// work is flows and requests that go on until finish.
+// work is a set of flows and requests that go on until stopAndWait.
 type work struct {
 	t                      *testing.T
 	f                      *fleet.Fleet
@@ -131,7 +130,7 @@
 	flows, answers, failed atomic.Int64
 	mu                     sync.Mutex
 	notRun                 []string
-	outcomes               map[string]int // of reservations that got no answer of the backend server
+	outcomes               map[string]int // of reservations that were not answered by the backend server
 }
 
 func newWork(t *testing.T, f *fleet.Fleet) *work {
@@ -152,10 +151,10 @@
 	return w
 }
 
-// repeat has one caller with one connection do something again and again.
+// repeat runs do in a loop with one caller, which has one connection.
 func (w *work) repeat(service string, do func(context.Context, *caller.Caller, int)) {
 	w.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.Limit+time.Duration(*faultsMinutes*float64(time.Minute)))
+		ctx, cancel := context.WithTimeout(context.Background(), 2*fleet.WaitLimit+time.Duration(*faultsMinutes*float64(time.Minute)))
 		defer cancel()
 		c := w.f.Caller(service)
 		for n := 0; ; n++ {
@@ -176,11 +175,11 @@
 	}
 }
 
-// reserve sends one reservation. That it fails visibly is no fault here: the
-// agents of both services stay up, but a deadline may pass under loss.
+// reserve sends one reservation. A visible failure is allowed: the agents of both services stay
+// up, but a deadline may pass under loss.
 func (w *work) reserve(ctx context.Context, c *caller.Caller, key string) {
 	a, err := c.Reserve(ctx, key, "part")
-	mustNotBeWrong(w.t, err)
+	checkAnswerError(w.t, err)
 	if err != nil {
 		w.failed.Add(1)
 		return
@@ -197,25 +196,25 @@
 	}
 }
 
-// halt ends the work and waits for it.
-func (w *work) halt() {
+// stopAndWait stops all flows and requests and waits for their end.
+func (w *work) stopAndWait() {
 	w.once.Do(func() { close(w.stop) })
 	w.wg.Wait()
 }
 
-// finish ends the work and checks what callers were told.
+// finish stops all flows and requests and checks the answers.
 func (w *work) finish() {
 	w.t.Helper()
-	w.halt()
-	expectOnce(w.t, w.f)
-	journal := runs(w.f)
+	w.stopAndWait()
+	checkRunOnce(w.t, w.f)
+	journal := runsByKey(w.f)
 	for _, key := range w.notRun {
 		if journal[key] > 0 {
-			w.t.Errorf("%s was said not to have run, and ran", key)
+			w.t.Errorf("%s had the outcome not-run, and ran", key)
 		}
 	}
-	w.t.Logf("flows %d, reservations answered %d, of them not by the backend server %v, failed visibly %d", w.flows.Load(), w.answers.Load(), w.outcomes, w.failed.Load())
+	w.t.Logf("flows %d, reservations answered %d, of them by outcome, not by the backend server, %v, failed visibly %d", w.flows.Load(), w.answers.Load(), w.outcomes, w.failed.Load())
 	if w.flows.Load() == 0 || w.answers.Load() == 0 {
-		w.t.Error("nothing was proved")
+		w.t.Error("no flow was opened or no reservation was answered, so nothing was tested")
 	}
 }
--- a/test/strangers_test.go
+++ b/test/strangers_test.go
@@ -22,16 +22,15 @@
 )
 
 const (
-	strangersKey = "1:ffffffffffffffffffffffffffffffff"
-	fleetSecret  = "000102030405060708090a0b0c0d0e0f"
+	foreignKey  = "1:ffffffffffffffffffffffffffffffff"
+	fleetSecret = "000102030405060708090a0b0c0d0e0f"
 )
 
-// strangersDatagrams returns what a process without the fleet key may send to
-// a port between the system's processes. control is set for those that look
-// like control datagrams.
-func strangersDatagrams(t *testing.T) (data, control [][]byte) {
+// unauthenticatedDatagrams returns datagrams that a process without the fleet key may send to an
+// internal port. Those in control look like control datagrams.
+func unauthenticatedDatagrams(t *testing.T) (data, control [][]byte) {
 	t.Helper()
-	ring, err := fleetkey.Parse(strangersKey)
+	ring, err := fleetkey.Parse(foreignKey)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,14 +53,14 @@
 	return data, control
 }
 
-// TestStrangersAreDropped: symptom: a stranger on the network joins the fleet,
-// sends packets in its name or stops it. Sequence: datagrams that were framed or
-// sealed under another key, cut, oversize or empty ones, to the internal port of
-// every process. Each is counted; calls go on.
-func TestStrangersAreDropped(t *testing.T) {
+// Guards against a process without the fleet key that joins the fleet, sends packets in its name
+// or stops it. Datagrams that were framed or sealed under another key, truncated, oversize or
+// empty ones are sent to the internal port of every process, which must count each of them and go
+// on serving.
+func TestUnauthenticatedDatagramsAreDropped(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
-	data, control := strangersDatagrams(t)
+	data, control := unauthenticatedDatagrams(t)
 	type port struct {
 		admin, role string
 		addr        netip.AddrPort
@@ -77,28 +76,28 @@
 		strange, rejected := "hemlock_"+p.role+"_strange_datagrams_total", "hemlock_"+p.role+"_control_rejected_total"
 		s, r := metric(t, p.admin, strange), metric(t, p.admin, rejected)
 		for _, b := range data {
-			sendTo(t, p.addr, b, packetsOfKind)
+			sendTo(t, p.addr, b, packetsPerCase)
 		}
 		for _, b := range control {
-			sendTo(t, p.addr, b, packetsOfKind)
+			sendTo(t, p.addr, b, packetsPerCase)
 		}
-		counted(t, p.admin, strange, s, packetsOfKind*len(data))
-		counted(t, p.admin, rejected, r, packetsOfKind*len(control))
+		awaitCount(t, p.admin, strange, s, packetsPerCase*len(data))
+		awaitCount(t, p.admin, rejected, r, packetsPerCase*len(control))
 	}
-	serves(t, f, "listing")
-	serves(t, f, "records")
+	awaitServed(t, f, "listing")
+	awaitServed(t, f, "records")
 }
 
-// TestStrangersGetNoTransfer: a QUIC connection without the fleet's certificate
-// gets no catalogue and no roster from a balancer.
-func TestStrangersGetNoTransfer(t *testing.T) {
+// Guards against a balancer that sends its catalogue or member list over a QUIC connection without
+// the fleet's certificate.
+func TestBulkTransferRequiresFleetCertificate(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	authority, err := pki.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fleet.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
 	defer cancel()
 	ring, err := fleetkey.Parse(fleet.FleetKey)
 	if err != nil {
@@ -111,42 +110,42 @@
 	defer member.Close()
 	for _, b := range f.Balancers {
 		addr := netip.AddrPortFrom(b.Internal.Addr(), bulkPort(b.Internal))
-		// What a process of the fleet gets is what strangers must not get.
-		var roster []byte
+		// A process of the fleet gets the member list, so the checks below are not vacuous.
+		var members []byte
 		err := member.Fetch(ctx, addr, bulk.KindMemberList, nil, func(r io.Reader) (err error) {
-			roster, err = io.ReadAll(r)
+			members, err = io.ReadAll(r)
 			return err
 		})
-		if err != nil || len(roster) == 0 {
-			t.Fatalf("%s gave a process of the fleet %d bytes: %v", b.Name, len(roster), err)
+		if err != nil || len(members) == 0 {
+			t.Fatalf("%s sent a process of the fleet %d bytes: %v", b.Name, len(members), err)
 		}
-		for _, config := range strangersTLS(t, authority) {
+		for _, config := range unauthenticatedTLS(t, authority) {
 			conn, err := quic.DialAddr(ctx, addr.String(), config, nil)
 			if err != nil {
-				continue // refused in the handshake
+				continue // rejected in the handshake
 			}
 			stream, err := conn.OpenStreamSync(ctx)
 			if err == nil {
 				stream.Write([]byte{byte(bulk.KindMemberList)})
 				stream.Close()
-				stream.SetReadDeadline(time.Now().Add(fleet.Limit))
+				stream.SetReadDeadline(time.Now().Add(fleet.WaitLimit))
 				answer := make([]byte, 1)
 				if n, _ := stream.Read(answer); n > 0 {
-					t.Errorf("%s answered a stranger", b.Name)
+					t.Errorf("%s answered a process without the fleet's certificate", b.Name)
 				}
 			}
 			conn.CloseWithError(0, "")
 		}
 	}
-	serves(t, f, "listing")
+	awaitServed(t, f, "listing")
 }
 
-// TestSecretsStaySecret: neither the logs of a fleet at work nor -h nor the
-// complaint about a wrong setting shows a key.
-func TestSecretsStaySecret(t *testing.T) {
+// Guards against keys in the logs of a running fleet, in the output of -h and in the error for an
+// invalid setting.
+func TestKeysAreNotPrinted(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
-	serves(t, f, "listing")
+	awaitServed(t, f, "listing")
 	var processes []*fleet.Process
 	for _, b := range f.Balancers {
 		processes = append(processes, b.Process)
@@ -155,20 +154,20 @@
 		processes = append(processes, a.Process)
 	}
 	for _, p := range processes {
-		mustHide(t, p.Name, p.Log())
+		checkNoSecrets(t, p.Name, p.Log())
 	}
 	for program, env := range map[string]map[string]string{"hemlock-balancer": f.Balancers[0].Env(), "hemlock-agent": f.Agents[0].Env()} {
 		help := fleet.RunOnce(t, program, env, "-h")
 		if help.Exit != 0 || !strings.Contains(help.Stdout, "-fleet-key") {
 			t.Errorf("%s -h: %+v", program, help)
 		}
-		mustHide(t, program+" -h", help.Stdout+help.Stderr)
+		checkNoSecrets(t, program+" -h", help.Stdout+help.Stderr)
 		wrong := fleet.RunOnce(t, program, env, "-admin", "nowhere")
-		mustHide(t, program+" with a wrong setting", wrong.Stdout+wrong.Stderr)
+		checkNoSecrets(t, program+" with a wrong setting", wrong.Stdout+wrong.Stderr)
 	}
 }
 
-func mustHide(t *testing.T, where, text string) {
+func checkNoSecrets(t *testing.T, where, text string) {
 	t.Helper()
 	if strings.Contains(text, fleetSecret) {
 		t.Errorf("%s shows the fleet key", where)
@@ -178,15 +177,15 @@
 	}
 }
 
-// TestWrongSettings: a wrong, missing, unknown or misspelt setting ends a daemon
-// before it starts, with exit code 2 and one line that names it.
-func TestWrongSettings(t *testing.T) {
+// Guards against daemons that start with an invalid, missing, unknown or misspelt setting. They
+// must exit with code 2 and one line that names the setting.
+func TestInvalidSettings(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	for program, c := range map[string]struct {
 		prefix string
 		env    map[string]string
-		wrong  map[string]string // setting to a value that can't be used
+		wrong  map[string]string // invalid value by setting
 	}{
 		"hemlock-balancer": {"HEMLOCK_BALANCER_", f.Balancers[0].Env(), map[string]string{
 			"internal": "here", "public": "[::1]:443", "seeds": "10.0.0.1", "store": "", "zone": "", "linger": "3", "drain": "soon",
@@ -216,14 +215,14 @@
 	}
 }
 
-// bulkOffset is how far a balancer's transfer port lies above its internal one.
+// bulkOffset is the difference between a balancer's bulk transfer port and its internal port.
 const bulkOffset = 1
 
 func bulkPort(internal netip.AddrPort) uint16 { return internal.Port() + bulkOffset }
 
-// strangersTLS returns TLS settings of strangers: without a certificate, and
-// with one that is not the fleet's.
-func strangersTLS(t *testing.T, authority *pki.Authority) []*tls.Config {
+// unauthenticatedTLS returns TLS settings without a certificate and with one that is not the
+// fleet's.
+func unauthenticatedTLS(t *testing.T, authority *pki.Authority) []*tls.Config {
 	t.Helper()
 	certPEM, keyPEM, err := authority.Issue("listing")
 	if err != nil {
--- a/test/zone_test.go
+++ b/test/zone_test.go
@@ -6,19 +6,18 @@
 	"github.com/hemlockscale/hemlockscale/test/fleet"
 )
 
-// TestZoneFrozenAndBack: symptom: after an availability zone was cut off, new
-// callers wait for agents that nobody reaches, or the zone never comes back.
-// Sequence: all balancers and agents of one of two zones stop running at the
-// same moment; the fabric goes on handing half of all packets to them; later
-// they run on and still believe what they knew before.
-func TestZoneFrozenAndBack(t *testing.T) {
+// Guards against new callers that wait for unreachable agents after an availability zone was cut
+// off, and against a zone that never comes back. All balancers and agents of one of two zones are
+// frozen at the same moment, the fabric continues to send half of all packets to them, and later
+// they resume with outdated state.
+func TestZoneFrozenAndResumed(t *testing.T) {
 	t.Parallel()
 	cfg := oneService()
 	cfg.Balancers = 4
 	cfg.Zones = []string{"zone-a", "zone-b"}
 	f := fleet.Start(t, cfg)
 	var frozen []*fleet.Process
-	for i := 1; i < 4; i += 2 { // balancers and agents take turns among the zones
+	for i := 1; i < 4; i += 2 { // balancers and agents are assigned to the zones in turn
 		frozen = append(frozen, f.Balancers[i].Process, f.Agents[i].Process)
 	}
 	for _, p := range frozen {
@@ -30,10 +29,10 @@
 			return ok && n == 2
 		})
 	}
-	serves(t, f, "listing")
+	awaitServed(t, f, "listing")
 	for _, p := range frozen {
 		p.Resume()
 	}
 	f.WaitReady()
-	serves(t, f, "listing")
+	awaitServed(t, f, "listing")
 }
