--- a/test/perf/calls_test.go
+++ b/test/perf/calls_test.go
@@ -86,7 +86,7 @@
 // runBatch makes callsPerBatch calls. Each caller makes its share of them one after another.
 func (v *variant) runBatch(b *testing.B, record bool) {
 	var wg sync.WaitGroup
-	var mu sync.Mutex // guards w.latency
+	var mu sync.Mutex // guards v.latency
 	began := time.Now()
 	for _, c := range v.callers {
 		wg.Go(func() {
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -138,11 +138,11 @@
 	for i := range 4 {
 		w.repeat("listing", func(ctx context.Context, c *caller.Caller, n int) {
 			_, err := c.Feed(ctx, 100, feedInterval, uint64(n), nil)
-			w.flow(err)
+			w.recordFlow(err)
 		})
 		w.repeat("records", func(ctx context.Context, c *caller.Caller, n int) {
 			_, err := c.DownloadAt(ctx, downloadRate, downloadRate, uint64(n), nil)
-			w.flow(err)
+			w.recordFlow(err)
 		})
 		w.repeat("listing", func(ctx context.Context, c *caller.Caller, n int) {
 			w.reserve(ctx, c, fmt.Sprintf("reservation-%d-%d", i, n))
@@ -168,7 +168,7 @@
 	})
 }
 
-func (w *work) flow(err error) {
+func (w *work) recordFlow(err error) {
 	w.flows.Add(1)
 	if err != nil {
 		w.t.Errorf("flow: %v", err)
--- a/test/zone_test.go
+++ b/test/zone_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against new callers that wait for unreachable agents after an availability zone was cut
-// off, and against a zone that never comes back. All balancers and agents of one of two zones are
+// off, and against a zone that stays out of use. All balancers and agents of one of two zones are
 // frozen at the same moment, the fabric continues to send half of all packets to them, and later
 // they resume with outdated state.
 func TestZoneFrozenAndResumed(t *testing.T) {
