--- a/admission/lab/experiment.go
+++ b/admission/lab/experiment.go
@@ -13,21 +13,21 @@
 // Their Run returns a *ConfigError for an invalid config.
 var Experiments = []figure.Experiment[Config]{
 	{Name: "goodput", Run: checked(goodput),
-		Tell: "answers in time / capacity, by offered load and kind of callers"},
+		Summary: "answers in time / capacity, by offered load and kind of callers"},
 	{Name: "fairness", Run: checked(fairness),
-		Tell: "share of each owner's callers served in time, one owner at 10 times its quarter"},
+		Summary: "share of each owner's callers served in time, one owner at 10 times its quarter"},
 	{Name: "slow-phase", Run: checked(slowPhase),
-		Tell: "goodput before, during and after a phase in which the backend server runs at a fifth of its speed"},
+		Summary: "goodput before, during and after a phase in which the backend server runs at a fifth of its speed"},
 	{Name: "thrash", Run: checked(thrash),
-		Tell: "goodput of a backend server with a capacity of 3/5 of its slots that loses speed beyond"},
+		Summary: "goodput of a backend server with a capacity of 3/5 of its slots that loses speed beyond"},
 	{Name: "shedding", Run: checked(shedding),
-		Tell: "goodput of a backend server that answers 503 above 3/5 of its slots"},
+		Summary: "goodput of a backend server that answers 503 above 3/5 of its slots"},
 	{Name: "returns", Run: checked(returns),
-		Tell: "how closely together 500 refused callers retry"},
+		Summary: "how closely together 500 refused callers retry"},
 	{Name: "long-flows", Run: checked(longFlows),
-		Tell: "short requests beside feeds that stay open"},
+		Summary: "short requests beside feeds that stay open"},
 	{Name: "retries", Run: checked(retries),
-		Tell: "attempts per offered request while all attempts fail"},
+		Summary: "attempts per offered request while all attempts fail"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
--- a/catalogue/lab/exchange.go
+++ b/catalogue/lab/exchange.go
@@ -116,7 +116,7 @@
 		x.Messages++
 		x.Bytes += len(p.Message.Encode()) + datagramOverhead
 		to := NodeIndex(p.To)
-		x.Carry(i, to, func(delay time.Duration) {
+		x.Deliver(i, to, func(delay time.Duration) {
 			x.After(delay, func() {
 				x.Update(to, func(r *catalogue.Replica) { r.Receive(x.Now(), NodeAddr(i), p.Message) })
 			})
--- a/catalogue/lab/experiment.go
+++ b/catalogue/lab/experiment.go
@@ -62,10 +62,10 @@
 // Their Run returns a *ConfigError for an invalid config and a *FaultError for
 // an unexpected error of the package catalogue.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "spread", Run: checked(spread), Tell: "time until single changes are in force, messages and bytes, by number of nodes and loss"},
-	{Name: "fanout", Run: checked(fanout), Tell: "the same by the number of peers that a change is sent to at once and the interval of digests"},
-	{Name: "bulk-edit", Run: checked(bulkEdit), Tell: "time until edits of 500 entries are in force"},
-	{Name: "cold-start", Run: checked(coldStart), Tell: "time until empty nodes have loaded a catalogue of the target size"},
+	{Name: "spread", Run: checked(spread), Summary: "time until single changes are in force, messages and bytes, by number of nodes and loss"},
+	{Name: "fanout", Run: checked(fanout), Summary: "the same by the number of peers that a change is sent to at once and the interval of digests"},
+	{Name: "bulk-edit", Run: checked(bulkEdit), Summary: "time until edits of 500 entries are in force"},
+	{Name: "cold-start", Run: checked(coldStart), Summary: "time until empty nodes have loaded a catalogue of the target size"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
--- a/cmd/hemlock-lab/common.go
+++ b/cmd/hemlock-lab/common.go
@@ -49,7 +49,7 @@
 	var help strings.Builder
 	help.WriteString("experiments to run, separated by commas; empty is all:")
 	for _, x := range e.all {
-		fmt.Fprintf(&help, "\n%s: %s", x.Name, x.Tell)
+		fmt.Fprintf(&help, "\n%s: %s", x.Name, x.Summary)
 	}
 	words(fs, &e.names, "experiments", help.String())
 	return fs
--- a/flow/lab/experiment.go
+++ b/flow/lab/experiment.go
@@ -10,10 +10,10 @@
 // Experiments are the replayed loads. Their Run returns a ConfigError for a
 // configuration that can't be used.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "power", Run: checked(power), Tell: "credit per window of two seconds after a power loss of the whole fleet"},
-	{Name: "kill", Run: checked(kill), Tell: "the same after a kill of all processes; the servers and their flows keep running"},
-	{Name: "burst", Run: checked(burst), Tell: "the same from the start of two seconds of load at 1.3 times the servers' capacity"},
-	{Name: "slow", Run: checked(slow), Tell: "the same from the moment when one server becomes five times slower"},
+	{Name: "power", Run: checked(power), Summary: "credit per window of two seconds after a power loss of the whole fleet"},
+	{Name: "kill", Run: checked(kill), Summary: "the same after a kill of all processes; the servers and their flows keep running"},
+	{Name: "burst", Run: checked(burst), Summary: "the same from the start of two seconds of load at 1.3 times the servers' capacity"},
+	{Name: "slow", Run: checked(slow), Summary: "the same from the moment when one server becomes five times slower"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
--- a/lab/exchange/exchange.go
+++ b/lab/exchange/exchange.go
@@ -18,9 +18,9 @@
 	Cut       func(from, to P) bool          // drops what it holds for; may be nil
 }
 
-// Carry calls arrive once for each copy of a message that arrives, with the
+// Deliver calls arrive once for each copy of a message that arrives, with the
 // copy's delay.
-func (n *Network[P]) Carry(from, to P, arrive func(delay time.Duration)) {
+func (n *Network[P]) Deliver(from, to P, arrive func(delay time.Duration)) {
 	if n.Cut != nil && n.Cut(from, to) {
 		return
 	}
--- a/lab/exchange/exchange_test.go
+++ b/lab/exchange/exchange_test.go
@@ -26,7 +26,7 @@
 		}
 		got := 0
 		for range sent {
-			n.Carry(1, 2, func(d time.Duration) {
+			n.Deliver(1, 2, func(d time.Duration) {
 				got++
 				if d != 12 {
 					t.Fatalf("delay %v", d)
--- a/lab/figure/experiment.go
+++ b/lab/figure/experiment.go
@@ -9,17 +9,17 @@
 // Experiment is one question put to a model; C is the model's config.
 type Experiment[C any] struct {
 	Name string
-	Tell string // what it tells, one line
+	Summary string // what it tells, one line
 	Run  func(C) ([]Figure, error)
 }
 
-// UnknownError names an experiment that there isn't, and those that there are.
-type UnknownError struct {
+// UnknownExperimentError is an experiment name that does not exist, with the names to choose from.
+type UnknownExperimentError struct {
 	Name  string
 	Known []string
 }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownExperimentError) Error() string {
 	return fmt.Sprintf("no experiment %q; choose from %s", e.Name, strings.Join(e.Known, ", "))
 }
 
@@ -33,13 +33,13 @@
 }
 
 // Run runs the named experiments, or all if names is empty, and returns their
-// figures under their names. It returns an UnknownError before any has run, or
+// figures under their names. It returns an UnknownExperimentError before any has run, or
 // the first error of an experiment.
 func Run[C any](all []Experiment[C], names []string, c C) ([]Figure, error) {
 	known := Names(all)
 	for _, n := range names {
 		if !slices.Contains(known, n) {
-			return nil, &UnknownError{n, known}
+			return nil, &UnknownExperimentError{n, known}
 		}
 	}
 	var list []Figure
--- a/lab/figure/figure_test.go
+++ b/lab/figure/figure_test.go
@@ -40,7 +40,7 @@
 	if list, _ := Run(all, nil, 3); len(list) != 2 {
 		t.Errorf("%v", list)
 	}
-	var unknown *UnknownError
+	var unknown *UnknownExperimentError
 	if _, err := Run(all, []string{"c"}, 3); !errors.As(err, &unknown) {
 		t.Errorf("%v", err)
 	}
--- a/membership/lab/exchange.go
+++ b/membership/lab/exchange.go
@@ -160,7 +160,7 @@
 	if to == nil {
 		return
 	}
-	x.Carry(p, to, func(delay time.Duration) {
+	x.Deliver(p, to, func(delay time.Duration) {
 		n := int(x.Now.Add(delay).Sub(x.Start)/Step) % maxDelaySteps
 		x.due[n] = append(x.due[n], Delivery{p.Record.Addr, to, e.Msg})
 	})
--- a/membership/lab/experiment.go
+++ b/membership/lab/experiment.go
@@ -66,15 +66,15 @@
 // Run returns a *ConfigError for an invalid Config and a *FaultError for a fault of
 // a state machine.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "spread", Run: checked(spread), Tell: "time and bytes until all balancers know a change, by number of balancers and loss"},
-	{Name: "burst", Run: checked(bursts), Tell: "the same for many changes at once, and at ten per second"},
-	{Name: "reports", Run: checked(reports), Tell: "traffic at rest, with as many agents per balancer as at the target size"},
-	{Name: "memory", Run: checked(memory), Tell: "heap and bulk transfer size of a member list of the target size"},
-	{Name: "day", Run: checked(day), Tell: "traffic while processes restart as on an ordinary day"},
-	{Name: "zone-loss", Run: checked(zoneLoss), Tell: "time until all balancers know the loss of a zone, and its traffic"},
-	{Name: "region-apart", Run: checked(regionApart), Tell: "time until member lists converge after a region was cut off for the duration"},
-	{Name: "rack-loss", Run: checked(rackLoss), Tell: "time until all balancers know the loss of 40 processes of a zone"},
-	{Name: "suspicions", Run: checked(suspicions), Tell: "verdicts on healthy processes under loss and pauses"},
+	{Name: "spread", Run: checked(spread), Summary: "time and bytes until all balancers know a change, by number of balancers and loss"},
+	{Name: "burst", Run: checked(bursts), Summary: "the same for many changes at once, and at ten per second"},
+	{Name: "reports", Run: checked(reports), Summary: "traffic at rest, with as many agents per balancer as at the target size"},
+	{Name: "memory", Run: checked(memory), Summary: "heap and bulk transfer size of a member list of the target size"},
+	{Name: "day", Run: checked(day), Summary: "traffic while processes restart as on an ordinary day"},
+	{Name: "zone-loss", Run: checked(zoneLoss), Summary: "time until all balancers know the loss of a zone, and its traffic"},
+	{Name: "region-apart", Run: checked(regionApart), Summary: "time until member lists converge after a region was cut off for the duration"},
+	{Name: "rack-loss", Run: checked(rackLoss), Summary: "time until all balancers know the loss of 40 processes of a zone"},
+	{Name: "suspicions", Run: checked(suspicions), Summary: "verdicts on healthy processes under loss and pauses"},
 }
 
 func checked(run func(Config) []figure.Figure) func(Config) ([]figure.Figure, error) {
