--- a/cmd/hemlock-agent/platform.go
+++ b/cmd/hemlock-agent/platform.go
@@ -11,14 +11,14 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// stopLimit bounds the stop of an agent: it tells balancers and ends.
-const stopLimit = time.Second
+// shutdownTimeout bounds the stop of an agent: it tells balancers and ends.
+const shutdownTimeout = time.Second
 
 // servePlatform passes the packet flows of the users' platform to a server.
 func servePlatform(cfg daemon.Config) error {
 	p, err := process.Open(cfg)
-	var wrong *platform.SettingsError
-	if errors.As(err, &wrong) {
+	var settingsErr *platform.SettingsError
+	if errors.As(err, &settingsErr) {
 		settings.Exit(program, err)
 	}
 	if err != nil {
@@ -36,5 +36,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Run(a, stopLimit)
+	return p.Run(a, shutdownTimeout)
 }
--- a/cmd/hemlock-balancer/platform.go
+++ b/cmd/hemlock-balancer/platform.go
@@ -11,15 +11,15 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// graceMargin is what a stop leaves of the time that the platform grants, so
+// shutdownMargin is what a stop leaves of the time that the platform grants, so
 // that the process ends by itself.
-const graceMargin = time.Second
+const shutdownMargin = time.Second
 
 // servePlatform forwards the packet flows of the users' platform.
 func servePlatform(cfg daemon.Config) error {
 	p, err := process.Open(cfg)
-	var wrong *platform.SettingsError
-	if errors.As(err, &wrong) {
+	var settingsErr *platform.SettingsError
+	if errors.As(err, &settingsErr) {
 		settings.Exit(program, err)
 	}
 	if err != nil {
@@ -37,5 +37,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Run(b, max(p.Settings.Grace-graceMargin, graceMargin))
+	return p.Run(b, max(p.Settings.Grace-shutdownMargin, shutdownMargin))
 }
--- a/cmd/hemlock-demo/main.go
+++ b/cmd/hemlock-demo/main.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	program    = "hemlock-demo"
-	readyLimit = 15 * time.Second
-	exitBroken = 1
+	program      = "hemlock-demo"
+	readyTimeout = 15 * time.Second
+	exitFailed   = 1
 )
 
 // config is the checked settings.
@@ -36,13 +36,13 @@
 	if err != nil {
 		settings.Exit(program, err)
 	}
-	kept, err := demonstrate(cfg)
+	passed, err := runDemo(cfg)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
-		os.Exit(exitBroken)
+		os.Exit(exitFailed)
 	}
-	if !kept {
-		os.Exit(exitBroken)
+	if !passed {
+		os.Exit(exitFailed)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func demonstrate(cfg config) (kept bool, err error) {
+func runDemo(cfg config) (passed bool, err error) {
 	log, err := daemon.NewLog("demo", cfg.level)
 	if err != nil {
 		return false, err
@@ -94,7 +94,7 @@
 		newUser("Tienda Bocina Voz", bocina(cfg.seed, log)),
 	}
 	start := time.Now()
-	say := func(format string, args ...any) {
+	logf := func(format string, args ...any) {
 		fmt.Printf("%5.1fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 	}
 	for _, u := range users {
@@ -102,25 +102,25 @@
 		if err := u.start(); err != nil {
 			return false, err
 		}
-		say("%s: %d balancers, %d agents ready", u.name, len(u.dep.Balancers), len(u.dep.Agents))
+		logf("%s: %d balancers, %d agents ready", u.name, len(u.dep.Balancers), len(u.dep.Agents))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*cfg.run)
 	defer cancel()
 	for _, u := range users {
-		u.load.begin(ctx, cfg.run)
+		u.load.start(ctx, cfg.run)
 	}
-	if err := change(ctx, users, cfg.run, say); err != nil {
+	if err := runSteps(ctx, users, cfg.run, logf); err != nil {
 		return false, err
 	}
 	for _, u := range users {
 		u.load.wait()
 	}
-	say("load ended")
+	logf("load ended")
 	return report(os.Stdout, users), nil
 }
 
-// change makes the planned changes and the failure while the load runs.
-func change(ctx context.Context, users []*user, run time.Duration, say func(string, ...any)) error {
+// runSteps makes the planned changes and the failure while the load runs.
+func runSteps(ctx context.Context, users []*user, run time.Duration, logf func(string, ...any)) error {
 	steps := []struct {
 		what string
 		do   func(*user, context.Context) error
@@ -134,7 +134,7 @@
 	for _, step := range steps {
 		time.Sleep(pause)
 		for _, u := range users {
-			say("%s %s", u.name, step.what)
+			logf("%s %s", u.name, step.what)
 			if err := step.do(u, ctx); err != nil {
 				return err
 			}
--- a/cmd/hemlock-demo/report.go
+++ b/cmd/hemlock-demo/report.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// forceLimit is the time in which an accepted edit must be in force.
-const forceLimit = 5 * time.Second
+// propagationLimit is the time in which an accepted edit must be in force.
+const propagationLimit = 5 * time.Second
 
 // report prints the table and returns whether every promise was kept.
-func report(w io.Writer, users []*user) (kept bool) {
-	kept = true
+func report(w io.Writer, users []*user) (passed bool) {
+	passed = true
 	fmt.Fprintln(w)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "service\tcalls\twhole\trefused\tunknown\tbroken\twrong\tlong flows\twhole\tran twice\tlost\tmax/mean\tp50\tp99")
 	for _, u := range users {
 		for _, s := range u.cfg.Services {
-			t := u.load.tally[s.Name]
-			twice, lost := compare(t, u.load.journaled(s.Name))
+			t := u.load.tallies[s.Name]
+			twice, lost := checkReservations(t, u.load.reservationRuns(s.Name))
 			fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s\t%s\n",
-				s.Name, t.calls, t.whole, t.refused, t.unknown, t.broken, t.wrong, t.flows, t.wholeFlows,
-				twice, lost, imbalance(t.byServer, u.drained), microseconds(t.latency.ValueAtQuantile(50)), microseconds(t.latency.ValueAtQuantile(99)))
-			kept = kept && t.broken == 0 && t.wrong == 0 && t.flows == t.wholeFlows && twice == 0 && lost == 0
+				s.Name, t.calls, t.complete, t.refused, t.unknown, t.broken, t.wrong, t.flows, t.completeFlows,
+				twice, lost, imbalance(t.byServer, u.drainedServer), formatMicroseconds(t.latency.ValueAtQuantile(50)), formatMicroseconds(t.latency.ValueAtQuantile(99)))
+			passed = passed && t.broken == 0 && t.wrong == 0 && t.flows == t.completeFlows && twice == 0 && lost == 0
 		}
 	}
 	tw.Flush()
 	fmt.Fprintln(w)
 	for _, u := range users {
-		fmt.Fprintf(w, "%s: catalogue edit in force on every balancer after %v\n", u.name, u.force.Round(time.Millisecond))
-		kept = kept && u.force <= forceLimit
+		fmt.Fprintf(w, "%s: catalogue edit in force on every balancer after %v\n", u.name, u.propagation.Round(time.Millisecond))
+		passed = passed && u.propagation <= propagationLimit
 		for _, s := range u.cfg.Services {
-			for _, p := range u.load.tally[s.Name].problems {
+			for _, p := range u.load.tallies[s.Name].errorTexts {
 				fmt.Fprintf(w, "%s: %s\n", s.Name, p)
 			}
 		}
 	}
-	if kept {
+	if passed {
 		fmt.Fprintln(w, "every promise kept")
 	} else {
 		fmt.Fprintln(w, "A PROMISE BROKE")
 	}
-	return kept
+	return passed
 }
 
-// compare holds reservations that callers were told of against the journals of
+// checkReservations holds reservations that callers were told of against the journals of
 // the backend servers.
-func compare(t *tally, runs map[string]int) (twice, lost int) {
+func checkReservations(t *tally, runs map[string]int) (twice, lost int) {
 	for _, n := range runs {
 		if n > 1 {
 			twice++
 		}
 	}
-	for key := range t.accepted {
+	for key := range t.acknowledged {
 		if runs[key] == 0 {
 			lost++
 		}
@@ -63,10 +63,10 @@
 
 // imbalance returns the calls of the busiest backend server over the mean, of
 // those that stayed for the whole run.
-func imbalance(byServer map[string]int, left string) float64 {
+func imbalance(byServer map[string]int, excluded string) float64 {
 	total, most, servers := 0, 0, 0
 	for name, n := range byServer {
-		if name == left {
+		if name == excluded {
 			continue
 		}
 		total += n
@@ -79,6 +79,6 @@
 	return float64(most) * float64(servers) / float64(total)
 }
 
-func microseconds(n int64) time.Duration {
+func formatMicroseconds(n int64) time.Duration {
 	return (time.Duration(n) * time.Microsecond).Round(100 * time.Microsecond)
 }
--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -14,9 +14,9 @@
 	cfg  deployment.Config
 	dep  *deployment.Deployment
 	load *load
-	// drained is the backend server that left during the run.
-	drained string
-	force   time.Duration // from the answer to the edit until all balancers have it in force
+	// drainedServer is the backend server that left during the run.
+	drainedServer string
+	propagation   time.Duration // from the answer to the edit until all balancers have it in force
 }
 
 func newUser(name string, cfg deployment.Config) *user {
@@ -28,7 +28,7 @@
 		return err
 	}
 	u.load = newLoad(u.dep, u.cfg.Services)
-	return u.dep.WaitReady(readyLimit)
+	return u.dep.WaitReady(readyTimeout)
 }
 
 func (u *user) close() {
@@ -51,12 +51,12 @@
 	}
 	start := time.Now()
 	for !u.inForce(accepted.Revision) {
-		if time.Since(start) > readyLimit {
-			return &deployment.TimeoutError{Limit: readyLimit}
+		if time.Since(start) > readyTimeout {
+			return &deployment.TimeoutError{Limit: readyTimeout}
 		}
 		time.Sleep(time.Millisecond)
 	}
-	u.force = time.Since(start)
+	u.propagation = time.Since(start)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 // drainAgent begins a graceful stop; it ends when the agent's flows have.
 func (u *user) drainAgent(ctx context.Context) error {
 	a := u.dep.Agents[0]
-	u.drained = a.Backend.Name()
+	u.drainedServer = a.Backend.Name()
 	u.load.background(func() { a.Stop(ctx) })
 	return nil
 }
--- a/cmd/hemlock-lab/catalogue.go
+++ b/cmd/hemlock-lab/catalogue.go
@@ -9,9 +9,9 @@
 func runCatalogue(args []string, out io.Writer) error {
 	e := experiments[lab.Config]{all: lab.Experiments}
 	c := lab.DefaultConfig()
-	fs := e.newSet("catalogue", "measures how changes spread between replicas over an in-memory exchange of messages")
-	numbers(fs, &c.Sizes, "sizes", "numbers of nodes, separated by commas; empty is each experiment's own, for spread 8,64,512,4096,11000")
-	numbers(fs, &c.Losses, "losses", "shares of messages lost, 0 to below 1, separated by commas; empty is each experiment's own, for spread 0,0.05,0.2")
+	fs := e.newFlagSet("catalogue", "measures how changes spread between replicas over an in-memory exchange of messages")
+	floatList(fs, &c.Sizes, "sizes", "numbers of nodes, separated by commas; empty is each experiment's own, for spread 8,64,512,4096,11000")
+	floatList(fs, &c.Losses, "losses", "shares of messages lost, 0 to below 1, separated by commas; empty is each experiment's own, for spread 0,0.05,0.2")
 	fs.IntVar(&c.Changes, "changes", 0, "changes of spread and fanout, edits of 500 entries of bulk-edit; 0 is 10")
 	if err := e.parse(fs, args); err != nil {
 		return err
--- a/cmd/hemlock-lab/common.go
+++ b/cmd/hemlock-lab/common.go
@@ -17,8 +17,8 @@
 	output string
 }
 
-// newSet returns the flags of a tool with the common ones.
-func (c *common) newSet(tool, summary string) *settings.Set {
+// newFlagSet returns the flags of a tool with the common ones.
+func (c *common) newFlagSet(tool, summary string) *settings.Set {
 	fs := settings.New(program+" "+tool, "HEMLOCK_LAB", summary)
 	fs.Uint64Var(&c.seed, "seed", 1, "seed; the same seed gives the same figures")
 	fs.StringVar(&c.output, "o", figure.Table, "output: table or csv")
@@ -43,15 +43,15 @@
 	names []string
 }
 
-// newSet adds the flag that chooses experiments, with what each tells.
-func (e *experiments[C]) newSet(tool, summary string) *settings.Set {
-	fs := e.common.newSet(tool, summary)
+// newFlagSet adds the flag that chooses experiments, with what each tells.
+func (e *experiments[C]) newFlagSet(tool, summary string) *settings.Set {
+	fs := e.common.newFlagSet(tool, summary)
 	var help strings.Builder
 	help.WriteString("experiments to run, separated by commas; empty is all:")
 	for _, x := range e.all {
 		fmt.Fprintf(&help, "\n%s: %s", x.Name, x.Summary)
 	}
-	words(fs, &e.names, "experiments", help.String())
+	stringList(fs, &e.names, "experiments", help.String())
 	return fs
 }
 
@@ -63,8 +63,8 @@
 	return figure.Write(out, e.output, figure.Columns, figure.Rows(list))
 }
 
-// bounds returns a check that low <= value <= high.
-func bounds[T cmp.Ordered](setting string, value, low, high T) func() error {
+// inRange returns a check that low <= value <= high.
+func inRange[T cmp.Ordered](setting string, value, low, high T) func() error {
 	return func() error {
 		if value >= low && value <= high {
 			return nil
@@ -75,20 +75,20 @@
 
 // listValue is the flag of a list separated by commas.
 type listValue[T any] struct {
-	to    *[]T
-	parse func(string) (T, error)
+	target *[]T
+	parse  func(string) (T, error)
 }
 
 func (l listValue[T]) String() string {
-	if l.to == nil {
+	if l.target == nil {
 		return ""
 	}
-	return strings.ReplaceAll(strings.Trim(fmt.Sprint(*l.to), "[]"), " ", ",")
+	return strings.ReplaceAll(strings.Trim(fmt.Sprint(*l.target), "[]"), " ", ",")
 }
 
 // Set replaces the list; the flag package words the error.
 func (l listValue[T]) Set(s string) error {
-	*l.to = nil
+	*l.target = nil
 	for _, part := range strings.Split(s, ",") {
 		part = strings.TrimSpace(part)
 		if part == "" {
@@ -98,15 +98,15 @@
 		if err != nil {
 			return err
 		}
-		*l.to = append(*l.to, v)
+		*l.target = append(*l.target, v)
 	}
 	return nil
 }
 
-func words(fs *settings.Set, to *[]string, name, usage string) {
+func stringList(fs *settings.Set, to *[]string, name, usage string) {
 	fs.Var(listValue[string]{to, func(s string) (string, error) { return s, nil }}, name, usage)
 }
 
-func numbers(fs *settings.Set, to *[]float64, name, usage string) {
+func floatList(fs *settings.Set, to *[]float64, name, usage string) {
 	fs.Var(listValue[float64]{to, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) }}, name, usage)
 }
--- a/cmd/hemlock-lab/main.go
+++ b/cmd/hemlock-lab/main.go
@@ -16,8 +16,8 @@
 
 // tool is one subcommand.
 type tool struct {
-	name, tells string
-	run         func(args []string, out io.Writer) error
+	name, summary string
+	run           func(args []string, out io.Writer) error
 }
 
 var tools = []tool{
@@ -64,7 +64,7 @@
 	fmt.Fprintf(out, "%s TOOL [flags]: measures on models in simulated time\n\n", program)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, t := range tools {
-		fmt.Fprintf(w, "  %s\t%s\n", t.name, t.tells)
+		fmt.Fprintf(w, "  %s\t%s\n", t.name, t.summary)
 	}
 	err := w.Flush()
 	fmt.Fprintf(out, "\n%s TOOL -h tells its flags with units and defaults.\n", program)
--- a/cmd/hemlock-lab/membership.go
+++ b/cmd/hemlock-lab/membership.go
@@ -9,9 +9,9 @@
 func runMembership(args []string, out io.Writer) error {
 	e := experiments[lab.Config]{all: lab.Experiments}
 	c := lab.DefaultConfig()
-	fs := e.newSet("membership", "measures membership with many state machines and an in-memory exchange of messages")
-	numbers(fs, &c.Sizes, "sizes", "numbers of balancers of the spread experiment, separated by commas; empty is 8,32,128,512,1024,2048")
-	numbers(fs, &c.Losses, "losses", "shares of messages lost of the spread experiment, 0 to below 1, separated by commas; empty is 0,0.05,0.2")
+	fs := e.newFlagSet("membership", "measures membership with many state machines and an in-memory exchange of messages")
+	floatList(fs, &c.Sizes, "sizes", "numbers of balancers of the spread experiment, separated by commas; empty is 8,32,128,512,1024,2048")
+	floatList(fs, &c.Losses, "losses", "shares of messages lost of the spread experiment, 0 to below 1, separated by commas; empty is 0,0.05,0.2")
 	fs.IntVar(&c.Changes, "changes", 0, "changes of spread and burst; 0 is 40 and 400")
 	fs.IntVar(&c.Zones, "zones", 0, "availability zones of day, zone-loss, region-apart and rack-loss; 0 is 18, of rack-loss 6")
 	fs.IntVar(&c.Balancers, "balancers", 0, "balancers a zone, in all of burst and reports; 0 is the size of docs/measure/membership.md")
--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -16,11 +16,11 @@
 // placementSettings are the flags of hemlock-lab placement.
 type placementSettings struct {
 	common
-	agents, balancers, zones, parallel, seeds int
-	duration, reportEvery                     time.Duration
-	cases, policies                           []string
-	remote, unknown                           uint
-	options                                   lab.Options
+	agents, balancers, zones, maxParallel, seeds int
+	duration, reportInterval                     time.Duration
+	cases, policies                              []string
+	remotePenalty, unknownOccupancy              uint
+	options                                      lab.Options
 }
 
 func runPlacement(args []string, out io.Writer) error {
@@ -33,39 +33,39 @@
 
 func parsePlacement(args []string) (*placementSettings, error) {
 	s := &placementSettings{}
-	fs := s.newSet("placement", "compares placement policies on a model of one service")
+	fs := s.newFlagSet("placement", "compares placement policies on a model of one service")
 	fs.IntVar(&s.agents, "agents", 7, "backend servers of the service")
 	fs.IntVar(&s.balancers, "balancers", 4, "balancers")
 	fs.IntVar(&s.zones, "zones", 4, "availability zones")
 	fs.DurationVar(&s.duration, "duration", 10*time.Minute, "modelled time per run; a sixth is warm-up")
-	fs.DurationVar(&s.reportEvery, "report-every", 0, "mean time between reports of one agent to one balancer; 0 is each case's own")
+	fs.DurationVar(&s.reportInterval, "report-every", 0, "mean time between reports of one agent to one balancer; 0 is each case's own")
 	fs.IntVar(&s.seeds, "seeds", 1, "runs per case and policy, with seeds from -seed on; the mean is printed")
-	words(fs, &s.cases, "cases", "cases to run, separated by commas; empty is all")
-	words(fs, &s.policies, "policies", "policies to run, separated by commas; empty is all")
-	fs.IntVar(&s.parallel, "parallel", 2, "runs at once")
+	stringList(fs, &s.cases, "cases", "cases to run, separated by commas; empty is all")
+	stringList(fs, &s.policies, "policies", "policies to run, separated by commas; empty is all")
+	fs.IntVar(&s.maxParallel, "parallel", 2, "runs at once")
 	fs.IntVar(&s.options.Table.Samples, "samples", 0, "agents that a balancer compares for the alternate; 0 is the default")
 	fs.IntVar(&s.options.Decider.Margin, "margin", 0, "occupancy by which the primary must exceed the alternate; 0 is the default")
 	fs.DurationVar(&s.options.Load.MaxAge, "max-age", 0, "age from which a report counts as unknown; 0 is the default")
-	fs.UintVar(&s.remote, "remote-penalty", placement.DefaultRemotePenalty, "occupancy added to alternates in other zones, 0 to 255")
-	fs.UintVar(&s.unknown, "unknown", 0, "occupancy assumed of an unknown agent, 1 to 254; 0 is the default")
+	fs.UintVar(&s.remotePenalty, "remote-penalty", placement.DefaultRemotePenalty, "occupancy added to alternates in other zones, 0 to 255")
+	fs.UintVar(&s.unknownOccupancy, "unknown", 0, "occupancy assumed of an unknown agent, 1 to 254; 0 is the default")
 	if err := s.parse(fs, args); err != nil {
 		return nil, err
 	}
-	s.options.Table.RemotePenalty = uint8(s.remote)
-	s.options.Load.Unknown = placement.Occupancy(s.unknown)
+	s.options.Table.RemotePenalty = uint8(s.remotePenalty)
+	s.options.Load.Unknown = placement.Occupancy(s.unknownOccupancy)
 	return s, s.check()
 }
 
 func (s *placementSettings) check() error {
 	return settings.FirstError(
-		bounds("agents", s.agents, 2, 1_000_000),
-		bounds("balancers", s.balancers, 1, 1_000_000),
-		bounds("zones", s.zones, 1, 1_000_000),
-		bounds("duration", s.duration, time.Minute, 1000*time.Hour),
-		bounds("parallel", s.parallel, 1, 1000),
-		bounds("seeds", s.seeds, 1, 1_000_000),
-		bounds("remote-penalty", s.remote, 0, uint(placement.Full)),
-		bounds("unknown", s.unknown, 0, uint(placement.Full)-1),
+		inRange("agents", s.agents, 2, 1_000_000),
+		inRange("balancers", s.balancers, 1, 1_000_000),
+		inRange("zones", s.zones, 1, 1_000_000),
+		inRange("duration", s.duration, time.Minute, 1000*time.Hour),
+		inRange("parallel", s.maxParallel, 1, 1000),
+		inRange("seeds", s.seeds, 1, 1_000_000),
+		inRange("remote-penalty", s.remotePenalty, 0, uint(placement.Full)),
+		inRange("unknown", s.unknownOccupancy, 0, uint(placement.Full)-1),
 	)
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	slots := make(chan struct{}, s.parallel)
+	slots := make(chan struct{}, s.maxParallel)
 	var wg sync.WaitGroup
 	for i := range jobs {
 		slots <- struct{}{}
@@ -129,8 +129,8 @@
 		if len(s.cases) > 0 && !slices.Contains(s.cases, c.Name) {
 			continue
 		}
-		if s.reportEvery > 0 {
-			c.ReportEvery = s.reportEvery
+		if s.reportInterval > 0 {
+			c.ReportEvery = s.reportInterval
 		}
 		for _, p := range policies {
 			jobs = append(jobs, job{c: c, policy: p})
--- a/cmd/hemlock-lab/recovery.go
+++ b/cmd/hemlock-lab/recovery.go
@@ -9,7 +9,7 @@
 func runRecovery(args []string, out io.Writer) error {
 	e := experiments[lab.Config]{all: lab.Experiments}
 	c := lab.DefaultConfig()
-	fs := e.newSet("recovery", "replays the worst load on a model of balancers, agents, servers and callers")
+	fs := e.newFlagSet("recovery", "replays the worst load on a model of balancers, agents, servers and callers")
 	fs.IntVar(&c.Seeds, "seeds", c.Seeds, "runs that a figure is the mean of")
 	fs.IntVar(&c.Balancers, "balancers", c.Balancers, "number of balancers")
 	fs.IntVar(&c.Agents, "agents", c.Agents, "number of agents, each beside a backend server")
--- a/cmd/hemlock-store/main.go
+++ b/cmd/hemlock-store/main.go
@@ -28,8 +28,8 @@
 	exitUsage  = 2
 )
 
-// drain is how long a stop waits for calls in flight.
-const drain = 2 * time.Second
+// shutdownTimeout is how long a stop waits for calls in flight.
+const shutdownTimeout = 2 * time.Second
 
 func main() {
 	cfg, listen, err := settings(os.Args[1:])
@@ -99,7 +99,7 @@
 		log.Info("serving", zap.Stringer("address", l.Addr()))
 		return server.Serve(l)
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), drain)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil { // a watch outlasts the drain
 			_ = server.Close()
--- a/cmd/hemlockctl/edit.go
+++ b/cmd/hemlockctl/edit.go
@@ -26,7 +26,7 @@
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
 	for part := range slices.Chunk(f.Entries, catalogue.MaxEdit) {
-		if err := c.edit(ctx, catalogue.Edit{Editor: c.who, Put: part, Base: c.base}); err != nil {
+		if err := c.edit(ctx, catalogue.Edit{Editor: c.editorName, Put: part, Base: c.base}); err != nil {
 			return err
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
-	return c.edit(ctx, catalogue.Edit{Editor: c.who, Owner: c.owner, Delete: c.args, Base: c.base})
+	return c.edit(ctx, catalogue.Edit{Editor: c.editorName, Owner: c.owner, Delete: c.args, Base: c.base})
 }
 
 func (c *cli) edit(ctx context.Context, e catalogue.Edit) error {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return c.accepted(a)
+	return c.reportAccepted(a)
 }
 
 // outcome is the report of an edit.
@@ -63,12 +63,12 @@
 	Changes  []catalogue.Change `json:"changes,omitempty"` // made, or that came first
 }
 
-func (c *cli) accepted(a catalogue.Accepted) error {
+func (c *cli) reportAccepted(a catalogue.Accepted) error {
 	c.report(c.out, outcome{Outcome: "accepted", Revision: a.Revision, Edit: a.Edit.String(), Changes: a.Changes})
 	return nil
 }
 
-func (c *cli) settle(ctx context.Context) error {
+func (c *cli) resolveEdit(ctx context.Context) error {
 	id, err := catalogue.ParseEditID(c.settings.edit)
 	if err != nil {
 		return usagef("%v", err)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return c.accepted(a)
+	return c.reportAccepted(a)
 }
 
 // check looks at a file alone: the schema, and clashes inside it.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := catalogue.New().Plan(catalogue.Edit{Editor: "check", Put: f.Entries}, catalogue.EditID{}, epoch); err != nil {
+	if _, err := catalogue.New().Plan(catalogue.Edit{Editor: "check", Put: f.Entries}, catalogue.EditID{}, plannedTime); err != nil {
 		return &catalogue.RefusedError{Err: err}
 	}
 	c.report(c.out, outcome{Outcome: "accepted"})
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	changes, err := cat.Plan(catalogue.Edit{Editor: "diff", Put: f.Entries}, catalogue.EditID{}, epoch)
+	changes, err := cat.Plan(catalogue.Edit{Editor: "diff", Put: f.Entries}, catalogue.EditID{}, plannedTime)
 	if err != nil {
 		return &catalogue.RefusedError{Err: err}
 	}
@@ -157,9 +157,9 @@
 	return c.showHistory(changes, oldest)
 }
 
-// errBehind makes status exit with exitRefused.
-var errBehind = errors.New("not every balancer has the store's revision in force; see the table, and start or reach the balancers named")
+// errNotInForce makes status exit with exitRefused.
+var errNotInForce = errors.New("not every balancer has the store's revision in force; see the table, and start or reach the balancers named")
 
-func (c *cli) describe(ch catalogue.Change) string {
+func (c *cli) describeChange(ch catalogue.Change) string {
 	return fmt.Sprintf("revision %d: %s %s by %s at %s", ch.Revision, ch.Op, ch.Entry.Service, ch.Editor, ch.When().UTC().Format(timeLayout))
 }
--- a/cmd/hemlockctl/main.go
+++ b/cmd/hemlockctl/main.go
@@ -40,22 +40,22 @@
 
 // command is one subcommand.
 type command struct {
-	name  string
-	args  string // after the flags, for the usage line
-	short string
-	flags func(*flag.FlagSet, *settings)
-	run   func(*cli, context.Context) error
+	name    string
+	args    string // after the flags, for the usage line
+	summary string
+	flags   func(*flag.FlagSet, *settings)
+	run     func(*cli, context.Context) error
 }
 
 var commands = []command{
 	{"apply", "", "create or replace the entries of a file, each edit whole or not at all", editFlags, (*cli).applyFile},
 	{"delete", "SERVICE...", "delete entries of one owner", deleteFlags, (*cli).deleteServices},
-	{"settle", "", "find out whether an edit whose answer was lost is in force", settleFlags, (*cli).settle},
+	{"settle", "", "find out whether an edit whose answer was lost is in force", settleFlags, (*cli).resolveEdit},
 	{"check", "", "check a file without the store", fileFlags, (*cli).check},
 	{"diff", "", "show what applying a file would change", fileFlags, (*cli).diff},
 	{"get", "SERVICE", "show one entry as a file that apply takes", nil, (*cli).get},
 	{"list", "", "list all entries", nil, (*cli).list},
-	{"history", "", "list the changes that the store keeps", hitimelineFlags, (*cli).history},
+	{"history", "", "list the changes that the store keeps", historyFlags, (*cli).history},
 	{"platform", "", "show what the platform's store holds and what processes believe, read-only", platformFlags, (*cli).platform},
 	{"flow", "CALLER LOG...", "show one flow's timeline from the logs of several processes", timelineFlags, (*cli).flow},
 	{"status", "", "show the revision in force at each balancer", statusFlags, (*cli).status},
@@ -108,7 +108,7 @@
 	}
 	err := ff.Parse(fs, args, ff.WithEnvVarPrefix("HEMLOCK"))
 	if errors.Is(err, flag.ErrHelp) {
-		fmt.Fprintf(out, "hemlockctl %s [flags] %s\n  %s\n\nEach flag may be set as HEMLOCK_ and its name in capitals.\n", cmd.name, cmd.args, cmd.short)
+		fmt.Fprintf(out, "hemlockctl %s [flags] %s\n  %s\n\nEach flag may be set as HEMLOCK_ and its name in capitals.\n", cmd.name, cmd.args, cmd.summary)
 		fs.SetOutput(out)
 		fs.PrintDefaults()
 		return c, err
@@ -126,14 +126,14 @@
 // finish reports an error and returns the exit code.
 func (c *cli) finish(err error, errOut io.Writer) int {
 	var (
-		wrong   *usageError
-		unknown *catalogue.UnknownOutcomeError
-		refused *catalogue.RefusedError
+		usageErr *usageError
+		unknown  *catalogue.UnknownOutcomeError
+		refused  *catalogue.RefusedError
 	)
 	switch {
 	case err == nil, errors.Is(err, flag.ErrHelp):
 		return exitAccepted
-	case errors.As(err, &wrong):
+	case errors.As(err, &usageErr):
 		fmt.Fprintln(errOut, "hemlockctl:", err)
 		return exitUsage
 	case errors.As(err, &unknown):
@@ -151,7 +151,7 @@
 	fmt.Fprintln(w, "hemlockctl COMMAND [flags]; hemlockctl COMMAND -h lists the flags")
 	fmt.Fprintln(w)
 	for _, c := range commands {
-		fmt.Fprintf(w, "  %-28s %s\n", strings.TrimSpace(c.name+" "+c.args), c.short)
+		fmt.Fprintf(w, "  %-28s %s\n", strings.TrimSpace(c.name+" "+c.args), c.summary)
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "Exit codes: 0 accepted, 1 refused or failed, 2 wrong usage, 3 unknown whether in force.")
--- a/cmd/hemlockctl/main_test.go
+++ b/cmd/hemlockctl/main_test.go
@@ -59,7 +59,7 @@
 	return out.String()
 }
 
-func want(t *testing.T, text string, parts ...string) {
+func expectContains(t *testing.T, text string, parts ...string) {
 	t.Helper()
 	for _, p := range parts {
 		if !strings.Contains(text, p) {
@@ -71,30 +71,30 @@
 func TestEditAndShow(t *testing.T) {
 	c := newCtl(t)
 	f := c.file(listing)
-	want(t, c.run(exitAccepted, "check", "-f", f), "accepted")
-	want(t, c.run(exitAccepted, "diff", "-f", f), "listing", "addresses", "10.0.0.1")
-	want(t, c.run(exitAccepted, "apply", "-f", f, "-editor", "ayse"), "accepted: revision 1")
-	want(t, c.run(exitAccepted, "list"), "SERVICE", "listing", "10.0.0.1")
+	expectContains(t, c.run(exitAccepted, "check", "-f", f), "accepted")
+	expectContains(t, c.run(exitAccepted, "diff", "-f", f), "listing", "addresses", "10.0.0.1")
+	expectContains(t, c.run(exitAccepted, "apply", "-f", f, "-editor", "ayse"), "accepted: revision 1")
+	expectContains(t, c.run(exitAccepted, "list"), "SERVICE", "listing", "10.0.0.1")
 	got := c.run(exitAccepted, "get", "listing")
-	want(t, got, "revision: 1", "service: listing")
-	want(t, c.run(exitAccepted, "apply", "-f", c.file(got), "-editor", "ayse"), "0 entries changed")
-	want(t, c.run(exitAccepted, "history", "-o", "json"), `"editor": "ayse"`, `"op": "put"`)
-	want(t, c.run(exitRefused, "delete", "-owner", "bocina", "-editor", "ayse", "listing"), "refused", "belongs to owner")
-	want(t, c.run(exitAccepted, "delete", "-owner", "kanatpar", "-editor", "ayse", "listing"), "revision 2")
-	want(t, c.run(exitRefused, "get", "listing"), "no entry")
+	expectContains(t, got, "revision: 1", "service: listing")
+	expectContains(t, c.run(exitAccepted, "apply", "-f", c.file(got), "-editor", "ayse"), "0 entries changed")
+	expectContains(t, c.run(exitAccepted, "history", "-o", "json"), `"editor": "ayse"`, `"op": "put"`)
+	expectContains(t, c.run(exitRefused, "delete", "-owner", "bocina", "-editor", "ayse", "listing"), "refused", "belongs to owner")
+	expectContains(t, c.run(exitAccepted, "delete", "-owner", "kanatpar", "-editor", "ayse", "listing"), "revision 2")
+	expectContains(t, c.run(exitRefused, "get", "listing"), "no entry")
 }
 
 // Symptom: the slower of two operators undoes the faster one's edit.
 // Events: both read revision 1, both edit, both apply.
 // Cause: an apply that does not say which revision it was based on.
-func TestLoserIsToldWhatChanged(t *testing.T) {
+func TestConflictingEditIsRefusedWithChanges(t *testing.T) {
 	c := newCtl(t)
 	c.run(exitAccepted, "apply", "-f", c.file(listing), "-editor", "ayse")
 	read := c.run(exitAccepted, "get", "listing")
 	c.run(exitAccepted, "apply", "-f", c.file(strings.Replace(read, "10.0.0.1", "10.0.0.2", 1)), "-editor", "ayse")
-	late := c.file(strings.Replace(read, "10.0.0.1", "10.0.0.3", 1))
-	want(t, c.run(exitRefused, "apply", "-f", late, "-editor", "mehmet"), "refused", "revision 2: put listing by ayse", "read it again")
-	want(t, c.run(exitRefused, "apply", "-f", late, "-editor", "mehmet", "-o", "json"), `"outcome": "refused"`, `"editor": "ayse"`)
+	staleFile := c.file(strings.Replace(read, "10.0.0.1", "10.0.0.3", 1))
+	expectContains(t, c.run(exitRefused, "apply", "-f", staleFile, "-editor", "mehmet"), "refused", "revision 2: put listing by ayse", "read it again")
+	expectContains(t, c.run(exitRefused, "apply", "-f", staleFile, "-editor", "mehmet", "-o", "json"), `"outcome": "refused"`, `"editor": "ayse"`)
 }
 
 // Symptom: an operator whose answer was lost edits twice or gives up.
@@ -119,14 +119,14 @@
 	})
 	proxy := httptest.NewServer(h)
 	defer proxy.Close()
-	behind := &ctl{t, c.store, proxy.URL}
-	text := behind.run(exitUnknown, "apply", "-f", c.file(listing), "-editor", "ayse", "-o", "json")
+	proxied := &ctl{t, c.store, proxy.URL}
+	text := proxied.run(exitUnknown, "apply", "-f", c.file(listing), "-editor", "ayse", "-o", "json")
 	var o outcome
 	if err := json.Unmarshal([]byte(text), &o); err != nil || o.Outcome != "unknown" {
 		t.Fatalf("%v: %s", err, text)
 	}
-	want(t, o.Next, "settle -edit "+o.Edit)
-	want(t, c.run(exitAccepted, "settle", "-edit", o.Edit), "accepted: revision 1")
+	expectContains(t, o.Next, "settle -edit "+o.Edit)
+	expectContains(t, c.run(exitAccepted, "settle", "-edit", o.Edit), "accepted: revision 1")
 }
 
 func TestStatusComparesNodes(t *testing.T) {
@@ -144,11 +144,11 @@
 		return strings.TrimPrefix(s.URL, "http://")
 	}
 	good := node(1, v.Checksum.String())
-	want(t, c.run(exitAccepted, "status", "-balancers", good), "qro-a", stateInForce)
+	expectContains(t, c.run(exitAccepted, "status", "-balancers", good), "qro-a", stateInForce)
 	text := c.run(exitRefused, "status", "-balancers", good+","+node(0, "0")+","+node(1, "1")+",127.0.0.1:1")
-	want(t, text, stateInForce, stateBehind, stateOtherChain, stateUnreachable)
+	expectContains(t, text, stateInForce, stateBehind, stateChecksumDiffers, stateUnreachable)
 	c.store.SetFaults(standin.Faults{Outage: true})
-	want(t, c.run(exitRefused, "status", "-balancers", good), stateNoStore, "outage")
+	expectContains(t, c.run(exitRefused, "status", "-balancers", good), stateNoStore, "outage")
 }
 
 func TestUsage(t *testing.T) {
@@ -171,12 +171,12 @@
 	}
 	for _, tt := range tests {
 		text := c.run(exitUsage, tt.args...)
-		want(t, text, tt.want)
+		expectContains(t, text, tt.want)
 		if strings.Count(text, "\n") != 1 {
 			t.Errorf("%v: more than one line: %s", tt.args, text)
 		}
 	}
-	want(t, c.run(exitAccepted, "apply", "-h"), "-timeout", "10s", "-editor")
+	expectContains(t, c.run(exitAccepted, "apply", "-h"), "-timeout", "10s", "-editor")
 	for _, a := range []string{"-h", "--version"} {
 		var out bytes.Buffer
 		if run(context.Background(), []string{a}, &out, &out) != exitAccepted || out.Len() == 0 {
--- a/cmd/hemlockctl/output.go
+++ b/cmd/hemlockctl/output.go
@@ -14,8 +14,8 @@
 
 const timeLayout = "2006-01-02T15:04:05Z"
 
-// epoch stands for the time of changes that are only planned.
-var epoch = time.Unix(0, 0)
+// plannedTime stands for the time of changes that are only planned.
+var plannedTime = time.Unix(0, 0)
 
 // report prints the outcome of an edit.
 func (c *cli) report(w io.Writer, o outcome) {
@@ -33,7 +33,7 @@
 	default:
 		fmt.Fprintf(w, "%s: %s\n", o.Outcome, o.Error)
 		for _, ch := range o.Changes {
-			fmt.Fprintln(w, "  changed since you read:", c.describe(ch))
+			fmt.Fprintln(w, "  changed since you read:", c.describeChange(ch))
 		}
 		if o.Next != "" {
 			fmt.Fprintln(w, "  ask again:", o.Next)
--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -22,8 +22,8 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// beliefsLimit bounds a process's answer in bytes: some hundred agents.
-const beliefsLimit = 1 << 20
+// maxSnapshotBytes bounds a process's answer in bytes: some hundred agents.
+const maxSnapshotBytes = 1 << 20
 
 func platformFlags(fs *flag.FlagSet, s *settings) {
 	fs.StringVar(&s.nodes, "nodes", "", "admin addresses of processes that are asked what they believe, as address:port,address:port")
@@ -37,7 +37,7 @@
 	Refused   []string         `json:"refused,omitempty"` // parts of the configuration that can't be read
 	Error     string           `json:"error,omitempty"`   // of the store
 	Keys      []node.Peer      `json:"keys"`
-	Nodes     []nodeBelief     `json:"nodes"`
+	Nodes     []nodeSnapshot   `json:"nodes"`
 }
 
 // evacuationView is an availability zone that gets no new flows.
@@ -56,15 +56,15 @@
 	return ids
 }
 
-// nodeBelief is one process's answer and what it means.
-type nodeBelief struct {
-	Address string        `json:"address"`
-	Beliefs node.Snapshot `json:"beliefs"`
-	State   string        `json:"state"`
-	Error   string        `json:"error,omitempty"`
+// nodeSnapshot is one process's answer and what it means.
+type nodeSnapshot struct {
+	Address  string        `json:"address"`
+	Snapshot node.Snapshot `json:"beliefs"`
+	State    string        `json:"state"`
+	Error    string        `json:"error,omitempty"`
 }
 
-var errDiffers = errors.New("not everything is in force and reachable; see the table")
+var errNotAllInForce = errors.New("not everything is in force and reachable; see the table")
 
 // platform shows the state of a system on the users' platform. It only reads.
 func (c *cli) platform(ctx context.Context) error {
@@ -75,18 +75,18 @@
 		return err
 	}
 	v := readPlatform(ctx, platform.NewStore(platform.StoreConfig{Address: addr}))
-	v.Nodes = askBeliefs(ctx, strings.FieldsFunc(c.nodes, func(r rune) bool { return r == ',' || r == ' ' }))
-	good := v.Error == "" && len(v.Refused) == 0
+	v.Nodes = fetchSnapshots(ctx, strings.FieldsFunc(c.nodes, func(r rune) bool { return r == ',' || r == ' ' }))
+	allInForce := v.Error == "" && len(v.Refused) == 0
 	for i := range v.Nodes {
 		n := &v.Nodes[i]
-		n.State = n.judge(&v)
-		good = good && (n.State == stateInForce || n.State == flow.ServerReady.String() || n.State == flow.ServerEvacuated.String())
+		n.State = n.stateAgainst(&v)
+		allInForce = allInForce && (n.State == stateInForce || n.State == flow.ServerReady.String() || n.State == flow.ServerEvacuated.String())
 	}
 	if err := c.showPlatform(&v); err != nil {
 		return err
 	}
-	if !good {
-		return errDiffers
+	if !allInForce {
+		return errNotAllInForce
 	}
 	return nil
 }
@@ -130,14 +130,14 @@
 		return v
 	}
 	for _, i := range items {
-		v.Keys = append(v.Keys, peerOf(i))
+		v.Keys = append(v.Keys, parsePeer(i))
 	}
 	return v
 }
 
-// peerOf reads a process's key. One that can't be read is shown with its key as
+// parsePeer reads a process's key. One that can't be read is shown with its key as
 // the role.
-func peerOf(i store.Item) node.Peer {
+func parsePeer(i store.Item) node.Peer {
 	var p node.Peer
 	if json.Unmarshal(i.Data, &p) != nil {
 		p.Role = node.Role("unreadable key " + i.Key)
@@ -145,17 +145,17 @@
 	return p
 }
 
-func askBeliefs(ctx context.Context, addresses []string) []nodeBelief {
+func fetchSnapshots(ctx context.Context, addresses []string) []nodeSnapshot {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
-	nodes := make([]nodeBelief, len(addresses))
-	tokens := make(chan struct{}, askedAtOnce)
+	nodes := make([]nodeSnapshot, len(addresses))
+	tokens := make(chan struct{}, maxParallelRequests)
 	var wg sync.WaitGroup
 	for i, a := range addresses {
 		wg.Go(func() {
 			tokens <- struct{}{}
 			nodes[i].Address = a
-			if err := getJSON(ctx, client, "http://"+a+node.SnapshotPath, beliefsLimit, &nodes[i].Beliefs); err != nil {
+			if err := getJSON(ctx, client, "http://"+a+node.SnapshotPath, maxSnapshotBytes, &nodes[i].Snapshot); err != nil {
 				nodes[i].Error = err.Error()
 			}
 			<-tokens
@@ -167,7 +167,7 @@
 
 // getJSON reads a page of a process.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, out any) error {
-	ctx, e := transfer.Begin(ctx, transfer.Limits{ResponseTimeout: nodeTimeout, ProgressTimeout: nodeTimeout})
+	ctx, e := transfer.Begin(ctx, transfer.Limits{ResponseTimeout: responseTimeout, ProgressTimeout: responseTimeout})
 	defer e.End()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -185,14 +185,14 @@
 	return transfer.Err(ctx, json.NewDecoder(io.LimitReader(body, limit)).Decode(out))
 }
 
-// judge says in a word how a process stands to the store.
-func (n *nodeBelief) judge(v *platformView) string {
-	b := n.Beliefs.Balancer
+// stateAgainst says in a word how a process stands to the store.
+func (n *nodeSnapshot) stateAgainst(v *platformView) string {
+	b := n.Snapshot.Balancer
 	switch {
 	case n.Error != "":
 		return stateUnreachable
-	case n.Beliefs.Agent != nil:
-		return n.Beliefs.Agent.State
+	case n.Snapshot.Agent != nil:
+		return n.Snapshot.Agent.State
 	case b == nil:
 		return "no beliefs"
 	case !b.Ready:
@@ -240,31 +240,31 @@
 
 // rows returns the line of a process and, below a balancer, one for each agent
 // that it does not take for ready.
-func (n *nodeBelief) rows() []string {
-	head := func(believes string) string {
-		return row(n.Address, n.Beliefs.VM, n.Beliefs.Role, n.State, believes)
+func (n *nodeSnapshot) rows() []string {
+	firstRow := func(details string) string {
+		return row(n.Address, n.Snapshot.VM, n.Snapshot.Role, n.State, details)
 	}
 	if n.Error != "" {
-		return []string{head(n.Error)}
+		return []string{firstRow(n.Error)}
 	}
-	if a := n.Beliefs.Agent; a != nil {
-		return []string{head(fmt.Sprintf("instance %s, heartbeat %d %s, %d requests on %d slots, %d queued, %d flows", a.Instance, a.Sequence, ago(a.HeartbeatAge), a.Requests, a.Slots, a.Queued, a.Flows))}
+	if a := n.Snapshot.Agent; a != nil {
+		return []string{firstRow(fmt.Sprintf("instance %s, heartbeat %d %s, %d requests on %d slots, %d queued, %d flows", a.Instance, a.Sequence, formatAge(a.HeartbeatAge), a.Requests, a.Slots, a.Queued, a.Flows))}
 	}
-	b := n.Beliefs.Balancer
+	b := n.Snapshot.Balancer
 	if b == nil {
-		return []string{head("")}
+		return []string{firstRow("")}
 	}
-	list := []string{head(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, read %s, %d agents, %d missing, knows all: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), ago(b.ReadAge), len(b.Agents), len(b.Failed), b.Complete, b.Flows))}
+	list := []string{firstRow(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, read %s, %d agents, %d missing, knows all: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), formatAge(b.ReadAge), len(b.Agents), len(b.Failed), b.Complete, b.Flows))}
 	for _, a := range b.Agents {
 		if a.State != "ready" || a.Unresponsive {
-			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, silent: %t, heard %s", a.Addr, a.State, a.Unresponsive, ago(a.Age))))
+			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, silent: %t, heard %s", a.Addr, a.State, a.Unresponsive, formatAge(a.Age))))
 		}
 	}
 	return list
 }
 
-// ago writes an age; negative ones stand for what has not happened.
-func ago(age time.Duration) string {
+// formatAge writes an age; negative ones stand for what has not happened.
+func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "never"
 	}
--- a/cmd/hemlockctl/settings.go
+++ b/cmd/hemlockctl/settings.go
@@ -20,20 +20,20 @@
 
 // settings are the flags of all commands.
 type settings struct {
-	storeURL  string
-	timeout   time.Duration
-	output    string
-	who       string // editor
-	file      string
-	base      uint64
-	owner     string
-	edit      string
-	service   string
-	after     uint64
-	limit     int
-	balancers string
-	nodes     string
-	around    time.Duration
+	storeURL   string
+	timeout    time.Duration
+	output     string
+	editorName string // editor
+	file       string
+	base       uint64
+	owner      string
+	edit       string
+	service    string
+	after      uint64
+	limit      int
+	balancers  string
+	nodes      string
+	around     time.Duration
 }
 
 func commonFlags(fs *flag.FlagSet, s *settings) {
@@ -43,7 +43,7 @@
 }
 
 func editorFlag(fs *flag.FlagSet, s *settings) {
-	fs.StringVar(&s.who, "editor", strings.ToLower(os.Getenv("USER")), "who edits, for the history")
+	fs.StringVar(&s.editorName, "editor", strings.ToLower(os.Getenv("USER")), "who edits, for the history")
 }
 
 func fileFlags(fs *flag.FlagSet, s *settings) {
@@ -66,7 +66,7 @@
 	fs.StringVar(&s.edit, "edit", "", "edit ID that the unknown outcome named")
 }
 
-func hitimelineFlags(fs *flag.FlagSet, s *settings) {
+func historyFlags(fs *flag.FlagSet, s *settings) {
 	fs.StringVar(&s.service, "service", "", "only this service (default all)")
 	fs.Uint64Var(&s.after, "after", 0, "only revisions above")
 	fs.IntVar(&s.limit, "limit", 20, "newest changes to show, 0 for all")
--- a/cmd/hemlockctl/status.go
+++ b/cmd/hemlockctl/status.go
@@ -11,24 +11,24 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// nodeTimeout is the time in which a process's answer has to begin, and in which more of
+// responseTimeout is the time in which a process's answer has to begin, and in which more of
 // it has to arrive.
-const nodeTimeout = 2 * time.Second
+const responseTimeout = 2 * time.Second
 
-// nodeLimit bounds a balancer's answer in bytes.
-const nodeLimit = 64 << 10
+// maxStatusBytes bounds a balancer's answer in bytes.
+const maxStatusBytes = 64 << 10
 
-// askedAtOnce bounds the questions under way.
-const askedAtOnce = 32
+// maxParallelRequests bounds the questions under way.
+const maxParallelRequests = 32
 
 // States of a node against the store.
 const (
-	stateInForce     = "in force"
-	stateBehind      = "behind"
-	stateAhead       = "ahead of the store"
-	stateOtherChain  = "other checksum"
-	stateUnreachable = "unreachable"
-	stateNoStore     = "store not read"
+	stateInForce         = "in force"
+	stateBehind          = "behind"
+	stateAhead           = "ahead of the store"
+	stateChecksumDiffers = "other checksum"
+	stateUnreachable     = "unreachable"
+	stateNoStore         = "store not read"
 )
 
 // nodeStatus is a balancer's answer to GET /catalogue, and what it means.
@@ -59,22 +59,22 @@
 		v.Error = err.Error()
 	}
 	v.Store = h.Digest()
-	v.Nodes = ask(ctx, strings.FieldsFunc(c.balancers, func(r rune) bool { return r == ',' || r == ' ' }))
-	good := err == nil
+	v.Nodes = fetchStatuses(ctx, strings.FieldsFunc(c.balancers, func(r rune) bool { return r == ',' || r == ' ' }))
+	allInForce := err == nil
 	for i := range v.Nodes {
-		v.Nodes[i].State = judge(v.Nodes[i], v.Store, err == nil)
-		good = good && v.Nodes[i].State == stateInForce
+		v.Nodes[i].State = compareToStore(v.Nodes[i], v.Store, err == nil)
+		allInForce = allInForce && v.Nodes[i].State == stateInForce
 	}
 	if err := c.showStatus(v); err != nil {
 		return err
 	}
-	if !good {
-		return errBehind
+	if !allInForce {
+		return errNotInForce
 	}
 	return nil
 }
 
-func judge(n nodeStatus, store catalogue.Digest, read bool) string {
+func compareToStore(n nodeStatus, store catalogue.Digest, read bool) string {
 	switch {
 	case n.Error != "":
 		return stateUnreachable
@@ -85,22 +85,22 @@
 	case n.Revision > store.Revision:
 		return stateAhead
 	case n.Checksum != store.Checksum:
-		return stateOtherChain
+		return stateChecksumDiffers
 	}
 	return stateInForce
 }
 
-// ask asks every balancer, some at a time.
-func ask(ctx context.Context, addresses []string) []nodeStatus {
+// fetchStatuses asks every balancer, some at a time.
+func fetchStatuses(ctx context.Context, addresses []string) []nodeStatus {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	nodes := make([]nodeStatus, len(addresses))
-	tokens := make(chan struct{}, askedAtOnce)
+	tokens := make(chan struct{}, maxParallelRequests)
 	var wg sync.WaitGroup
 	for i, a := range addresses {
 		wg.Go(func() {
 			tokens <- struct{}{}
-			nodes[i] = askOne(ctx, client, a)
+			nodes[i] = fetchStatus(ctx, client, a)
 			<-tokens
 		})
 	}
@@ -108,9 +108,9 @@
 	return nodes
 }
 
-func askOne(ctx context.Context, client *http.Client, address string) nodeStatus {
+func fetchStatus(ctx context.Context, client *http.Client, address string) nodeStatus {
 	n := nodeStatus{Address: address}
-	if err := getJSON(ctx, client, "http://"+address+"/catalogue", nodeLimit, &n); err != nil {
+	if err := getJSON(ctx, client, "http://"+address+"/catalogue", maxStatusBytes, &n); err != nil {
 		n.Error = err.Error()
 	}
 	n.Address = address
--- a/cmd/hemlockctl/timeline.go
+++ b/cmd/hemlockctl/timeline.go
@@ -27,13 +27,13 @@
 
 // logLine is one line of a process's log.
 type logLine struct {
-	At     time.Time         `json:"at"`
-	Source string            `json:"source"` // the file, and what stands before the line in it
-	Role   string            `json:"role"`
-	Msg    string            `json:"msg"`
-	Flow   string            `json:"flow,omitempty"`
-	Fields map[string]string `json:"fields,omitempty"`
-	order  []string          // names of the fields as they stood
+	At         time.Time         `json:"at"`
+	Source     string            `json:"source"` // the file, and what stands before the line in it
+	Role       string            `json:"role"`
+	Msg        string            `json:"msg"`
+	Flow       string            `json:"flow,omitempty"`
+	Fields     map[string]string `json:"fields,omitempty"`
+	fieldOrder []string          // names of the fields as they stood
 }
 
 // flow prints what several processes' logs say about one flow, in the order of
@@ -42,17 +42,17 @@
 	if len(c.args) < 2 {
 		return usagef("name the caller's address, with its port if it is known, and the processes' logs")
 	}
-	caller, err := parseCaller(c.args[0])
+	caller, err := callerFilter(c.args[0])
 	if err != nil {
 		return err
 	}
 	var lines []logLine
 	for _, name := range c.args[1:] {
-		more, err := readLog(name)
+		parsed, err := readLog(name)
 		if err != nil {
 			return err
 		}
-		lines = append(lines, more...)
+		lines = append(lines, parsed...)
 	}
 	timeline := selectTimeline(lines, caller, c.around)
 	if len(timeline) == 0 {
@@ -61,8 +61,8 @@
 	return c.showTimeline(timeline)
 }
 
-// parseCaller takes an address, or an address with a port.
-func parseCaller(s string) (match func(flow string) bool, err error) {
+// callerFilter takes an address, or an address with a port.
+func callerFilter(s string) (match func(flow string) bool, err error) {
 	if a, err := netip.ParseAddrPort(s); err == nil {
 		prefix := a.String() + ">"
 		return func(flow string) bool { return strings.HasPrefix(flow, prefix) }, nil
@@ -117,7 +117,7 @@
 	}
 	l.Fields = make(map[string]string, len(fields))
 	for _, name := range fieldNames(data) {
-		value := text(fields[name])
+		value := fieldText(fields[name])
 		switch name {
 		case "ts":
 			t, err := time.Parse(time.RFC3339Nano, value)
@@ -134,7 +134,7 @@
 		case "level":
 		default:
 			l.Fields[name] = value
-			l.order = append(l.order, name)
+			l.fieldOrder = append(l.fieldOrder, name)
 		}
 	}
 	return l, !l.At.IsZero()
@@ -159,8 +159,8 @@
 	return names
 }
 
-// text returns a string without its quotes, any other value as it is written.
-func text(raw json.RawMessage) string {
+// fieldText returns a string without its quotes, any other value as it is written.
+func fieldText(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s
@@ -187,8 +187,8 @@
 	from, to := lines[first].At.Add(-around), lines[last].At.Add(around)
 	var timeline []logLine
 	for _, l := range lines {
-		belief := l.Flow == "" && around > 0 && !l.At.Before(from) && !l.At.After(to)
-		if match(l.Flow) || belief {
+		inWindow := l.Flow == "" && around > 0 && !l.At.Before(from) && !l.At.After(to)
+		if match(l.Flow) || inWindow {
 			timeline = append(timeline, l)
 		}
 	}
@@ -203,7 +203,7 @@
 	rows := make([]string, len(timeline))
 	for i, l := range timeline {
 		var fields []string
-		for _, name := range l.order {
+		for _, name := range l.fieldOrder {
 			fields = append(fields, name+"="+l.Fields[name])
 		}
 		rows[i] = row(fmt.Sprintf("+%.3f s", l.At.Sub(start).Seconds()), l.Source, l.Role, l.Flow, l.Msg, strings.Join(fields, " "))
--- a/cmd/hemlockctl/timeline_test.go
+++ b/cmd/hemlockctl/timeline_test.go
@@ -20,8 +20,8 @@
 vm-6 {"level":"info","ts":"2026-03-01T10:00:09.000Z","msg":"server","role":"agent","state":"draining"}
 `
 
-// ctlFlow runs hemlockctl flow on the two logs.
-func ctlFlow(t *testing.T, code int, args ...string) string {
+// runFlow runs hemlockctl flow on the two logs.
+func runFlow(t *testing.T, code int, args ...string) string {
 	t.Helper()
 	dir := t.TempDir()
 	var files []string
@@ -39,7 +39,7 @@
 	return out.String()
 }
 
-func inOrder(t *testing.T, text string, parts ...string) {
+func expectInOrder(t *testing.T, text string, parts ...string) {
 	t.Helper()
 	at := 0
 	for _, p := range parts {
@@ -52,27 +52,27 @@
 }
 
 func TestTimelineOfAFlow(t *testing.T) {
-	got := ctlFlow(t, exitAccepted, "100.64.0.7:40001")
-	inOrder(t, got, "+0.000 s", "flow refused by agent", "reason=busy", "+0.200 s", "flow taken", "offers=2", "+0.300 s", "agent.log vm-6", "flow opened", "after=0.02")
+	got := runFlow(t, exitAccepted, "100.64.0.7:40001")
+	expectInOrder(t, got, "+0.000 s", "flow refused by agent", "reason=busy", "+0.200 s", "flow taken", "offers=2", "+0.300 s", "agent.log vm-6", "flow opened", "after=0.02")
 	if strings.Contains(got, "40001>198.18.0.1:443  server") || strings.Contains(got, ":4000>") {
 		t.Errorf("lines of others:\n%s", got)
 	}
 }
 
-func TestTimelineWithBeliefs(t *testing.T) {
-	got := ctlFlow(t, exitAccepted, "-around", "1s", "100.64.0.7:40001")
-	inOrder(t, got, "flow refused by agent", "state=ready", "flow taken", "flow opened")
+func TestTimelineWithStateChanges(t *testing.T) {
+	got := runFlow(t, exitAccepted, "-around", "1s", "100.64.0.7:40001")
+	expectInOrder(t, got, "flow refused by agent", "state=ready", "flow taken", "flow opened")
 	if strings.Contains(got, "draining") {
 		t.Errorf("a belief of eight seconds later:\n%s", got)
 	}
 }
 
 func TestTimelineOfACaller(t *testing.T) {
-	got := ctlFlow(t, exitAccepted, "100.64.0.7")
-	inOrder(t, got, "offers=2", ":4000>198.18.0.1:443", "flow opened")
+	got := runFlow(t, exitAccepted, "100.64.0.7")
+	expectInOrder(t, got, "offers=2", ":4000>198.18.0.1:443", "flow opened")
 }
 
 func TestTimelineErrors(t *testing.T) {
-	inOrder(t, ctlFlow(t, exitUsage, "100.64.0"), "is no caller")
-	inOrder(t, ctlFlow(t, exitRefused, "100.64.0.8"), "no line of 6 speaks of a flow of 100.64.0.8")
+	expectInOrder(t, runFlow(t, exitUsage, "100.64.0"), "is no caller")
+	expectInOrder(t, runFlow(t, exitRefused, "100.64.0.8"), "no line of 6 speaks of a flow of 100.64.0.8")
 }
--- a/lab/exchange/exchange.go
+++ b/lab/exchange/exchange.go
@@ -20,7 +20,7 @@
 
 // Deliver calls arrive once for each copy of a message that arrives, with the
 // copy's delay.
-func (n *Network[P]) Deliver(from, to P, arrive func(delay time.Duration)) {
+func (n *Network[P]) Deliver(from, to P, deliver func(delay time.Duration)) {
 	if n.Cut != nil && n.Cut(from, to) {
 		return
 	}
@@ -32,6 +32,6 @@
 		if n.Loss > 0 && n.Rand.Float64() < n.Loss {
 			continue
 		}
-		arrive(n.Delay(from, to))
+		deliver(n.Delay(from, to))
 	}
 }
--- a/lab/figure/experiment.go
+++ b/lab/figure/experiment.go
@@ -8,9 +8,9 @@
 
 // Experiment is one question put to a model; C is the model's config.
 type Experiment[C any] struct {
-	Name string
+	Name    string
 	Summary string // what it tells, one line
-	Run  func(C) ([]Figure, error)
+	Run     func(C) ([]Figure, error)
 }
 
 // UnknownExperimentError is an experiment name that does not exist, with the names to choose from.
--- a/lab/simtime/simtime.go
+++ b/lab/simtime/simtime.go
@@ -30,9 +30,9 @@
 
 // After runs do when d has passed. Events of one moment run in the order in
 // which they were set.
-func (c *Clock) After(d time.Duration, do func()) {
+func (c *Clock) After(d time.Duration, fn func()) {
 	c.seq++
-	heap.Push(&c.events, event{c.now.Add(d), c.seq, do})
+	heap.Push(&c.events, event{c.now.Add(d), c.seq, fn})
 }
 
 // Run runs the events of the next d. It stops early after the event from which
@@ -42,7 +42,7 @@
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do()
+		e.fn()
 		if done != nil && done() {
 			return true
 		}
@@ -54,7 +54,7 @@
 type event struct {
 	at  time.Time
 	seq uint64
-	do  func()
+	fn  func()
 }
 
 // events is a heap by time; seq orders events of one moment, without which
--- a/lab/simtime/simtime_test.go
+++ b/lab/simtime/simtime_test.go
@@ -9,11 +9,11 @@
 func TestEventsRunByTimeThenInOrder(t *testing.T) {
 	c := New()
 	var got []int
-	note := func(i int) func() { return func() { got = append(got, i) } }
-	c.After(2*time.Second, note(3))
-	c.After(time.Second, note(1))
-	c.After(time.Second, note(2))
-	c.After(time.Minute, note(4))
+	record := func(i int) func() { return func() { got = append(got, i) } }
+	c.After(2*time.Second, record(3))
+	c.After(time.Second, record(1))
+	c.After(time.Second, record(2))
+	c.After(time.Minute, record(4))
 	if c.Run(10*time.Second, nil) || c.Elapsed() != 10*time.Second {
 		t.Errorf("stands at %v", c.Elapsed())
 	}
