--- a/cmd/hemlock-agent/main.go
+++ b/cmd/hemlock-agent/main.go
@@ -1,5 +1,5 @@
-// Command hemlock-agent is the process beside a backend server: it ends QUIC
-// and TLS for its service and passes requests on.
+// Command hemlock-agent runs an agent, the process beside a backend server. It
+// terminates QUIC and TLS for its service and forwards requests to the backend server.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 const program = "hemlock-agent"
 
-// config is the checked settings.
+// config holds the validated settings.
 type config struct {
 	agent    agent.Config
 	daemon   daemon.Config
@@ -43,31 +43,31 @@
 }
 
 func parse(args []string) (cfg config, err error) {
-	s := settings.New(program, "HEMLOCK_AGENT", "serves one service's callers from one backend server")
+	s := settings.New(program, "HEMLOCK_AGENT", "serves callers of one service from one backend server")
 	a := &cfg.agent
 	internal := s.String("internal", "", "UDP address for balancers and agents, an IPv4 address of this VM (required)")
 	seeds := s.String("balancers", "", "internal addresses of some balancers, separated by commas (this or -store is required)")
-	storeURL := s.String("store", "", "URL of the platform's key-value service, where balancers to turn to are listed")
+	storeURL := s.String("store", "", "URL of the platform's key-value service, which lists the balancers")
 	key := s.String("fleet-key", "", "fleet keys NUMBER:HEX, two at most while one is rotated (required, secret; better set in the environment)")
 	backend := s.String("backend", "http://127.0.0.1:8080", "URL of the backend server")
-	cert := s.String("tls-cert", "", "the service's certificate chain, PEM text or a file of it (required)")
-	certKey := s.String("tls-key", "", "the certificate's private key, PEM text or a file of it (required, secret)")
+	cert := s.String("tls-cert", "", "the service's certificate chain, as PEM text or the path of a PEM file (required)")
+	certKey := s.String("tls-key", "", "the certificate's private key, as PEM text or the path of a PEM file (required, secret)")
 	s.StringVar(&a.Service, "service", "", "name of the service in the catalogue (required)")
 	s.StringVar(&a.Zone, "zone", "", "availability zone of this VM (required)")
 	s.StringVar(&a.Region, "region", "", "region of this VM")
-	s.DurationVar(&a.Ramp.Duration, "ramp", 0, "cold start: time in which the backend server's share of new flows grows to its whole")
-	s.IntVar(&a.Ramp.Steps, "ramp-steps", 4, "cold start: steps of that growth")
+	s.DurationVar(&a.Ramp.Duration, "ramp", 0, "cold start: time in which the backend server's share of new flows grows to its full share")
+	s.IntVar(&a.Ramp.Steps, "ramp-steps", 4, "cold start: number of steps in which the share grows")
 	s.DurationVar(&a.Idempotency.Window, "repeat-window", idempotency.DefaultWindow, "a request with an idempotency key runs at most once within this time")
-	s.DurationVar(&a.Idempotency.Expiry, "repeat-expiry", idempotency.DefaultExpiry, "limit of the time from asking for votes to the request's first byte")
-	s.DurationVar(&a.Idempotency.Skew, "repeat-skew", idempotency.DefaultSkew, "time in which every agent hears of a change of its service's agents")
-	s.DurationVar(&a.Idempotency.Freshness, "repeat-freshness", idempotency.DefaultFreshness, "a roster older than this is not acted on")
-	s.DurationVar(&a.Idempotency.Retention, "repeat-retention", idempotency.DefaultRetention, "how long an agent that vanished is still counted in votes")
-	s.DurationVar(&cfg.drain, "drain", time.Hour, "limit of a graceful stop; open flows run to their end within it")
-	admin := s.String("admin", "127.0.0.1:0", "TCP address of metrics, readiness and status")
+	s.DurationVar(&a.Idempotency.Expiry, "repeat-expiry", idempotency.DefaultExpiry, "time limit from the request for votes to the request's first byte")
+	s.DurationVar(&a.Idempotency.Skew, "repeat-skew", idempotency.DefaultSkew, "time in which every agent receives a change of its service's member list")
+	s.DurationVar(&a.Idempotency.Freshness, "repeat-freshness", idempotency.DefaultFreshness, "age from which a member list is not used")
+	s.DurationVar(&a.Idempotency.Retention, "repeat-retention", idempotency.DefaultRetention, "how long an agent that left the member list still counts in votes")
+	s.DurationVar(&cfg.drain, "drain", time.Hour, "time limit of a graceful stop, in which open flows may complete")
+	admin := s.String("admin", "127.0.0.1:0", "TCP address that serves metrics, readiness and status")
 	s.StringVar(&cfg.daemon.Level, "log-level", "info", "debug, info, warn or error")
-	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "where spans go: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
-	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 1, "share of requests of the flows that a balancer picked that is traced, 0 to 1")
-	s.BoolVar(&cfg.platform, "platform", false, "pass the packet flows of the users' platform to the server beside; the platform's settings file tells the rest, and of the other settings only -admin, -log-level and -trace count")
+	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "destination of spans: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
+	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 1, "share of requests that are traced, of the flows that a balancer selected for tracing, 0 to 1")
+	s.BoolVar(&cfg.platform, "platform", false, "forward the packet flows of the users' platform to the backend server on this VM; the platform's settings file holds the configuration, and of the other settings only -admin, -log-level and -trace apply")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
 	}
@@ -101,7 +101,7 @@
 	)
 }
 
-// openStore returns nil for an empty URL.
+// openStore returns a client of the store at url, or nil for an empty URL.
 func openStore(url string) (store.Interface, error) {
 	if url == "" {
 		return nil, nil
@@ -112,12 +112,12 @@
 func backendURL(s string) (*url.URL, error) {
 	u, err := url.Parse(s)
 	if err != nil || u.Scheme != "http" || u.Host == "" || u.Port() == "" {
-		return nil, &settings.Error{Setting: "backend", Reason: fmt.Sprintf("%q is no URL with http and a port", s), Remedy: "write it like http://127.0.0.1:8080"}
+		return nil, &settings.Error{Setting: "backend", Reason: fmt.Sprintf("%q is not an http URL with a port", s), Remedy: "write it like http://127.0.0.1:8080"}
 	}
 	return u, nil
 }
 
-// certificate reads both settings as PEM text, or as files that hold it.
+// certificate loads the key pair; each setting is PEM text or the path of a PEM file.
 func certificate(cert, key string) (tls.Certificate, error) {
 	c, err := settings.PEM("tls-cert", cert)
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	pair, err := tls.X509KeyPair(c, k)
 	if err != nil {
-		return pair, &settings.Error{Setting: "tls-cert", Reason: err.Error(), Remedy: "give the chain and the key that belong together, in PEM"}
+		return pair, &settings.Error{Setting: "tls-cert", Reason: err.Error(), Remedy: "give a certificate chain and its private key, in PEM"}
 	}
 	return pair, nil
 }
--- a/cmd/hemlock-agent/platform.go
+++ b/cmd/hemlock-agent/platform.go
@@ -11,10 +11,11 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// shutdownTimeout bounds the stop of an agent: it tells balancers and ends.
+// shutdownTimeout limits the stop of an agent, in which it notifies the balancers and
+// deregisters.
 const shutdownTimeout = time.Second
 
-// servePlatform passes the packet flows of the users' platform to a server.
+// servePlatform runs an agent for the packet flows of the users' platform.
 func servePlatform(cfg daemon.Config) error {
 	p, err := process.Open(cfg)
 	var settingsErr *platform.SettingsError
--- a/cmd/hemlock-balancer/main.go
+++ b/cmd/hemlock-balancer/main.go
@@ -1,5 +1,5 @@
-// Command hemlock-balancer is the entry process: callers' packets come in here
-// and are forwarded to agents.
+// Command hemlock-balancer runs a balancer, which receives callers' packets and
+// forwards them to agents.
 package main
 
 import (
@@ -21,7 +21,7 @@
 
 const program = "hemlock-balancer"
 
-// config is the checked settings.
+// config holds the validated settings.
 type config struct {
 	balancer balancer.Config
 	daemon   daemon.Config
@@ -43,21 +43,21 @@
 
 func parse(args []string) (cfg config, err error) {
 	s := settings.New(program, "HEMLOCK_BALANCER", "forwards callers' packets to agents")
-	public := s.String("public", "0.0.0.0:443", "UDP address that callers' packets come to")
+	public := s.String("public", "0.0.0.0:443", "UDP address that receives callers' packets")
 	internal := s.String("internal", "", "UDP address for the system's other processes, an IPv4 address of this VM (required)")
 	seeds := s.String("seeds", "", "internal addresses of some other balancers, separated by commas")
 	storeURL := s.String("store", "", "URL of the platform's key-value service (required)")
 	key := s.String("fleet-key", "", "fleet keys NUMBER:HEX, two at most while one is rotated (required, secret; better set in the environment)")
 	s.StringVar(&cfg.balancer.Zone, "zone", "", "availability zone of this VM (required)")
 	s.StringVar(&cfg.balancer.Region, "region", "", "region of this VM")
-	s.DurationVar(&cfg.balancer.Linger, "linger", 3*time.Second, "how long to go on forwarding after SIGTERM")
-	s.DurationVar(&cfg.drain, "drain", 30*time.Second, "limit of a graceful stop")
-	memory := s.Int64("memory-limit", 44, "soft limit of the memory that the program manages, in MiB; the program's own text comes on top; 0 is no limit")
-	admin := s.String("admin", "127.0.0.1:0", "TCP address of metrics, readiness and status")
+	s.DurationVar(&cfg.balancer.Linger, "linger", 3*time.Second, "how long to continue forwarding after SIGTERM")
+	s.DurationVar(&cfg.drain, "drain", 30*time.Second, "time limit of a graceful stop")
+	memory := s.Int64("memory-limit", 44, "soft limit of the memory that the Go runtime manages, in MiB, excluding the program's code; 0 is no limit")
+	admin := s.String("admin", "127.0.0.1:0", "TCP address that serves metrics, readiness and status")
 	s.StringVar(&cfg.daemon.Level, "log-level", "info", "debug, info, warn or error")
-	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "where spans go: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
-	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 0.01, "share of flows that is traced, 0 to 1")
-	s.BoolVar(&cfg.platform, "platform", false, "forward the packet flows of the users' platform, whose settings file tells the rest; of the other settings only -admin, -log-level and -trace count")
+	s.StringVar(&cfg.daemon.Trace.Exporter, "trace", tracing.Off, "destination of spans: off, stderr, or the URL of an OTLP collector like http://127.0.0.1:4318")
+	s.Float64Var(&cfg.daemon.Trace.SampleRatio, "trace-sample", 0.01, "share of flows that are traced, 0 to 1")
+	s.BoolVar(&cfg.platform, "platform", false, "forward the packet flows of the users' platform; the platform's settings file holds the configuration, and of the other settings only -admin, -log-level and -trace apply")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
 	}
--- a/cmd/hemlock-balancer/platform.go
+++ b/cmd/hemlock-balancer/platform.go
@@ -11,11 +11,11 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// shutdownMargin is what a stop leaves of the time that the platform grants, so
-// that the process ends by itself.
+// shutdownMargin is the part of the platform's grace period that a stop leaves unused,
+// so that the process exits before the platform kills it.
 const shutdownMargin = time.Second
 
-// servePlatform forwards the packet flows of the users' platform.
+// servePlatform runs a balancer for the packet flows of the users' platform.
 func servePlatform(cfg daemon.Config) error {
 	p, err := process.Open(cfg)
 	var settingsErr *platform.SettingsError
--- a/cmd/hemlock-store/main.go
+++ b/cmd/hemlock-store/main.go
@@ -1,5 +1,5 @@
-// Command hemlock-store runs the stand-in of the platform's key-value service
-// for trials on one machine. It keeps values in memory only.
+// Command hemlock-store runs a stand-in for the platform's key-value service, for
+// trials on one machine. It keeps values in memory only.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	exitUsage  = 2
 )
 
-// shutdownTimeout is how long a stop waits for calls in flight.
+// shutdownTimeout is how long a graceful stop waits for calls in progress.
 const shutdownTimeout = 2 * time.Second
 
 func main() {
@@ -49,7 +49,7 @@
 func settings(args []string) (store.Config, string, error) {
 	var cfg store.Config
 	fs := flag.NewFlagSet("hemlock-store", flag.ContinueOnError)
-	fs.SetOutput(io.Discard) // main prints one line
+	fs.SetOutput(io.Discard) // main prints the error in one line
 	showVersion := fs.Bool("version", false, "print the version and exit")
 	listen := fs.String("listen", "127.0.0.1:7000", "TCP address to serve on")
 	fs.IntVar(&cfg.ReadRate, "reads", store.DefaultReadRate, "reads a second, watches included")
@@ -72,7 +72,7 @@
 		return cfg, "", fmt.Errorf("unexpected argument %q; remove it", fs.Arg(0))
 	}
 	if cfg.ReadRate <= 0 || cfg.WriteRate <= 0 || cfg.WatchWait <= 0 {
-		return cfg, "", errors.New("-reads, -writes and -watch-wait must be above 0; correct the setting")
+		return cfg, "", errors.New("-reads, -writes and -watch-wait must be positive; correct the setting")
 	}
 	return cfg, *listen, nil
 }
@@ -101,7 +101,7 @@
 	}, func(error) {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if server.Shutdown(ctx) != nil { // a watch outlasts the drain
+		if server.Shutdown(ctx) != nil { // a watch may last longer than shutdownTimeout
 			_ = server.Close()
 		}
 	})
--- a/cmd/hemlockctl/edit.go
+++ b/cmd/hemlockctl/edit.go
@@ -10,8 +10,8 @@
 )
 
 // applyFile applies the entries of a file in edits of at most
-// catalogue.MaxEdit entries. A part that fails ends the command; the parts
-// before it stay in force and are reported.
+// catalogue.MaxEdit entries. The first edit that fails ends the command; earlier
+// edits stay in force and have been reported.
 func (c *cli) applyFile(ctx context.Context) error {
 	f, err := c.readFile()
 	if err != nil {
@@ -21,7 +21,7 @@
 		c.base = f.Revision
 	}
 	if len(f.Entries) == 0 {
-		return usagef("file %s names no entries; add them under entries:", c.file)
+		return usagef("file %s contains no entries; add them under entries:", c.file)
 	}
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
@@ -44,7 +44,7 @@
 
 func (c *cli) edit(ctx context.Context, e catalogue.Edit) error {
 	if e.Editor == "" {
-		return usagef("no editor given; name yourself with -editor or HEMLOCK_EDITOR")
+		return usagef("no editor given; set -editor or HEMLOCK_EDITOR")
 	}
 	a, err := c.editor.Apply(ctx, e)
 	if err != nil {
@@ -59,8 +59,8 @@
 	Revision uint64             `json:"revision,omitempty"`
 	Edit     string             `json:"edit,omitempty"`
 	Error    string             `json:"error,omitempty"`
-	Next     string             `json:"next,omitempty"`    // the command that asks again
-	Changes  []catalogue.Change `json:"changes,omitempty"` // made, or that came first
+	Next     string             `json:"next,omitempty"`    // the command that resolves an unknown outcome
+	Changes  []catalogue.Change `json:"changes,omitempty"` // made by the edit, or conflicting with it
 }
 
 func (c *cli) reportAccepted(a catalogue.Accepted) error {
@@ -82,7 +82,7 @@
 	return c.reportAccepted(a)
 }
 
-// check looks at a file alone: the schema, and clashes inside it.
+// check validates a file by itself: the schema, and conflicts between its entries.
 func (c *cli) check(context.Context) error {
 	f, err := c.readFile()
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// diff plans the edit of a file on top of the catalogue and shows it.
+// diff shows what applying a file would change in the current catalogue.
 func (c *cli) diff(ctx context.Context) error {
 	f, err := c.readFile()
 	if err != nil {
@@ -157,8 +157,8 @@
 	return c.showHistory(changes, oldest)
 }
 
-// errNotInForce makes status exit with exitRefused.
-var errNotInForce = errors.New("not every balancer has the store's revision in force; see the table, and start or reach the balancers named")
+// errNotInForce is returned by status, which then exits with exitRefused.
+var errNotInForce = errors.New("not every balancer has the store's revision in force; check the balancers that the table lists as not in force")
 
 func (c *cli) describeChange(ch catalogue.Change) string {
 	return fmt.Sprintf("revision %d: %s %s by %s at %s", ch.Revision, ch.Op, ch.Entry.Service, ch.Editor, ch.When().UTC().Format(timeLayout))
--- a/cmd/hemlockctl/main.go
+++ b/cmd/hemlockctl/main.go
@@ -1,9 +1,10 @@
 // Command hemlockctl edits and shows the catalogue, shows the state of a system on
-// the users' platform, and follows one flow through the logs of its processes.
+// the users' platform, and prints the timeline of one flow from the logs of several
+// processes.
 //
-// Exit codes: 0 accepted or shown; 1 refused or failed, nothing of the edit
-// that the message names is in force; 2 wrong usage or settings; 3 unknown
-// whether an edit is in force, settle it with the printed command.
+// Exit codes: 0 accepted or shown; 1 refused or failed, no part of the edit named
+// in the message is in force; 2 invalid usage or settings; 3 unknown whether an
+// edit is in force, the printed command resolves it.
 package main
 
 import (
@@ -41,27 +42,27 @@
 // command is one subcommand.
 type command struct {
 	name    string
-	args    string // after the flags, for the usage line
+	args    string // positional arguments in the usage line
 	summary string
 	flags   func(*flag.FlagSet, *settings)
 	run     func(*cli, context.Context) error
 }
 
 var commands = []command{
-	{"apply", "", "create or replace the entries of a file, each edit whole or not at all", editFlags, (*cli).applyFile},
+	{"apply", "", "create or replace the entries of a file; each edit applies completely or not at all", editFlags, (*cli).applyFile},
 	{"delete", "SERVICE...", "delete entries of one owner", deleteFlags, (*cli).deleteServices},
-	{"settle", "", "find out whether an edit whose answer was lost is in force", settleFlags, (*cli).resolveEdit},
-	{"check", "", "check a file without the store", fileFlags, (*cli).check},
+	{"settle", "", "find out whether an edit whose response was lost is in force", settleFlags, (*cli).resolveEdit},
+	{"check", "", "validate a file without access to the store", fileFlags, (*cli).check},
 	{"diff", "", "show what applying a file would change", fileFlags, (*cli).diff},
-	{"get", "SERVICE", "show one entry as a file that apply takes", nil, (*cli).get},
+	{"get", "SERVICE", "show one entry as a file that apply accepts", nil, (*cli).get},
 	{"list", "", "list all entries", nil, (*cli).list},
 	{"history", "", "list the changes that the store keeps", historyFlags, (*cli).history},
-	{"platform", "", "show what the platform's store holds and what processes believe, read-only", platformFlags, (*cli).platform},
-	{"flow", "CALLER LOG...", "show one flow's timeline from the logs of several processes", timelineFlags, (*cli).flow},
+	{"platform", "", "show the contents of the platform's store and the state as known to processes, read-only", platformFlags, (*cli).platform},
+	{"flow", "CALLER LOG...", "show the timeline of one flow from the logs of several processes", timelineFlags, (*cli).flow},
 	{"status", "", "show the revision in force at each balancer", statusFlags, (*cli).status},
 }
 
-// usageError is a wrong command line or setting.
+// usageError is an invalid command line or setting.
 type usageError struct{ text string }
 
 func (e *usageError) Error() string { return e.text }
@@ -70,7 +71,7 @@
 	return &usageError{fmt.Sprintf(format, args...)}
 }
 
-// run carries out a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
 		usage(errOut)
@@ -97,11 +98,11 @@
 	return c.finish(err, errOut)
 }
 
-// parse reads the flags and environment of a command.
+// parse reads the flags and environment variables of a command.
 func parse(cmd command, args []string, out io.Writer) (*cli, error) {
 	c := &cli{out: out}
 	fs := flag.NewFlagSet("hemlockctl "+cmd.name, flag.ContinueOnError)
-	fs.SetOutput(io.Discard) // one line names the wrong flag; finish prints it
+	fs.SetOutput(io.Discard) // finish prints the error in one line
 	commonFlags(fs, &c.settings)
 	if cmd.flags != nil {
 		cmd.flags(fs, &c.settings)
@@ -154,7 +155,7 @@
 		fmt.Fprintf(w, "  %-28s %s\n", strings.TrimSpace(c.name+" "+c.args), c.summary)
 	}
 	fmt.Fprintln(w)
-	fmt.Fprintln(w, "Exit codes: 0 accepted, 1 refused or failed, 2 wrong usage, 3 unknown whether in force.")
+	fmt.Fprintln(w, "Exit codes: 0 accepted, 1 refused or failed, 2 invalid usage, 3 unknown whether in force.")
 }
 
 func version() string {
--- a/cmd/hemlockctl/main_test.go
+++ b/cmd/hemlockctl/main_test.go
@@ -26,7 +26,7 @@
     class: stream
 `
 
-// ctl runs commands against a store of its own.
+// ctl runs commands against a stand-in store.
 type ctl struct {
 	t     *testing.T
 	store *standin.Server
@@ -48,7 +48,7 @@
 	return name
 }
 
-// run returns what a command printed after checking its exit code.
+// run runs a command, checks its exit code and returns the output.
 func (c *ctl) run(code int, args ...string) string {
 	c.t.Helper()
 	var out bytes.Buffer
@@ -84,9 +84,9 @@
 	expectContains(t, c.run(exitRefused, "get", "listing"), "no entry")
 }
 
-// Symptom: the slower of two operators undoes the faster one's edit.
-// Events: both read revision 1, both edit, both apply.
-// Cause: an apply that does not say which revision it was based on.
+// Guards against an edit that overwrites another operator's edit: both read revision 1,
+// edit and apply. The second apply carries the revision that it is based on, so it is
+// refused with the changes made since.
 func TestConflictingEditIsRefusedWithChanges(t *testing.T) {
 	c := newCtl(t)
 	c.run(exitAccepted, "apply", "-f", c.file(listing), "-editor", "ayse")
@@ -97,9 +97,9 @@
 	expectContains(t, c.run(exitRefused, "apply", "-f", staleFile, "-editor", "mehmet", "-o", "json"), `"outcome": "refused"`, `"editor": "ayse"`)
 }
 
-// Symptom: an operator whose answer was lost edits twice or gives up.
-// Events: the store takes the edit and becomes unreachable before it answers.
-// Cause: without the edit ID nobody can ask what became of it.
+// Guards against an edit whose outcome can't be found out: the store applies it and
+// becomes unreachable before it responds. The edit ID in the report lets settle find
+// out whether the edit is in force, so that an operator neither repeats nor abandons it.
 func TestUnknownOutcomeCanBeSettled(t *testing.T) {
 	c := newCtl(t)
 	h := http.NewServeMux()
--- a/cmd/hemlockctl/output.go
+++ b/cmd/hemlockctl/output.go
@@ -14,7 +14,7 @@
 
 const timeLayout = "2006-01-02T15:04:05Z"
 
-// plannedTime stands for the time of changes that are only planned.
+// plannedTime is the time of changes that are planned but not made.
 var plannedTime = time.Unix(0, 0)
 
 // report prints the outcome of an edit.
@@ -26,17 +26,17 @@
 	switch o.Outcome {
 	case "accepted":
 		if o.Edit == "" {
-			fmt.Fprintln(w, "accepted: the file follows the schema")
+			fmt.Fprintln(w, "accepted: the file is valid")
 			return
 		}
 		fmt.Fprintf(w, "accepted: revision %d, %d entries changed, edit %s\n", o.Revision, len(o.Changes), o.Edit)
 	default:
 		fmt.Fprintf(w, "%s: %s\n", o.Outcome, o.Error)
 		for _, ch := range o.Changes {
-			fmt.Fprintln(w, "  changed since you read:", c.describeChange(ch))
+			fmt.Fprintln(w, "  changed since the base revision:", c.describeChange(ch))
 		}
 		if o.Next != "" {
-			fmt.Fprintln(w, "  ask again:", o.Next)
+			fmt.Fprintln(w, "  to find out:", o.Next)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	return enc.Encode(v)
 }
 
-// table writes rows below a header.
+// table writes a header and rows in aligned columns.
 func table(w io.Writer, header string, rows []string) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, header)
@@ -73,7 +73,7 @@
 	return strings.Join(parts, ",")
 }
 
-// entryView is an entry with the revision that it was read at.
+// entryView is an entry with the catalogue revision at which it was read.
 type entryView struct {
 	Revision uint64          `json:"revision"`
 	Entry    catalogue.Entry `json:"entry"`
@@ -91,7 +91,7 @@
 	return err
 }
 
-// listView is the whole catalogue.
+// listView is the output of list: all entries of the catalogue.
 type listView struct {
 	Revision uint64             `json:"revision"`
 	Checksum catalogue.Checksum `json:"checksum"`
@@ -110,7 +110,7 @@
 	return table(c.out, "SERVICE\tOWNER\tCLASS\tNUMBER\tVERSION\tADDRESSES", rows)
 }
 
-// historyView is the part of the history that the store keeps.
+// historyView is the output of history: the changes that the store still keeps.
 type historyView struct {
 	Oldest  uint64             `json:"oldest_kept_revision"`
 	Changes []catalogue.Change `json:"changes"`
--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -22,31 +22,33 @@
 	"github.com/hemlockscale/hemlockscale/platform"
 )
 
-// maxSnapshotBytes bounds a process's answer in bytes: some hundred agents.
+// maxSnapshotBytes is the largest size of a process's state snapshot in bytes, enough
+// for several hundred agents.
 const maxSnapshotBytes = 1 << 20
 
 func platformFlags(fs *flag.FlagSet, s *settings) {
-	fs.StringVar(&s.nodes, "nodes", "", "admin addresses of processes that are asked what they believe, as address:port,address:port")
+	fs.StringVar(&s.nodes, "nodes", "", "admin addresses of processes whose state snapshot is shown, as address:port,address:port")
 }
 
-// platformView is what the platform's store holds and what processes believe.
+// platformView is the output of platform: the contents of the platform's store and the
+// state snapshots of processes.
 type platformView struct {
 	Revision  uint64           `json:"revision"`
 	Routes    int              `json:"routes"`
-	Evacuated []evacuationView `json:"evacuated"`         // in the order of their names
-	Refused   []string         `json:"refused,omitempty"` // parts of the configuration that can't be read
-	Error     string           `json:"error,omitempty"`   // of the store
+	Evacuated []evacuationView `json:"evacuated"`         // sorted by name
+	Refused   []string         `json:"refused,omitempty"` // parts of the configuration that can't be parsed
+	Error     string           `json:"error,omitempty"`   // from reading the store
 	Keys      []node.Peer      `json:"keys"`
 	Nodes     []nodeSnapshot   `json:"nodes"`
 }
 
-// evacuationView is an availability zone that gets no new flows.
+// evacuationView is an evacuated availability zone, which gets no new flows.
 type evacuationView struct {
 	Zone  string `json:"zone"`
-	Since uint64 `json:"since_revision"` // of the store, when it was ordered
+	Since uint64 `json:"since_revision"` // store revision at which the evacuation was ordered
 }
 
-// evacuatedIDs returns the zones as processes name them, sorted.
+// evacuatedIDs returns the IDs of the evacuated zones as in state snapshots, sorted.
 func (v *platformView) evacuatedIDs() []uint32 {
 	var ids []uint32
 	for _, e := range v.Evacuated {
@@ -56,7 +58,8 @@
 	return ids
 }
 
-// nodeSnapshot is one process's answer and what it means.
+// nodeSnapshot is the state snapshot of one process and its state compared with the
+// store.
 type nodeSnapshot struct {
 	Address  string        `json:"address"`
 	Snapshot node.Snapshot `json:"beliefs"`
@@ -64,9 +67,9 @@
 	Error    string        `json:"error,omitempty"`
 }
 
-var errNotAllInForce = errors.New("not everything is in force and reachable; see the table")
+var errNotAllInForce = errors.New("not every process is reachable, ready and at the store's configuration; see the table")
 
-// platform shows the state of a system on the users' platform. It only reads.
+// platform shows the state of a system on the users' platform. It changes nothing.
 func (c *cli) platform(ctx context.Context) error {
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
@@ -98,7 +101,7 @@
 			return a, nil
 		}
 	}
-	return netip.AddrPort{}, usagef("-store %q is no URL with an address and a port; write it like http://10.200.1.7:8169", s)
+	return netip.AddrPort{}, usagef("-store %q is not a URL with an IP address and a port; write it like http://10.200.1.7:8169", s)
 }
 
 func readPlatform(ctx context.Context, s node.Store) (v platformView) {
@@ -135,8 +138,8 @@
 	return v
 }
 
-// parsePeer reads a process's key. One that can't be read is shown with its key as
-// the role.
+// parsePeer decodes the value of a process's key. For a value that can't be decoded the
+// role names the key.
 func parsePeer(i store.Item) node.Peer {
 	var p node.Peer
 	if json.Unmarshal(i.Data, &p) != nil {
@@ -165,7 +168,7 @@
 	return nodes
 }
 
-// getJSON reads a page of a process.
+// getJSON decodes at most limit bytes of a process's page into out.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, out any) error {
 	ctx, e := transfer.Begin(ctx, transfer.Limits{ResponseTimeout: responseTimeout, ProgressTimeout: responseTimeout})
 	defer e.End()
@@ -185,7 +188,7 @@
 	return transfer.Err(ctx, json.NewDecoder(io.LimitReader(body, limit)).Decode(out))
 }
 
-// stateAgainst says in a word how a process stands to the store.
+// stateAgainst returns the state of a process compared with the store.
 func (n *nodeSnapshot) stateAgainst(v *platformView) string {
 	b := n.Snapshot.Balancer
 	switch {
@@ -238,8 +241,8 @@
 	return table(c.out, "\nASKED\tVM\tROLE\tSTATE\tBELIEVES", rows)
 }
 
-// rows returns the line of a process and, below a balancer, one for each agent
-// that it does not take for ready.
+// rows returns the row of a process and, for a balancer, one for each agent that it
+// does not consider ready.
 func (n *nodeSnapshot) rows() []string {
 	firstRow := func(details string) string {
 		return row(n.Address, n.Snapshot.VM, n.Snapshot.Role, n.State, details)
@@ -254,16 +257,16 @@
 	if b == nil {
 		return []string{firstRow("")}
 	}
-	list := []string{firstRow(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, read %s, %d agents, %d missing, knows all: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), formatAge(b.ReadAge), len(b.Agents), len(b.Failed), b.Complete, b.Flows))}
+	list := []string{firstRow(fmt.Sprintf("configuration %d, orders %s, %d zones evacuated, store read %s, %d agents, %d failed, all agents known: %t, %d flows", b.Revision, store.FormatVersion(b.Orders), len(b.Evacuated), formatAge(b.ReadAge), len(b.Agents), len(b.Failed), b.Complete, b.Flows))}
 	for _, a := range b.Agents {
 		if a.State != "ready" || a.Unresponsive {
-			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, silent: %t, heard %s", a.Addr, a.State, a.Unresponsive, formatAge(a.Age))))
+			list = append(list, row("", "", "", "", fmt.Sprintf("agent %v: %s, unresponsive: %t, last report %s", a.Addr, a.State, a.Unresponsive, formatAge(a.Age))))
 		}
 	}
 	return list
 }
 
-// formatAge writes an age; negative ones stand for what has not happened.
+// formatAge formats an age; a negative age means that the event has not happened.
 func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "never"
--- a/cmd/hemlockctl/settings.go
+++ b/cmd/hemlockctl/settings.go
@@ -12,7 +12,7 @@
 	"github.com/hemlockscale/hemlockscale/internal/store"
 )
 
-// Output forms.
+// Output formats.
 const (
 	outTable = "table"
 	outJSON  = "json"
@@ -23,7 +23,7 @@
 	storeURL   string
 	timeout    time.Duration
 	output     string
-	editorName string // editor
+	editorName string
 	file       string
 	base       uint64
 	owner      string
@@ -38,12 +38,12 @@
 
 func commonFlags(fs *flag.FlagSet, s *settings) {
 	fs.StringVar(&s.storeURL, "store", "http://127.0.0.1:7000", "URL of the platform's store")
-	fs.DurationVar(&s.timeout, "timeout", 10*time.Second, "of the whole command")
+	fs.DurationVar(&s.timeout, "timeout", 10*time.Second, "time limit of the whole command")
 	fs.StringVar(&s.output, "o", outTable, "output: table or json")
 }
 
 func editorFlag(fs *flag.FlagSet, s *settings) {
-	fs.StringVar(&s.editorName, "editor", strings.ToLower(os.Getenv("USER")), "who edits, for the history")
+	fs.StringVar(&s.editorName, "editor", strings.ToLower(os.Getenv("USER")), "name of the editor, recorded in the history")
 }
 
 func fileFlags(fs *flag.FlagSet, s *settings) {
@@ -53,30 +53,30 @@
 func editFlags(fs *flag.FlagSet, s *settings) {
 	fileFlags(fs, s)
 	editorFlag(fs, s)
-	fs.Uint64Var(&s.base, "base", 0, "revision that you read; entries changed since are refused (default the file's revision, else the current one)")
+	fs.Uint64Var(&s.base, "base", 0, "revision that the edit is based on; entries changed since are refused (default the file's revision, else the current one)")
 }
 
 func deleteFlags(fs *flag.FlagSet, s *settings) {
 	editorFlag(fs, s)
 	fs.StringVar(&s.owner, "owner", "", "owner of the entries")
-	fs.Uint64Var(&s.base, "base", 0, "revision that you read; entries changed since are refused (default the current one)")
+	fs.Uint64Var(&s.base, "base", 0, "revision that the edit is based on; entries changed since are refused (default the current one)")
 }
 
 func settleFlags(fs *flag.FlagSet, s *settings) {
-	fs.StringVar(&s.edit, "edit", "", "edit ID that the unknown outcome named")
+	fs.StringVar(&s.edit, "edit", "", "edit ID from the report of the unknown outcome")
 }
 
 func historyFlags(fs *flag.FlagSet, s *settings) {
-	fs.StringVar(&s.service, "service", "", "only this service (default all)")
-	fs.Uint64Var(&s.after, "after", 0, "only revisions above")
-	fs.IntVar(&s.limit, "limit", 20, "newest changes to show, 0 for all")
+	fs.StringVar(&s.service, "service", "", "show only this service (default all)")
+	fs.Uint64Var(&s.after, "after", 0, "show only revisions above this one")
+	fs.IntVar(&s.limit, "limit", 20, "number of newest changes to show, 0 for all")
 }
 
 func statusFlags(fs *flag.FlagSet, s *settings) {
 	fs.StringVar(&s.balancers, "balancers", "", "admin addresses of the balancers, as address:port,address:port")
 }
 
-// cli is one run of a command.
+// cli is the state of one command execution.
 type cli struct {
 	settings
 	args   []string
@@ -85,13 +85,13 @@
 	editor *catalogue.Editor
 }
 
-// open checks the settings and connects the editor.
+// open checks the settings and creates the store client and the editor.
 func (c *cli) open() error {
 	if c.output != outTable && c.output != outJSON {
 		return usagef("output %q is unknown; use -o table or -o json", c.output)
 	}
 	if c.timeout <= 0 {
-		return usagef("timeout %v is not above 0; correct -timeout", c.timeout)
+		return usagef("timeout %v is not positive; correct -timeout", c.timeout)
 	}
 	client, err := store.New(store.Config{URL: c.storeURL})
 	if err != nil {
@@ -112,11 +112,11 @@
 	return context.WithTimeout(ctx, c.timeout)
 }
 
-// readFile reads and checks the file of -f. A file that breaks the schema is
-// refused like an edit, as that is what it would become.
+// readFile reads and validates the file given by -f. A file that violates the schema
+// gives a RefusedError, like an edit that is refused.
 func (c *cli) readFile() (catalogue.File, error) {
 	if c.file == "" {
-		return catalogue.File{}, usagef("no file given; name one with -f")
+		return catalogue.File{}, usagef("no file given; set -f")
 	}
 	var data []byte
 	var err error
--- a/cmd/hemlockctl/status.go
+++ b/cmd/hemlockctl/status.go
@@ -11,17 +11,17 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// responseTimeout is the time in which a process's answer has to begin, and in which more of
-// it has to arrive.
+// responseTimeout limits the time until the first byte of a process's response, and
+// the time between two reads of it.
 const responseTimeout = 2 * time.Second
 
-// maxStatusBytes bounds a balancer's answer in bytes.
+// maxStatusBytes is the largest size of a balancer's status page in bytes.
 const maxStatusBytes = 64 << 10
 
-// maxParallelRequests bounds the questions under way.
+// maxParallelRequests is the number of processes queried at the same time.
 const maxParallelRequests = 32
 
-// States of a node against the store.
+// States of a process compared with the store.
 const (
 	stateInForce         = "in force"
 	stateBehind          = "behind"
@@ -31,7 +31,8 @@
 	stateNoStore         = "store not read"
 )
 
-// nodeStatus is a balancer's answer to GET /catalogue, and what it means.
+// nodeStatus is a balancer's response to GET /catalogue and its state compared with
+// the store.
 type nodeStatus struct {
 	Address  string             `json:"address"`
 	Node     string             `json:"node"`
@@ -43,10 +44,10 @@
 	Error    string             `json:"error,omitempty"`
 }
 
-// statusView is the store's head and every balancer's state.
+// statusView is the output of status: the store's head and the state of every balancer.
 type statusView struct {
 	Store catalogue.Digest `json:"store"`
-	Error string           `json:"error,omitempty"` // of the store
+	Error string           `json:"error,omitempty"` // from reading the store
 	Nodes []nodeStatus     `json:"nodes"`
 }
 
@@ -90,7 +91,7 @@
 	return stateInForce
 }
 
-// fetchStatuses asks every balancer, some at a time.
+// fetchStatuses queries all balancers, at most maxParallelRequests at a time.
 func fetchStatuses(ctx context.Context, addresses []string) []nodeStatus {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
--- a/cmd/hemlockctl/timeline.go
+++ b/cmd/hemlockctl/timeline.go
@@ -16,31 +16,30 @@
 	"time"
 )
 
-// maxLogLine bounds a line of a log in bytes; longer ones are refused with the
-// file's name.
+// maxLogLine is the largest length of a log line in bytes. A longer line is an error
+// that names the file.
 const maxLogLine = 1 << 20
 
-// timelineFlags are the flags of flow.
+// timelineFlags defines the flags of the flow command.
 func timelineFlags(fs *flag.FlagSet, s *settings) {
-	fs.DurationVar(&s.around, "around", 0, "also show what the processes believed anew this long before the flow's first line and after its last")
+	fs.DurationVar(&s.around, "around", 0, "also show lines without a flow, such as state changes, from this long before the flow's first line to this long after its last")
 }
 
 // logLine is one line of a process's log.
 type logLine struct {
 	At         time.Time         `json:"at"`
-	Source     string            `json:"source"` // the file, and what stands before the line in it
+	Source     string            `json:"source"` // file name and the text before the line's JSON object
 	Role       string            `json:"role"`
 	Msg        string            `json:"msg"`
 	Flow       string            `json:"flow,omitempty"`
 	Fields     map[string]string `json:"fields,omitempty"`
-	fieldOrder []string          // names of the fields as they stood
+	fieldOrder []string          // keys of Fields in the order of the line
 }
 
-// flow prints what several processes' logs say about one flow, in the order of
-// time.
+// flow prints the lines of one flow from the logs of several processes, sorted by time.
 func (c *cli) flow(context.Context) error {
 	if len(c.args) < 2 {
-		return usagef("name the caller's address, with its port if it is known, and the processes' logs")
+		return usagef("flow needs the caller's address, with its port if known, and the processes' logs; use hemlockctl flow CALLER LOG...")
 	}
 	caller, err := callerFilter(c.args[0])
 	if err != nil {
@@ -56,12 +55,13 @@
 	}
 	timeline := selectTimeline(lines, caller, c.around)
 	if len(timeline) == 0 {
-		return fmt.Errorf("no line of %d speaks of a flow of %s; name more logs; or its lines were left out, since of each message 100 lines a second are written and then every 50th", len(lines), c.args[0])
+		return fmt.Errorf("none of %d log lines belongs to a flow of %s; name more logs, or the lines were dropped by sampling, which writes 100 lines a second of each message and then every 50th", len(lines), c.args[0])
 	}
 	return c.showTimeline(timeline)
 }
 
-// callerFilter takes an address, or an address with a port.
+// callerFilter returns a function that reports whether a flow comes from the caller s,
+// an address or an address with a port.
 func callerFilter(s string) (match func(flow string) bool, err error) {
 	if a, err := netip.ParseAddrPort(s); err == nil {
 		prefix := a.String() + ">"
@@ -69,7 +69,7 @@
 	}
 	a, err := netip.ParseAddr(s)
 	if err != nil {
-		return nil, usagef("%q is no caller; write an address like 100.64.0.7 or 100.64.0.7:40001", s)
+		return nil, usagef("%q is not a caller's address; write one like 100.64.0.7 or 100.64.0.7:40001", s)
 	}
 	prefix := a.String() + ":"
 	return func(flow string) bool { return strings.HasPrefix(flow, prefix) }, nil
@@ -78,7 +78,7 @@
 func readLog(name string) ([]logLine, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, usagef("%v; name a file that can be read", err)
+		return nil, usagef("%v; name a readable file", err)
 	}
 	defer f.Close()
 	lines, err := parseLog(f, filepath.Base(name))
@@ -88,9 +88,8 @@
 	return lines, nil
 }
 
-// parseLog reads the lines of a log. What stands before a line's JSON object,
-// such as the name of a VM, becomes a part of the source; lines without an
-// object are left out.
+// parseLog reads the lines of a log. Text before a line's JSON object, such as the name
+// of a VM, becomes part of the source; lines without a JSON object are skipped.
 func parseLog(r io.Reader, source string) ([]logLine, error) {
 	var lines []logLine
 	s := bufio.NewScanner(r)
@@ -140,11 +139,11 @@
 	return l, !l.At.IsZero()
 }
 
-// fieldNames returns the names of an object's fields in their order.
+// fieldNames returns the field names of a JSON object in their order.
 func fieldNames(data []byte) []string {
 	var names []string
 	d := json.NewDecoder(bytes.NewReader(data))
-	d.Token() // the object's beginning; it was decoded whole before
+	d.Token() // opening brace; no error, because parseLine has decoded the object
 	for d.More() {
 		name, err := d.Token()
 		if err != nil {
@@ -159,7 +158,7 @@
 	return names
 }
 
-// fieldText returns a string without its quotes, any other value as it is written.
+// fieldText returns a JSON string without quotes, and any other value as its JSON text.
 func fieldText(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
@@ -168,8 +167,9 @@
 	return string(raw)
 }
 
-// selectTimeline returns the lines of the flows that match, in the order of time,
-// and of the others without a flow those that are at most around away.
+// selectTimeline returns the lines of the flows that match, sorted by time. With
+// around above 0 it also returns the lines without a flow from around before the first
+// match to around after the last.
 func selectTimeline(lines []logLine, match func(string) bool, around time.Duration) []logLine {
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.At.Compare(b.At) })
 	first, last := -1, -1
--- a/cmd/hemlockctl/timeline_test.go
+++ b/cmd/hemlockctl/timeline_test.go
@@ -20,7 +20,7 @@
 vm-6 {"level":"info","ts":"2026-03-01T10:00:09.000Z","msg":"server","role":"agent","state":"draining"}
 `
 
-// runFlow runs hemlockctl flow on the two logs.
+// runFlow runs hemlockctl flow on the two logs, checks the exit code and returns the output.
 func runFlow(t *testing.T, code int, args ...string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 	for _, p := range parts {
 		i := strings.Index(text[at:], p)
 		if i < 0 {
-			t.Fatalf("%q is not there, or not in order:\n%s", p, text)
+			t.Fatalf("%q is missing or out of order:\n%s", p, text)
 		}
 		at += i
 	}
@@ -55,7 +55,7 @@
 	got := runFlow(t, exitAccepted, "100.64.0.7:40001")
 	expectInOrder(t, got, "+0.000 s", "flow refused by agent", "reason=busy", "+0.200 s", "flow taken", "offers=2", "+0.300 s", "agent.log vm-6", "flow opened", "after=0.02")
 	if strings.Contains(got, "40001>198.18.0.1:443  server") || strings.Contains(got, ":4000>") {
-		t.Errorf("lines of others:\n%s", got)
+		t.Errorf("lines of other flows, or without a flow, are shown:\n%s", got)
 	}
 }
 
@@ -63,7 +63,7 @@
 	got := runFlow(t, exitAccepted, "-around", "1s", "100.64.0.7:40001")
 	expectInOrder(t, got, "flow refused by agent", "state=ready", "flow taken", "flow opened")
 	if strings.Contains(got, "draining") {
-		t.Errorf("a belief of eight seconds later:\n%s", got)
+		t.Errorf("a state change 8 s after the flow's last line is shown:\n%s", got)
 	}
 }
 
@@ -73,6 +73,6 @@
 }
 
 func TestTimelineErrors(t *testing.T) {
-	expectInOrder(t, runFlow(t, exitUsage, "100.64.0"), "is no caller")
-	expectInOrder(t, runFlow(t, exitRefused, "100.64.0.8"), "no line of 6 speaks of a flow of 100.64.0.8")
+	expectInOrder(t, runFlow(t, exitUsage, "100.64.0"), "is not a caller's address")
+	expectInOrder(t, runFlow(t, exitRefused, "100.64.0.8"), "none of 6 log lines belongs to a flow of 100.64.0.8")
 }
