--- a/cmd/hemlock-demo/load.go
+++ b/cmd/hemlock-demo/load.go
@@ -17,26 +17,26 @@
 
 const (
 	callersPerService  = 12
-	flowsPerService    = 6 // feeds, or downloads one after another
-	callsPerConnection = 8 // then the caller connects anew
+	flowsPerService    = 6 // concurrent feeds or downloads
+	callsPerConnection = 8 // requests before the caller opens a new connection
 	thinkTime          = 20 * time.Millisecond
 	feedInterval       = 20 * time.Millisecond
 	downloadBytes      = 8 << 20
-	reserveInterval    = 4 // one call in so many is a reservation
+	reserveInterval    = 4 // every fourth call is a reservation
 )
 
-// tally is what became of one service's calls.
+// tally counts the outcomes of one service's calls and long flows.
 type tally struct {
-	calls, complete, refused int // refused: not run, told when to come back
+	calls, complete, refused int // refused: not run, with a retry time, or an error status
 	unknown, broken, wrong   int
 	flows, completeFlows     int
 	byServer                 map[string]int
-	acknowledged             map[string]bool // keys of reservations that were answered
+	acknowledged             map[string]bool // keys of reservations with a success response
 	latency                  *hdrhistogram.Histogram
 	errorTexts               []string
 }
 
-// load runs callers against a deployment and counts what they see.
+// load runs callers against a deployment and counts the outcomes.
 type load struct {
 	dep      *deployment.Deployment
 	services []deployment.Service
@@ -58,7 +58,7 @@
 	return l
 }
 
-// start starts the callers; they stop beginning new work after the time run.
+// start starts the callers; they begin no new requests or flows after the duration run.
 func (l *load) start(ctx context.Context, run time.Duration) {
 	end := time.Now().Add(run)
 	for _, s := range l.services {
@@ -75,14 +75,14 @@
 
 func (l *load) wait() { l.wg.Wait() }
 
-// update changes the tally of a service.
+// update calls f with the tally of a service, under the lock.
 func (l *load) update(service string, f func(*tally)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l.tallies[service])
 }
 
-// makeCalls makes short requests, each connection for a few of them.
+// makeCalls makes short requests, callsPerConnection on each connection.
 func (l *load) makeCalls(ctx context.Context, s deployment.Service, n int, end time.Time) {
 	for round := 0; time.Now().Before(end); round++ {
 		c, err := l.dep.Caller(s.Name)
@@ -131,7 +131,7 @@
 	})
 }
 
-// openFlows keeps one long flow open after another.
+// openFlows opens long flows, one after another.
 func (l *load) openFlows(ctx context.Context, s deployment.Service, n int, end time.Time) {
 	for round := 0; time.Now().Before(end); round++ {
 		c, err := l.dep.Caller(s.Name)
@@ -173,7 +173,8 @@
 	})
 }
 
-// reservationRuns returns how often each reservation of a service ran.
+// reservationRuns returns how often the backend servers ran each reservation of a
+// service, by key.
 func (l *load) reservationRuns(service string) map[string]int {
 	runs := make(map[string]int)
 	for _, a := range l.dep.Agents {
--- a/cmd/hemlock-demo/main.go
+++ b/cmd/hemlock-demo/main.go
@@ -1,7 +1,6 @@
-// Command hemlock-demo shows the whole path in one process: both users'
-// deployments in small, under planned changes and a balancer's death while
-// feeds and downloads are open. It ends with a table, and with exit code 1 if
-// a promise broke.
+// Command hemlock-demo runs small deployments of both users in one process and, while
+// feeds and downloads are open, makes planned changes and kills a balancer. It prints a
+// table of the results, and exits with code 1 if a check failed.
 package main
 
 import (
@@ -24,7 +23,7 @@
 	exitFailed   = 1
 )
 
-// config is the checked settings.
+// config holds the validated settings.
 type config struct {
 	run   time.Duration
 	seed  uint64
@@ -47,9 +46,9 @@
 }
 
 func parse(args []string) (cfg config, err error) {
-	s := settings.New(program, "HEMLOCK_DEMO", "shows the whole path in one process")
-	s.DurationVar(&cfg.run, "run", 12*time.Second, "how long the load runs, 6s at least")
-	s.Uint64Var(&cfg.seed, "seed", 1, "seed of the fabric's choices")
+	s := settings.New(program, "HEMLOCK_DEMO", "runs callers, balancers, agents and backend servers in one process")
+	s.DurationVar(&cfg.run, "run", 12*time.Second, "how long the load runs, at least 6s")
+	s.Uint64Var(&cfg.seed, "seed", 1, "seed of the simulated network's random choices")
 	s.StringVar(&cfg.level, "log-level", "error", "debug, info, warn or error")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
@@ -60,7 +59,7 @@
 	return cfg, nil
 }
 
-// kanatpar is the aircraft parts exchange: four availability zones.
+// kanatpar returns the deployment of the aircraft parts exchange: four availability zones.
 func kanatpar(seed uint64, log *zap.Logger) deployment.Config {
 	return deployment.Config{
 		Seed: seed, Log: log, Balancers: 4,
@@ -72,7 +71,7 @@
 	}
 }
 
-// bocina is the voice skill store: three availability zones.
+// bocina returns the deployment of the voice skill store: three availability zones.
 func bocina(seed uint64, log *zap.Logger) deployment.Config {
 	return deployment.Config{
 		Seed: seed, Log: log, Balancers: 3,
@@ -119,7 +118,8 @@
 	return report(os.Stdout, users), nil
 }
 
-// runSteps makes the planned changes and the failure while the load runs.
+// runSteps makes the planned changes and kills a balancer, spread over the load's
+// duration.
 func runSteps(ctx context.Context, users []*user, run time.Duration, logf func(string, ...any)) error {
 	steps := []struct {
 		what string
--- a/cmd/hemlock-demo/report.go
+++ b/cmd/hemlock-demo/report.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// propagationLimit is the time in which an accepted edit must be in force.
+// propagationLimit is the time in which an accepted edit must be in force on every
+// balancer.
 const propagationLimit = 5 * time.Second
 
-// report prints the table and returns whether every promise was kept.
+// report prints the results and returns whether all checks passed.
 func report(w io.Writer, users []*user) (passed bool) {
 	passed = true
 	fmt.Fprintln(w)
@@ -38,15 +39,16 @@
 		}
 	}
 	if passed {
-		fmt.Fprintln(w, "every promise kept")
+		fmt.Fprintln(w, "all checks passed")
 	} else {
-		fmt.Fprintln(w, "A PROMISE BROKE")
+		fmt.Fprintln(w, "A CHECK FAILED")
 	}
 	return passed
 }
 
-// checkReservations holds reservations that callers were told of against the journals of
-// the backend servers.
+// checkReservations compares the reservations acknowledged to callers with the journals
+// of the backend servers. It returns how many ran more than once, and how many
+// acknowledged ones did not run.
 func checkReservations(t *tally, runs map[string]int) (twice, lost int) {
 	for _, n := range runs {
 		if n > 1 {
@@ -61,8 +63,8 @@
 	return twice, lost
 }
 
-// imbalance returns the calls of the busiest backend server over the mean, of
-// those that stayed for the whole run.
+// imbalance returns the calls of the busiest backend server divided by the mean over all
+// backend servers but the excluded one.
 func imbalance(byServer map[string]int, excluded string) float64 {
 	total, most, servers := 0, 0, 0
 	for name, n := range byServer {
--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -14,9 +14,9 @@
 	cfg  deployment.Config
 	dep  *deployment.Deployment
 	load *load
-	// drainedServer is the backend server that left during the run.
+	// drainedServer is the backend server that is drained during the run.
 	drainedServer string
-	propagation   time.Duration // from the answer to the edit until all balancers have it in force
+	propagation   time.Duration // from the response to the edit until it is in force on all balancers
 }
 
 func newUser(name string, cfg deployment.Config) *user {
@@ -37,7 +37,7 @@
 	}
 }
 
-// edit raises a limit and measures how long every balancer takes to follow.
+// edit raises a limit and measures the time until the edit is in force on all balancers.
 func (u *user) edit(ctx context.Context) error {
 	c, _, _, err := catalogue.Load(ctx, u.dep.Editor.Store)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return true
 }
 
-// drainAgent begins a graceful stop; it ends when the agent's flows have.
+// drainAgent starts a graceful stop in the background; the stop completes when the
+// agent's flows have ended.
 func (u *user) drainAgent(ctx context.Context) error {
 	a := u.dep.Agents[0]
 	u.drainedServer = a.Backend.Name()
--- a/cmd/hemlock-lab/catalogue.go
+++ b/cmd/hemlock-lab/catalogue.go
@@ -9,10 +9,10 @@
 func runCatalogue(args []string, out io.Writer) error {
 	e := experiments[lab.Config]{all: lab.Experiments}
 	c := lab.DefaultConfig()
-	fs := e.newFlagSet("catalogue", "measures how changes spread between replicas over an in-memory exchange of messages")
-	floatList(fs, &c.Sizes, "sizes", "numbers of nodes, separated by commas; empty is each experiment's own, for spread 8,64,512,4096,11000")
-	floatList(fs, &c.Losses, "losses", "shares of messages lost, 0 to below 1, separated by commas; empty is each experiment's own, for spread 0,0.05,0.2")
-	fs.IntVar(&c.Changes, "changes", 0, "changes of spread and fanout, edits of 500 entries of bulk-edit; 0 is 10")
+	fs := e.newFlagSet("catalogue", "measures how changes propagate between replicas that exchange messages in memory")
+	floatList(fs, &c.Sizes, "sizes", "numbers of nodes, separated by commas; empty is each experiment's default, for spread 8,64,512,4096,11000")
+	floatList(fs, &c.Losses, "losses", "shares of messages lost, 0 to below 1, separated by commas; empty is each experiment's default, for spread 0,0.05,0.2")
+	fs.IntVar(&c.Changes, "changes", 0, "number of changes in spread and fanout, and of edits of 500 entries in bulk-edit; 0 is 10")
 	if err := e.parse(fs, args); err != nil {
 		return err
 	}
--- a/cmd/hemlock-lab/common.go
+++ b/cmd/hemlock-lab/common.go
@@ -11,13 +11,13 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// common are the flags of every tool.
+// common holds the flags that all tools have.
 type common struct {
 	seed   uint64
 	output string
 }
 
-// newFlagSet returns the flags of a tool with the common ones.
+// newFlagSet returns a flag set of a tool that defines the common flags.
 func (c *common) newFlagSet(tool, summary string) *settings.Set {
 	fs := settings.New(program+" "+tool, "HEMLOCK_LAB", summary)
 	fs.Uint64Var(&c.seed, "seed", 1, "seed; the same seed gives the same figures")
@@ -30,20 +30,21 @@
 		return err
 	}
 	if c.output != figure.Table && c.output != figure.CSV {
-		return &settings.Error{Setting: "o", Reason: fmt.Sprintf("%q is no form of output", c.output), Remedy: "give table or csv"}
+		return &settings.Error{Setting: "o", Reason: fmt.Sprintf("%q is not an output format", c.output), Remedy: "give table or csv"}
 	}
 	return nil
 }
 
-// experiments is the tail of a tool that runs experiments: which are run, and
-// what they give.
+// experiments runs the experiments of a tool: it selects them by a flag and writes
+// their figures.
 type experiments[C any] struct {
 	common
 	all   []figure.Experiment[C]
 	names []string
 }
 
-// newFlagSet adds the flag that chooses experiments, with what each tells.
+// newFlagSet adds the flag that selects experiments; its help text lists each with its
+// summary.
 func (e *experiments[C]) newFlagSet(tool, summary string) *settings.Set {
 	fs := e.common.newFlagSet(tool, summary)
 	var help strings.Builder
@@ -63,7 +64,7 @@
 	return figure.Write(out, e.output, figure.Columns, figure.Rows(list))
 }
 
-// inRange returns a check that low <= value <= high.
+// inRange returns a function that returns an error unless low <= value <= high.
 func inRange[T cmp.Ordered](setting string, value, low, high T) func() error {
 	return func() error {
 		if value >= low && value <= high {
@@ -73,7 +74,7 @@
 	}
 }
 
-// listValue is the flag of a list separated by commas.
+// listValue implements flag.Value for a list separated by commas.
 type listValue[T any] struct {
 	target *[]T
 	parse  func(string) (T, error)
@@ -86,7 +87,7 @@
 	return strings.ReplaceAll(strings.Trim(fmt.Sprint(*l.target), "[]"), " ", ",")
 }
 
-// Set replaces the list; the flag package words the error.
+// Set replaces the list. The flag package adds the flag's name to the error.
 func (l listValue[T]) Set(s string) error {
 	*l.target = nil
 	for _, part := range strings.Split(s, ",") {
--- a/cmd/hemlock-lab/main.go
+++ b/cmd/hemlock-lab/main.go
@@ -1,5 +1,5 @@
-// Command hemlock-lab runs the decision packages on models in simulated time
-// and prints what they measure: `hemlock-lab TOOL [flags]`.
+// Command hemlock-lab runs the decision packages on models in simulated time and
+// prints the measured figures: `hemlock-lab TOOL [flags]`.
 package main
 
 import (
@@ -21,21 +21,21 @@
 }
 
 var tools = []tool{
-	{"placement", "placement policies side by side on a model of one service", runPlacement},
+	{"placement", "comparison of placement policies on a model of one service", runPlacement},
 	{"admission", "goodput, fairness and retries of one backend server under overload", runAdmission},
-	{"membership", "how changes and failures become known, and what that costs", runMembership},
-	{"recovery", "what callers get after a loss of power, a kill, a burst, a slow server, beside an upper bound", runRecovery},
-	{"catalogue", "how changes of the catalogue come into force, and what that costs", runCatalogue},
+	{"membership", "how membership changes and failures propagate, and the traffic and time it costs", runMembership},
+	{"recovery", "service to callers after a power loss, a kill, a burst or with a slow server, compared with an upper bound", runRecovery},
+	{"catalogue", "how changes of the catalogue come into force, and the traffic and time it costs", runCatalogue},
 }
 
-// UsageError is a command line that names no tool.
+// UsageError is a command line that names no tool, or an unknown one.
 type UsageError struct{ Given string }
 
 func (e *UsageError) Error() string {
 	if e.Given == "" {
-		return "no tool given; run " + program + " -h for the tools"
+		return "no tool given; run " + program + " -h for a list of tools"
 	}
-	return fmt.Sprintf("no tool %q; run %s -h for the tools", e.Given, program)
+	return fmt.Sprintf("unknown tool %q; run %s -h for a list of tools", e.Given, program)
 }
 
 func main() {
@@ -61,12 +61,12 @@
 }
 
 func usage(out io.Writer) error {
-	fmt.Fprintf(out, "%s TOOL [flags]: measures on models in simulated time\n\n", program)
+	fmt.Fprintf(out, "%s TOOL [flags]: runs models in simulated time and prints figures\n\n", program)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, t := range tools {
 		fmt.Fprintf(w, "  %s\t%s\n", t.name, t.summary)
 	}
 	err := w.Flush()
-	fmt.Fprintf(out, "\n%s TOOL -h tells its flags with units and defaults.\n", program)
+	fmt.Fprintf(out, "\n%s TOOL -h lists its flags with units and defaults.\n", program)
 	return errors.Join(err, settings.ErrDone)
 }
--- a/cmd/hemlock-lab/main_test.go
+++ b/cmd/hemlock-lab/main_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if err := run([]string{"admission"}, io.Discard); err == nil {
-		t.Error("a variable that is no setting of the tool was passed over")
+		t.Error("an environment variable that is not a setting of the tool was ignored")
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	s.cases = []string{"no-such"}
 	if err := s.run(io.Discard); err == nil {
-		t.Error("an unknown case ran")
+		t.Error("an unknown case was accepted")
 	}
 }
 
--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -13,7 +13,7 @@
 	"github.com/hemlockscale/hemlockscale/placement/lab"
 )
 
-// placementSettings are the flags of hemlock-lab placement.
+// placementSettings holds the flags of hemlock-lab placement.
 type placementSettings struct {
 	common
 	agents, balancers, zones, maxParallel, seeds int
@@ -37,17 +37,17 @@
 	fs.IntVar(&s.agents, "agents", 7, "backend servers of the service")
 	fs.IntVar(&s.balancers, "balancers", 4, "balancers")
 	fs.IntVar(&s.zones, "zones", 4, "availability zones")
-	fs.DurationVar(&s.duration, "duration", 10*time.Minute, "modelled time per run; a sixth is warm-up")
-	fs.DurationVar(&s.reportInterval, "report-every", 0, "mean time between reports of one agent to one balancer; 0 is each case's own")
-	fs.IntVar(&s.seeds, "seeds", 1, "runs per case and policy, with seeds from -seed on; the mean is printed")
+	fs.DurationVar(&s.duration, "duration", 10*time.Minute, "simulated time per run; the first sixth is warm-up")
+	fs.DurationVar(&s.reportInterval, "report-every", 0, "mean time between reports of one agent to one balancer; 0 is each case's default")
+	fs.IntVar(&s.seeds, "seeds", 1, "runs per case and policy, with consecutive seeds starting at -seed; the mean is printed")
 	stringList(fs, &s.cases, "cases", "cases to run, separated by commas; empty is all")
 	stringList(fs, &s.policies, "policies", "policies to run, separated by commas; empty is all")
-	fs.IntVar(&s.maxParallel, "parallel", 2, "runs at once")
-	fs.IntVar(&s.options.Table.Samples, "samples", 0, "agents that a balancer compares for the alternate; 0 is the default")
+	fs.IntVar(&s.maxParallel, "parallel", 2, "number of runs in parallel")
+	fs.IntVar(&s.options.Table.Samples, "samples", 0, "agents that a balancer compares to select the alternate; 0 is the default")
 	fs.IntVar(&s.options.Decider.Margin, "margin", 0, "occupancy by which the primary must exceed the alternate; 0 is the default")
-	fs.DurationVar(&s.options.Load.MaxAge, "max-age", 0, "age from which a report counts as unknown; 0 is the default")
+	fs.DurationVar(&s.options.Load.MaxAge, "max-age", 0, "age from which a report is ignored; 0 is the default")
 	fs.UintVar(&s.remotePenalty, "remote-penalty", placement.DefaultRemotePenalty, "occupancy added to alternates in other zones, 0 to 255")
-	fs.UintVar(&s.unknownOccupancy, "unknown", 0, "occupancy assumed of an unknown agent, 1 to 254; 0 is the default")
+	fs.UintVar(&s.unknownOccupancy, "unknown", 0, "occupancy assumed for an agent without a recent report, 1 to 254; 0 is the default")
 	if err := s.parse(fs, args); err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	)
 }
 
-// job is one run.
+// job is one case with one policy, and its result.
 type job struct {
 	c      lab.Case
 	policy string
@@ -77,7 +77,7 @@
 	err    error
 }
 
-// run fills in the mean result of seeds runs.
+// run sets result to the mean of runs with consecutive seeds, or err.
 func (j *job) run(seeds int, o lab.Options) {
 	results := make([]lab.Result, seeds)
 	c := j.c
@@ -137,7 +137,7 @@
 		}
 	}
 	if len(jobs) == 0 {
-		return nil, &settings.Error{Setting: "cases", Reason: "no such case", Remedy: "leave it empty to see all"}
+		return nil, &settings.Error{Setting: "cases", Reason: "no such case", Remedy: "leave it empty to run all"}
 	}
 	return jobs, nil
 }
--- a/lab/exchange/exchange.go
+++ b/lab/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange decides what becomes of messages between the state machines
-// of one process: loss, duplication, delay and cuts, drawn from a seed. It
-// carries nothing by itself; the caller sets the arrivals in simulated time.
+// Package exchange simulates a network between state machines in one process: loss,
+// duplication and delay of messages, drawn from a random source, and partitions. It
+// transports no messages; the caller schedules the arrivals in simulated time.
 package exchange
 
 import (
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Network is the network between processes that a P names. It isn't safe for
+// Network is a network between processes identified by values of P. It isn't safe for
 // concurrent use.
 type Network[P any] struct {
 	Rand      *rand.Rand
-	Loss      float64                        // share of messages lost, each copy by itself
-	Duplicate float64                        // share of messages that arrive twice
-	Delay     func(from, to P) time.Duration // of each copy
-	Cut       func(from, to P) bool          // drops what it holds for; may be nil
+	Loss      float64                        // probability that a copy of a message is lost, 0 to 1
+	Duplicate float64                        // probability that a message is sent twice, 0 to 1
+	Delay     func(from, to P) time.Duration // delay of one copy, called for each copy that arrives
+	Cut       func(from, to P) bool          // reports whether messages are dropped by a partition; may be nil
 }
 
-// Deliver calls arrive once for each copy of a message that arrives, with the
-// copy's delay.
+// Deliver calls deliver once for each copy of a message that arrives, with the delay of
+// that copy.
 func (n *Network[P]) Deliver(from, to P, deliver func(delay time.Duration)) {
 	if n.Cut != nil && n.Cut(from, to) {
 		return
--- a/lab/figure/experiment.go
+++ b/lab/figure/experiment.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Experiment is one question put to a model; C is the model's config.
+// Experiment is a named measurement on a model; C is the model's config.
 type Experiment[C any] struct {
 	Name    string
-	Summary string // what it tells, one line
+	Summary string // what it measures, in one line
 	Run     func(C) ([]Figure, error)
 }
 
@@ -20,7 +20,7 @@
 }
 
 func (e *UnknownExperimentError) Error() string {
-	return fmt.Sprintf("no experiment %q; choose from %s", e.Name, strings.Join(e.Known, ", "))
+	return fmt.Sprintf("unknown experiment %q; choose from %s", e.Name, strings.Join(e.Known, ", "))
 }
 
 // Names returns the names of experiments.
@@ -33,8 +33,8 @@
 }
 
 // Run runs the named experiments, or all if names is empty, and returns their
-// figures under their names. It returns an UnknownExperimentError before any has run, or
-// the first error of an experiment.
+// figures with Experiment set. It returns an UnknownExperimentError before any
+// experiment has run, or the first error of an experiment.
 func Run[C any](all []Experiment[C], names []string, c C) ([]Figure, error) {
 	known := Names(all)
 	for _, n := range names {
@@ -59,9 +59,9 @@
 	return list, nil
 }
 
-// Guard returns run so that it sees no config that check refuses, and so that a
-// panic with an F, which is how a model ends a run that can't go on, is
-// returned as an error.
+// Guard returns a function that validates the config with check before it calls run,
+// and that returns a panic with a value of type F as an error. Models panic with an F
+// to abort a run that can't continue; other panics are passed on.
 func Guard[F error, C any](check func(C) error, run func(C) []Figure) func(C) ([]Figure, error) {
 	return func(c C) (list []Figure, err error) {
 		if err := check(c); err != nil {
--- a/lab/figure/figure.go
+++ b/lab/figure/figure.go
@@ -1,5 +1,5 @@
-// Package figure is what an experiment gives: one figure a row, with what it
-// tells and its unit, as a table or as CSV.
+// Package figure holds the results of experiments and writes them as a table or as CSV,
+// one row per measured value.
 package figure
 
 import (
@@ -15,17 +15,18 @@
 
 // Figure is one measured value.
 type Figure struct {
-	Experiment string  // such as goodput
-	Case       string  // under which conditions, such as "load=2 policy=fifo"
-	Quantity   string  // what was measured
-	Unit       string  // such as s, B/s; empty for a share or a count
+	Experiment string  // name of the experiment, such as goodput
+	Case       string  // conditions, such as "load=2 policy=fifo"
+	Quantity   string  // the measured quantity
+	Unit       string  // such as s or B/s; empty for a share or a count
 	Value      float64 //
 }
 
-// Columns are the columns that Rows fills.
+// Columns are the column names of Rows.
 var Columns = []string{"experiment", "case", "quantity", "value", "unit"}
 
-// Rows returns a row of Columns for each figure, values with four digits.
+// Rows returns a row with Columns for each figure. Values below 1000 have four
+// significant digits, others no decimals.
 func Rows(list []Figure) [][]string {
 	var rows [][]string
 	for _, f := range list {
@@ -41,11 +42,11 @@
 	return strconv.FormatFloat(v, 'g', 4, 64)
 }
 
-// Millis is d in milliseconds.
+// Millis returns d in milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Quantile returns the q-quantile of list, 0 to 1, and 0 of an empty list; it
-// sorts list.
+// Quantile returns the q-quantile of list, with q from 0 to 1, or 0 if list is empty. It
+// sorts list in place.
 func Quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -54,14 +55,14 @@
 	return list[min(int(q*float64(len(list))), len(list)-1)]
 }
 
-// Forms of output.
+// Output formats.
 const (
 	Table = "table"
 	CSV   = "csv"
 )
 
-// Write writes rows under columns in a form. In a table an empty line parts
-// rows whose first column differs.
+// Write writes columns as a header and rows below it in an output format. In a table an
+// empty line separates rows whose first column differs.
 func Write(out io.Writer, form string, columns []string, rows [][]string) error {
 	if form == CSV {
 		w := csv.NewWriter(out)
--- a/lab/simtime/simtime.go
+++ b/lab/simtime/simtime.go
@@ -1,6 +1,5 @@
-// Package simtime runs events in simulated time: one process, one goroutine,
-// the same order in every run. Models and in-memory exchanges of messages are
-// built on it.
+// Package simtime runs events in simulated time on one goroutine, in the same order in
+// every run. Models and simulated networks are built on it.
 package simtime
 
 import (
@@ -8,18 +7,18 @@
 	"time"
 )
 
-// Epoch is the simulated time at which a new clock stands.
+// Epoch is the simulated time of a new clock.
 var Epoch = time.Unix(1_700_000_000, 0)
 
-// Clock holds the simulated time and the events that are still to come. It
-// isn't safe for concurrent use.
+// Clock holds the simulated time and the pending events. It isn't safe for concurrent
+// use.
 type Clock struct {
 	now    time.Time
 	events events
 	seq    uint64
 }
 
-// New returns a clock that stands at Epoch.
+// New returns a clock at Epoch without events.
 func New() *Clock { return &Clock{now: Epoch} }
 
 // Now returns the simulated time.
@@ -28,15 +27,16 @@
 // Elapsed returns the simulated time since Epoch.
 func (c *Clock) Elapsed() time.Duration { return c.now.Sub(Epoch) }
 
-// After runs do when d has passed. Events of one moment run in the order in
-// which they were set.
+// After schedules fn to run after d. Events with the same time run in the order in which
+// they were scheduled.
 func (c *Clock) After(d time.Duration, fn func()) {
 	c.seq++
 	heap.Push(&c.events, event{c.now.Add(d), c.seq, fn})
 }
 
-// Run runs the events of the next d. It stops early after the event from which
-// on done, if given, holds, and reports whether done held.
+// Run runs the events of the next d and advances the clock by d. If done isn't nil, it
+// stops early after the first event after which done returns true. It reports whether
+// done returned true.
 func (c *Clock) Run(d time.Duration, done func() bool) bool {
 	end := c.now.Add(d)
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
@@ -57,8 +57,8 @@
 	fn  func()
 }
 
-// events is a heap by time; seq orders events of one moment, without which
-// their order would depend on the heap's shape and differ with every change.
+// events is a heap ordered by time. Events with the same time are ordered by seq;
+// otherwise their order would depend on the shape of the heap and so on other events.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/lab/simtime/simtime_test.go
+++ b/lab/simtime/simtime_test.go
@@ -15,7 +15,7 @@
 	c.After(time.Second, record(2))
 	c.After(time.Minute, record(4))
 	if c.Run(10*time.Second, nil) || c.Elapsed() != 10*time.Second {
-		t.Errorf("stands at %v", c.Elapsed())
+		t.Errorf("clock at %v", c.Elapsed())
 	}
 	if !slices.Equal(got, []int{1, 2, 3}) {
 		t.Errorf("ran %v", got)
@@ -32,6 +32,6 @@
 	}
 	c.After(0, tick)
 	if !c.Run(time.Minute, func() bool { return n == 3 }) || c.Elapsed() != 2*time.Second {
-		t.Errorf("%d events, stands at %v", n, c.Elapsed())
+		t.Errorf("%d events, clock at %v", n, c.Elapsed())
 	}
 }
