--- a/cmd/hemlock-agent/main.go
+++ b/cmd/hemlock-agent/main.go
@@ -60,7 +60,7 @@
 	s.DurationVar(&a.Idempotency.Window, "repeat-window", idempotency.DefaultWindow, "a request with an idempotency key runs at most once within this time")
 	s.DurationVar(&a.Idempotency.Expiry, "repeat-expiry", idempotency.DefaultExpiry, "time limit from the request for votes to the request's first byte")
 	s.DurationVar(&a.Idempotency.Skew, "repeat-skew", idempotency.DefaultSkew, "time in which every agent receives a change of its service's member list")
-	s.DurationVar(&a.Idempotency.Freshness, "repeat-freshness", idempotency.DefaultFreshness, "age from which a member list is not used")
+	s.DurationVar(&a.Idempotency.Freshness, "repeat-freshness", idempotency.DefaultFreshness, "age above which a member list is not used")
 	s.DurationVar(&a.Idempotency.Retention, "repeat-retention", idempotency.DefaultRetention, "how long an agent that left the member list still counts in votes")
 	s.DurationVar(&cfg.drain, "drain", time.Hour, "time limit of a graceful stop, in which open flows may complete")
 	admin := s.String("admin", "127.0.0.1:0", "TCP address that serves metrics, readiness and status")
