--- a/cmd/hemlock-demo/load.go
+++ b/cmd/hemlock-demo/load.go
@@ -28,6 +28,7 @@
 // tally counts the outcomes of one service's calls and long flows.
 type tally struct {
 	calls, complete, refused int // refused: not run, with a retry time, or an error status
+	// unknown: not known whether run; broken: connection or response broken off; wrong: wrong response.
 	unknown, broken, wrong   int
 	flows, completeFlows     int
 	byServer                 map[string]int
