--- a/cmd/hemlock-demo/load.go
+++ b/cmd/hemlock-demo/load.go
@@ -29,12 +29,12 @@
 type tally struct {
 	calls, complete, refused int // refused: not run, with a retry time, or an error status
 	// unknown: not known whether run; broken: connection or response broken off; wrong: wrong response.
-	unknown, broken, wrong   int
-	flows, completeFlows     int
-	byServer                 map[string]int
-	acknowledged             map[string]bool // keys of reservations with a success response
-	latency                  *hdrhistogram.Histogram
-	errorTexts               []string
+	unknown, broken, wrong int
+	flows, completeFlows   int
+	byServer               map[string]int
+	acknowledged           map[string]bool // keys of reservations with a success response
+	latency                *hdrhistogram.Histogram
+	errorTexts             []string
 }
 
 // load runs callers against a deployment and counts the outcomes.
@@ -72,7 +72,7 @@
 	}
 }
 
-func (l *load) background(f func()) { l.wg.Go(f) }
+func (l *load) runInBackground(f func()) { l.wg.Go(f) }
 
 func (l *load) wait() { l.wg.Wait() }
 
--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -74,7 +74,7 @@
 func (u *user) drainAgent(ctx context.Context) error {
 	a := u.dep.Agents[0]
 	u.drainedServer = a.Backend.Name()
-	u.load.background(func() { a.Stop(ctx) })
+	u.load.runInBackground(func() { a.Stop(ctx) })
 	return nil
 }
 
@@ -82,7 +82,7 @@
 	if _, err := u.dep.AddBalancer(); err != nil {
 		return err
 	}
-	u.load.background(func() { u.dep.StopBalancer(ctx, u.dep.Balancers[0]) })
+	u.load.runInBackground(func() { u.dep.StopBalancer(ctx, u.dep.Balancers[0]) })
 	return nil
 }
 
--- a/cmd/hemlock-lab/common.go
+++ b/cmd/hemlock-lab/common.go
@@ -11,21 +11,21 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// common holds the flags that all tools have.
-type common struct {
+// commonFlags holds the flags that all tools have.
+type commonFlags struct {
 	seed   uint64
 	output string
 }
 
 // newFlagSet returns a flag set of a tool that defines the common flags.
-func (c *common) newFlagSet(tool, summary string) *settings.Set {
+func (c *commonFlags) newFlagSet(tool, summary string) *settings.Set {
 	fs := settings.New(program+" "+tool, "HEMLOCK_LAB", summary)
 	fs.Uint64Var(&c.seed, "seed", 1, "seed; the same seed gives the same figures")
 	fs.StringVar(&c.output, "o", figure.Table, "output: table or csv")
 	return fs
 }
 
-func (c *common) parse(fs *settings.Set, args []string) error {
+func (c *commonFlags) parse(fs *settings.Set, args []string) error {
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 // experiments runs the experiments of a tool: it selects them by a flag and writes
 // their figures.
 type experiments[C any] struct {
-	common
+	commonFlags
 	all   []figure.Experiment[C]
 	names []string
 }
@@ -46,7 +46,7 @@
 // newFlagSet adds the flag that selects experiments; its help text lists each with its
 // summary.
 func (e *experiments[C]) newFlagSet(tool, summary string) *settings.Set {
-	fs := e.common.newFlagSet(tool, summary)
+	fs := e.commonFlags.newFlagSet(tool, summary)
 	var help strings.Builder
 	help.WriteString("experiments to run, separated by commas; empty is all:")
 	for _, x := range e.all {
--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -15,7 +15,7 @@
 
 // placementSettings holds the flags of hemlock-lab placement.
 type placementSettings struct {
-	common
+	commonFlags
 	agents, balancers, zones, maxParallel, seeds int
 	duration, reportInterval                     time.Duration
 	cases, policies                              []string
--- a/cmd/hemlockctl/edit.go
+++ b/cmd/hemlockctl/edit.go
@@ -23,7 +23,7 @@
 	if len(f.Entries) == 0 {
 		return usagef("file %s contains no entries; add them under entries:", c.file)
 	}
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	for part := range slices.Chunk(f.Entries, catalogue.MaxEdit) {
 		if err := c.edit(ctx, catalogue.Edit{Editor: c.editorName, Put: part, Base: c.base}); err != nil {
@@ -37,7 +37,7 @@
 	if len(c.args) == 0 || c.owner == "" {
 		return usagef("delete needs the owner and the services; use hemlockctl delete -owner OWNER SERVICE")
 	}
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	return c.edit(ctx, catalogue.Edit{Editor: c.editorName, Owner: c.owner, Delete: c.args, Base: c.base})
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return usagef("%v", err)
 	}
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	a, err := c.editor.Resolve(ctx, id)
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	cat, _, _, err := catalogue.Load(ctx, c.editor.Store)
 	if err != nil {
@@ -118,7 +118,7 @@
 	if len(c.args) != 1 {
 		return usagef("get needs one service; use hemlockctl get SERVICE")
 	}
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	cat, _, _, err := catalogue.Load(ctx, c.editor.Store)
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 func (c *cli) list(ctx context.Context) error {
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	cat, _, _, err := catalogue.Load(ctx, c.editor.Store)
 	if err != nil {
@@ -142,7 +142,7 @@
 }
 
 func (c *cli) history(ctx context.Context) error {
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	changes, oldest, err := c.editor.History(ctx, c.after)
 	if err != nil {
--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -71,7 +71,7 @@
 
 // platform shows the state of a system on the users' platform. It changes nothing.
 func (c *cli) platform(ctx context.Context) error {
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	addr, err := storeAddress(c.storeURL)
 	if err != nil {
--- a/cmd/hemlockctl/settings.go
+++ b/cmd/hemlockctl/settings.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *cli) deadline(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *cli) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
 
--- a/cmd/hemlockctl/status.go
+++ b/cmd/hemlockctl/status.go
@@ -11,8 +11,8 @@
 	"github.com/hemlockscale/hemlockscale/catalogue"
 )
 
-// responseTimeout limits the time until the first byte of a process's response, and
-// the time between two reads of it.
+// responseTimeout limits the time until a process starts to respond, and the time for
+// each step of its response (see transfer.Limits).
 const responseTimeout = 2 * time.Second
 
 // maxStatusBytes is the largest size of a balancer's status page in bytes.
@@ -52,7 +52,7 @@
 }
 
 func (c *cli) status(ctx context.Context) error {
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	var v statusView
 	h, _, err := catalogue.ReadHead(ctx, c.editor.Store)
--- a/lab/figure/experiment.go
+++ b/lab/figure/experiment.go
@@ -13,7 +13,8 @@
 	Run     func(C) ([]Figure, error)
 }
 
-// UnknownExperimentError is an experiment name that does not exist, with the names to choose from.
+// UnknownExperimentError is returned for an experiment name that does not exist; Known
+// lists the existing ones.
 type UnknownExperimentError struct {
 	Name  string
 	Known []string
