--- a/cmd/hemlock-demo/main.go
+++ b/cmd/hemlock-demo/main.go
@@ -1,7 +1,6 @@
-// Command hemlock-demo shows the whole path in one process: both users'
-// deployments in small, under planned changes and a balancer's death while
-// feeds and downloads are open. It ends with a table, and with exit code 1 if
-// a promise broke.
+// Command hemlock-demo runs small deployments of both users in one process and, while
+// feeds and downloads are open, makes planned changes and kills a balancer. It prints a
+// table of the results, and exits with code 1 if a check failed.
 package main
 
 import (
@@ -19,12 +18,12 @@
 )
 
 const (
-	program    = "hemlock-demo"
-	readyLimit = 15 * time.Second
-	exitBroken = 1
+	program      = "hemlock-demo"
+	readyTimeout = 15 * time.Second
+	exitFailed   = 1
 )
 
-// config is the checked settings.
+// config holds the validated settings.
 type config struct {
 	run   time.Duration
 	seed  uint64
@@ -36,20 +35,20 @@
 	if err != nil {
 		settings.Exit(program, err)
 	}
-	kept, err := demonstrate(cfg)
+	passed, err := runDemo(cfg)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
-		os.Exit(exitBroken)
+		os.Exit(exitFailed)
 	}
-	if !kept {
-		os.Exit(exitBroken)
+	if !passed {
+		os.Exit(exitFailed)
 	}
 }
 
 func parse(args []string) (cfg config, err error) {
-	s := settings.New(program, "HEMLOCK_DEMO", "shows the whole path in one process")
-	s.DurationVar(&cfg.run, "run", 12*time.Second, "how long the load runs, 6s at least")
-	s.Uint64Var(&cfg.seed, "seed", 1, "seed of the fabric's choices")
+	s := settings.New(program, "HEMLOCK_DEMO", "runs callers, balancers, agents and backend servers in one process")
+	s.DurationVar(&cfg.run, "run", 12*time.Second, "how long the load runs, at least 6s")
+	s.Uint64Var(&cfg.seed, "seed", 1, "seed of the simulated network's random choices")
 	s.StringVar(&cfg.level, "log-level", "error", "debug, info, warn or error")
 	if err = s.Parse(args); err != nil {
 		return cfg, err
@@ -60,7 +59,7 @@
 	return cfg, nil
 }
 
-// kanatpar is the aircraft parts exchange: four availability zones.
+// kanatpar returns the deployment of the aircraft parts exchange: four availability zones.
 func kanatpar(seed uint64, log *zap.Logger) deployment.Config {
 	return deployment.Config{
 		Seed: seed, Log: log, Balancers: 4,
@@ -72,7 +71,7 @@
 	}
 }
 
-// bocina is the voice skill store: three availability zones.
+// bocina returns the deployment of the voice skill store: three availability zones.
 func bocina(seed uint64, log *zap.Logger) deployment.Config {
 	return deployment.Config{
 		Seed: seed, Log: log, Balancers: 3,
@@ -84,7 +83,7 @@
 	}
 }
 
-func demonstrate(cfg config) (kept bool, err error) {
+func runDemo(cfg config) (passed bool, err error) {
 	log, err := daemon.NewLog("demo", cfg.level)
 	if err != nil {
 		return false, err
@@ -94,7 +93,7 @@
 		newUser("Tienda Bocina Voz", bocina(cfg.seed, log)),
 	}
 	start := time.Now()
-	say := func(format string, args ...any) {
+	logf := func(format string, args ...any) {
 		fmt.Printf("%5.1fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 	}
 	for _, u := range users {
@@ -102,25 +101,26 @@
 		if err := u.start(); err != nil {
 			return false, err
 		}
-		say("%s: %d balancers, %d agents ready", u.name, len(u.dep.Balancers), len(u.dep.Agents))
+		logf("%s: %d balancers, %d agents ready", u.name, len(u.dep.Balancers), len(u.dep.Agents))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*cfg.run)
 	defer cancel()
 	for _, u := range users {
-		u.load.begin(ctx, cfg.run)
+		u.load.start(ctx, cfg.run)
 	}
-	if err := change(ctx, users, cfg.run, say); err != nil {
+	if err := runSteps(ctx, users, cfg.run, logf); err != nil {
 		return false, err
 	}
 	for _, u := range users {
 		u.load.wait()
 	}
-	say("load ended")
+	logf("load ended")
 	return report(os.Stdout, users), nil
 }
 
-// change makes the planned changes and the failure while the load runs.
-func change(ctx context.Context, users []*user, run time.Duration, say func(string, ...any)) error {
+// runSteps makes the planned changes and kills a balancer, spread over the load's
+// duration.
+func runSteps(ctx context.Context, users []*user, run time.Duration, logf func(string, ...any)) error {
 	steps := []struct {
 		what string
 		do   func(*user, context.Context) error
@@ -134,7 +134,7 @@
 	for _, step := range steps {
 		time.Sleep(pause)
 		for _, u := range users {
-			say("%s %s", u.name, step.what)
+			logf("%s %s", u.name, step.what)
 			if err := step.do(u, ctx); err != nil {
 				return err
 			}
--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -14,9 +14,9 @@
 	cfg  deployment.Config
 	dep  *deployment.Deployment
 	load *load
-	// drained is the backend server that left during the run.
-	drained string
-	force   time.Duration // from the answer to the edit until all balancers have it in force
+	// drainedServer is the backend server that is drained during the run.
+	drainedServer string
+	propagation   time.Duration // from the response to the edit until it is in force on all balancers
 }
 
 func newUser(name string, cfg deployment.Config) *user {
@@ -28,7 +28,7 @@
 		return err
 	}
 	u.load = newLoad(u.dep, u.cfg.Services)
-	return u.dep.WaitReady(readyLimit)
+	return u.dep.WaitReady(readyTimeout)
 }
 
 func (u *user) close() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// edit raises a limit and measures how long every balancer takes to follow.
+// edit raises a limit and measures the time until the edit is in force on all balancers.
 func (u *user) edit(ctx context.Context) error {
 	c, _, _, err := catalogue.Load(ctx, u.dep.Editor.Store)
 	if err != nil {
@@ -51,12 +51,12 @@
 	}
 	start := time.Now()
 	for !u.inForce(accepted.Revision) {
-		if time.Since(start) > readyLimit {
-			return &deployment.TimeoutError{Limit: readyLimit}
+		if time.Since(start) > readyTimeout {
+			return &deployment.TimeoutError{Limit: readyTimeout}
 		}
 		time.Sleep(time.Millisecond)
 	}
-	u.force = time.Since(start)
+	u.propagation = time.Since(start)
 	return nil
 }
 
@@ -69,11 +69,12 @@
 	return true
 }
 
-// drainAgent begins a graceful stop; it ends when the agent's flows have.
+// drainAgent starts a graceful stop in the background; the stop completes when the
+// agent's flows have ended.
 func (u *user) drainAgent(ctx context.Context) error {
 	a := u.dep.Agents[0]
-	u.drained = a.Backend.Name()
-	u.load.background(func() { a.Stop(ctx) })
+	u.drainedServer = a.Backend.Name()
+	u.load.runInBackground(func() { a.Stop(ctx) })
 	return nil
 }
 
@@ -81,7 +82,7 @@
 	if _, err := u.dep.AddBalancer(); err != nil {
 		return err
 	}
-	u.load.background(func() { u.dep.StopBalancer(ctx, u.dep.Balancers[0]) })
+	u.load.runInBackground(func() { u.dep.StopBalancer(ctx, u.dep.Balancers[0]) })
 	return nil
 }
 
--- a/cmd/hemlock-lab/common.go
+++ b/cmd/hemlock-lab/common.go
@@ -11,47 +11,48 @@
 	"github.com/hemlockscale/hemlockscale/lab/figure"
 )
 
-// common are the flags of every tool.
-type common struct {
+// commonFlags holds the flags that all tools have.
+type commonFlags struct {
 	seed   uint64
 	output string
 }
 
-// newSet returns the flags of a tool with the common ones.
-func (c *common) newSet(tool, summary string) *settings.Set {
+// newFlagSet returns a flag set of a tool that defines the common flags.
+func (c *commonFlags) newFlagSet(tool, summary string) *settings.Set {
 	fs := settings.New(program+" "+tool, "HEMLOCK_LAB", summary)
 	fs.Uint64Var(&c.seed, "seed", 1, "seed; the same seed gives the same figures")
 	fs.StringVar(&c.output, "o", figure.Table, "output: table or csv")
 	return fs
 }
 
-func (c *common) parse(fs *settings.Set, args []string) error {
+func (c *commonFlags) parse(fs *settings.Set, args []string) error {
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
 	if c.output != figure.Table && c.output != figure.CSV {
-		return &settings.Error{Setting: "o", Reason: fmt.Sprintf("%q is no form of output", c.output), Remedy: "give table or csv"}
+		return &settings.Error{Setting: "o", Reason: fmt.Sprintf("%q is not an output format", c.output), Remedy: "give table or csv"}
 	}
 	return nil
 }
 
-// experiments is the tail of a tool that runs experiments: which are run, and
-// what they give.
+// experiments runs the experiments of a tool: it selects them by a flag and writes
+// their figures.
 type experiments[C any] struct {
-	common
+	commonFlags
 	all   []figure.Experiment[C]
 	names []string
 }
 
-// newSet adds the flag that chooses experiments, with what each tells.
-func (e *experiments[C]) newSet(tool, summary string) *settings.Set {
-	fs := e.common.newSet(tool, summary)
+// newFlagSet adds the flag that selects experiments; its help text lists each with its
+// summary.
+func (e *experiments[C]) newFlagSet(tool, summary string) *settings.Set {
+	fs := e.commonFlags.newFlagSet(tool, summary)
 	var help strings.Builder
 	help.WriteString("experiments to run, separated by commas; empty is all:")
 	for _, x := range e.all {
-		fmt.Fprintf(&help, "\n%s: %s", x.Name, x.Tell)
+		fmt.Fprintf(&help, "\n%s: %s", x.Name, x.Summary)
 	}
-	words(fs, &e.names, "experiments", help.String())
+	stringList(fs, &e.names, "experiments", help.String())
 	return fs
 }
 
@@ -63,8 +64,8 @@
 	return figure.Write(out, e.output, figure.Columns, figure.Rows(list))
 }
 
-// bounds returns a check that low <= value <= high.
-func bounds[T cmp.Ordered](setting string, value, low, high T) func() error {
+// inRange returns a function that returns an error unless low <= value <= high.
+func inRange[T cmp.Ordered](setting string, value, low, high T) func() error {
 	return func() error {
 		if value >= low && value <= high {
 			return nil
@@ -73,22 +74,22 @@
 	}
 }
 
-// listValue is the flag of a list separated by commas.
+// listValue implements flag.Value for a list separated by commas.
 type listValue[T any] struct {
-	to    *[]T
-	parse func(string) (T, error)
+	target *[]T
+	parse  func(string) (T, error)
 }
 
 func (l listValue[T]) String() string {
-	if l.to == nil {
+	if l.target == nil {
 		return ""
 	}
-	return strings.ReplaceAll(strings.Trim(fmt.Sprint(*l.to), "[]"), " ", ",")
+	return strings.ReplaceAll(strings.Trim(fmt.Sprint(*l.target), "[]"), " ", ",")
 }
 
-// Set replaces the list; the flag package words the error.
+// Set replaces the list. The flag package adds the flag's name to the error.
 func (l listValue[T]) Set(s string) error {
-	*l.to = nil
+	*l.target = nil
 	for _, part := range strings.Split(s, ",") {
 		part = strings.TrimSpace(part)
 		if part == "" {
@@ -98,15 +99,15 @@
 		if err != nil {
 			return err
 		}
-		*l.to = append(*l.to, v)
+		*l.target = append(*l.target, v)
 	}
 	return nil
 }
 
-func words(fs *settings.Set, to *[]string, name, usage string) {
+func stringList(fs *settings.Set, to *[]string, name, usage string) {
 	fs.Var(listValue[string]{to, func(s string) (string, error) { return s, nil }}, name, usage)
 }
 
-func numbers(fs *settings.Set, to *[]float64, name, usage string) {
+func floatList(fs *settings.Set, to *[]float64, name, usage string) {
 	fs.Var(listValue[float64]{to, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) }}, name, usage)
 }
