--- a/cmd/hemlock-demo/user.go
+++ b/cmd/hemlock-demo/user.go
@@ -60,6 +60,7 @@
 	return nil
 }
 
+// inForce reports whether every balancer has applied at least the revision.
 func (u *user) inForce(revision uint64) bool {
 	for _, b := range u.dep.Balancers {
 		if b.Revision() < revision {
--- a/cmd/hemlockctl/platform.go
+++ b/cmd/hemlockctl/platform.go
@@ -238,7 +238,7 @@
 	for i := range v.Nodes {
 		rows = append(rows, v.Nodes[i].rows()...)
 	}
-	return table(c.out, "\nASKED\tVM\tROLE\tSTATE\tBELIEVES", rows)
+	return table(c.out, "\nASKED\tVM\tROLE\tSTATE\tDETAILS", rows)
 }
 
 // rows returns the row of a process and, for a balancer, one for each agent that it
--- a/cmd/hemlockctl/status.go
+++ b/cmd/hemlockctl/status.go
@@ -75,11 +75,13 @@
 	return nil
 }
 
-func compareToStore(n nodeStatus, store catalogue.Digest, read bool) string {
+// compareToStore returns the state of a process compared with the store's digest, which
+// is valid only if storeRead is true.
+func compareToStore(n nodeStatus, store catalogue.Digest, storeRead bool) string {
 	switch {
 	case n.Error != "":
 		return stateUnreachable
-	case !read:
+	case !storeRead:
 		return stateNoStore
 	case n.Revision < store.Revision:
 		return stateBehind
--- a/internal/bulk/bulk_test.go
+++ b/internal/bulk/bulk_test.go
@@ -115,7 +115,7 @@
 
 // Guards against a client that is blocked because the server stops in the middle of its
 // response.
-func TestStalledTransferIsGivenUp(t *testing.T) {
+func TestStalledTransferIsAborted(t *testing.T) {
 	stalled := listen(t, keyOne, func(ctx context.Context, _ Kind, _ []byte, w io.Writer) error {
 		if _, err := w.Write(make([]byte, 64<<10)); err != nil {
 			return err
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -49,13 +49,13 @@
 // NewFlowHasher returns a hasher with the ring's first key that samples the given
 // ratio of flows, from 0 to 1. During a key rotation, processes with different
 // first keys derive different spans, and traces across them are incomplete.
-func NewFlowHasher(ring fleetkey.Ring, sample float64) (*FlowHasher, error) {
+func NewFlowHasher(ring fleetkey.Ring, sampleRatio float64) (*FlowHasher, error) {
 	b, err := aes.NewCipher(ring[0].Derive("trace", aes.BlockSize))
 	if err != nil {
 		return nil, err
 	}
 	f := &FlowHasher{block: b}
-	f.setSample(sample)
+	f.setSampleRatio(sampleRatio)
 	return f, nil
 }
 
--- a/internal/tracing/hop.go
+++ b/internal/tracing/hop.go
@@ -15,22 +15,22 @@
 // NewUnkeyedFlowHasher returns a hasher with an all-zero key, for processes that share
 // no secret. Callers can then choose connection IDs that are sampled; the only
 // effect is more spans in the export queue.
-func NewUnkeyedFlowHasher(sample float64) (*FlowHasher, error) {
+func NewUnkeyedFlowHasher(sampleRatio float64) (*FlowHasher, error) {
 	b, err := aes.NewCipher(make([]byte, aes.BlockSize))
 	if err != nil {
 		return nil, err
 	}
 	f := &FlowHasher{block: b}
-	f.setSample(sample)
+	f.setSampleRatio(sampleRatio)
 	return f, nil
 }
 
-func (f *FlowHasher) setSample(sample float64) {
+func (f *FlowHasher) setSampleRatio(ratio float64) {
 	switch {
-	case sample >= 1:
+	case ratio >= 1:
 		f.limit = math.MaxUint64
-	case sample > 0:
-		f.limit = uint64(sample * math.MaxUint64)
+	case ratio > 0:
+		f.limit = uint64(ratio * math.MaxUint64)
 	}
 }
 
--- a/internal/tracing/provider.go
+++ b/internal/tracing/provider.go
@@ -66,9 +66,9 @@
 
 // Provider records spans and exports them.
 type Provider struct {
-	sdk    *sdk.TracerProvider
-	tracer trace.Tracer
-	sample float64
+	sdk         *sdk.TracerProvider
+	tracer      trace.Tracer
+	sampleRatio float64
 }
 
 // Open returns a provider with the exporter that cfg names, nil for Off. An invalid
@@ -116,7 +116,7 @@
 			attribute.String("cloud.availability_zone", cfg.Zone),
 		)),
 	)
-	return &Provider{sdk: p, tracer: p.Tracer(scope), sample: cfg.SampleRatio}
+	return &Provider{sdk: p, tracer: p.Tracer(scope), sampleRatio: cfg.SampleRatio}
 }
 
 // Enabled reports whether tracing is on.
@@ -135,7 +135,7 @@
 	if p == nil {
 		return 0
 	}
-	return p.sample
+	return p.sampleRatio
 }
 
 // ShouldSample reports whether a call with the given parent span is traced. A call
@@ -145,13 +145,13 @@
 	switch {
 	case p == nil || parent.IsValid() && !parent.IsSampled():
 		return false
-	case p.sample >= 1:
+	case p.sampleRatio >= 1:
 		return true
 	case !parent.IsValid():
-		return rand.Float64() < p.sample
+		return rand.Float64() < p.sampleRatio
 	}
 	id := parent.TraceID()
-	return float64(binary.BigEndian.Uint64(id[8:])) < p.sample*math.MaxUint64
+	return float64(binary.BigEndian.Uint64(id[8:])) < p.sampleRatio*math.MaxUint64
 }
 
 // CloseWithTimeout closes the provider at the end of the process. It waits at most
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -96,13 +96,13 @@
 	return s.(sdk.ReadOnlySpan)
 }
 
-func newTestHasher(t testing.TB, sample float64) *FlowHasher {
+func newTestHasher(t testing.TB, sampleRatio float64) *FlowHasher {
 	t.Helper()
 	ring, err := fleetkey.Parse("1:000102030405060708090a0b0c0d0e0f")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := NewFlowHasher(ring, sample)
+	f, err := NewFlowHasher(ring, sampleRatio)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 }
 
 func TestPicks(t *testing.T) {
-	p := &Provider{sample: 0.5}
+	p := &Provider{sampleRatio: 0.5}
 	parent := func(high byte, flags trace.TraceFlags) trace.SpanContext {
 		return trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{0: 1, 8: high}, SpanID: trace.SpanID{1}, TraceFlags: flags})
 	}
--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -52,7 +52,7 @@
 	got      int64
 	progress int64 // bytes transferred since the timer was started
 
-	answered bool // the response has begun
+	responseBegun bool // the response has begun
 }
 
 // Begin starts an exchange. It returns the exchange and a context that is cancelled,
@@ -79,7 +79,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.progress += int64(n)
-	if e.progress >= minProgress && !e.answered {
+	if e.progress >= minProgress && !e.responseBegun {
 		e.progress = 0
 		e.timer.Reset(e.limits.ResponseTimeout)
 	}
@@ -96,7 +96,7 @@
 func (e *Exchange) Body(r io.Reader, size int64) io.Reader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.size, e.answered = size, true
+	e.size, e.responseBegun = size, true
 	e.restartTimer()
 	return &body{e, r}
 }
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -48,7 +48,7 @@
 }
 
 // A peer that stops sending, or sends single bytes, does not block its reader.
-func TestStalledTransferIsGivenUp(t *testing.T) {
+func TestStalledTransferIsAborted(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		chunks, size int
@@ -74,7 +74,7 @@
 }
 
 // An exchange whose response does not begin is aborted.
-func TestMissingAnswerIsGivenUp(t *testing.T) {
+func TestMissingResponseIsAborted(t *testing.T) {
 	ctx, e := Begin(context.Background(), limits)
 	defer e.End()
 	<-ctx.Done()
--- a/lab/exchange/exchange_test.go
+++ b/lab/exchange/exchange_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestCarry(t *testing.T) {
+func TestDeliver(t *testing.T) {
 	const sent = 10_000
 	for _, c := range []struct {
 		loss, duplicate float64
--- a/lab/figure/figure.go
+++ b/lab/figure/figure.go
@@ -63,8 +63,8 @@
 
 // Write writes columns as a header and rows below it in an output format. In a table an
 // empty line separates rows whose first column differs.
-func Write(out io.Writer, form string, columns []string, rows [][]string) error {
-	if form == CSV {
+func Write(out io.Writer, format string, columns []string, rows [][]string) error {
+	if format == CSV {
 		w := csv.NewWriter(out)
 		w.Write(columns)
 		return w.WriteAll(rows)
--- a/lab/figure/figure_test.go
+++ b/lab/figure/figure_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestWriteForms(t *testing.T) {
+func TestWriteFormats(t *testing.T) {
 	rows := Rows([]Figure{{"goodput", "load=2", "share", "", 0.96251}, {"spread", "n=8", "all p50", "ms", 12345.6}})
 	var out bytes.Buffer
 	if err := Write(&out, CSV, Columns, rows); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRunChoosesExperiments(t *testing.T) {
+func TestRunSelectsExperiments(t *testing.T) {
 	one := func(n int) ([]Figure, error) { return []Figure{{Value: float64(n)}}, nil }
 	all := []Experiment[int]{{"a", "", one}, {"b", "", one}}
 	list, err := Run(all, []string{"b"}, 3)
