--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -273,10 +273,10 @@
 		return
 	}
 	if err := d.reload(); err != nil {
-		d.Log.Error("reload refused; keeping the current settings", zap.String("why", reason), zap.Error(err))
+		d.Log.Error("reload refused; keeping the current settings", zap.String("reason", reason), zap.Error(err))
 		return
 	}
-	d.Log.Info("reloaded", zap.String("why", reason))
+	d.Log.Info("reloaded", zap.String("reason", reason))
 }
 
 func cancelOnInterrupt(ctx context.Context, cancel context.CancelFunc, signals <-chan os.Signal) {
