--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -157,6 +157,8 @@
 	http.Error(w, "no free slot", http.StatusServiceUnavailable)
 }
 
+// simulateWork waits for the duration of a short request, or forever while the server is
+// stalled, but not longer than the client waits.
 func (s *Server) simulateWork(r *http.Request) {
 	if s.stall.Load() {
 		<-r.Context().Done()
@@ -194,8 +196,8 @@
 }
 
 func (s *Server) feed(w http.ResponseWriter, r *http.Request) {
-	events, seed := number(r, "events"), number(r, "seed")
-	interval := time.Duration(number(r, "interval_ms")) * time.Millisecond
+	events, seed := queryNumber(r, "events"), queryNumber(r, "seed")
+	interval := time.Duration(queryNumber(r, "interval_ms")) * time.Millisecond
 	w.Header().Set("Content-Type", "text/event-stream")
 	tick := time.NewTicker(max(interval, time.Millisecond))
 	defer tick.Stop()
@@ -213,10 +215,10 @@
 }
 
 func (s *Server) download(w http.ResponseWriter, r *http.Request) {
-	size, seed := number(r, "bytes"), number(r, "seed")
+	size, seed := queryNumber(r, "bytes"), queryNumber(r, "seed")
 	w.Header().Set("Content-Length", strconv.FormatUint(size, 10))
 	body := content.New(s.cfg.Service, seed)
-	if rate := number(r, "rate"); rate > 0 {
+	if rate := queryNumber(r, "rate"); rate > 0 {
 		paced(w, r, body, size, rate)
 		return
 	}
@@ -242,7 +244,8 @@
 	}
 }
 
-func number(r *http.Request, name string) uint64 {
+// queryNumber returns a parameter of the query as a number, 0 if it is missing or not a number.
+func queryNumber(r *http.Request, name string) uint64 {
 	n, _ := strconv.ParseUint(r.URL.Query().Get(name), 10, 63)
 	return n
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -67,16 +67,16 @@
 type session struct {
 	key    sessionKey
 	socket *net.UDPConn
-	sentAt time.Time // last datagram of the caller; accessed only by the goroutine of fromCallers
+	sentAt time.Time // last datagram of the caller; accessed only by the goroutine of receiveFromCallers
 }
 
 // firstAfterIdle records a datagram of the caller, and reports whether the caller was idle
 // for at least d before it. It returns false if d is 0.
 func (s *session) firstAfterIdle(d time.Duration) bool {
 	now := time.Now()
-	silent := now.Sub(s.sentAt) >= d
+	idle := now.Sub(s.sentAt) >= d
 	s.sentAt = now
-	return silent && d > 0
+	return idle && d > 0
 }
 
 // Start starts a fabric.
@@ -93,7 +93,7 @@
 	f.writers.New = func() any { return udp.NewWriter(c) }
 	f.SetBalancers(cfg.Balancers)
 	f.SetFaults(Faults{})
-	f.wg.Go(f.fromCallers)
+	f.wg.Go(f.receiveFromCallers)
 	return f, nil
 }
 
@@ -128,7 +128,7 @@
 	f.wg.Wait()
 }
 
-func (f *Fabric) fromCallers() {
+func (f *Fabric) receiveFromCallers() {
 	r := udp.NewReader(f.public)
 	for {
 		n, err := r.Read()
@@ -142,12 +142,14 @@
 			}
 			s := f.session(sessionKey{caller: r.Source(i), service: service})
 			if s != nil {
-				f.toBalancer(s, r.Datagram(i))
+				f.sendToBalancer(s, r.Datagram(i))
 			}
 		}
 	}
 }
 
+// session returns the session with the key k, and starts it if it does not exist. It
+// returns nil if the fabric is closed or has no free socket.
 func (f *Fabric) session(k sessionKey) *session {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,11 +165,13 @@
 	}
 	s := &session{key: k, socket: socket}
 	f.sessions[k] = s
-	f.wg.Go(func() { f.fromBalancers(s) })
+	f.wg.Go(func() { f.receiveFromBalancers(s) })
 	return s
 }
 
-func (f *Fabric) toBalancer(s *session, b []byte) {
+// sendToBalancer sends b from the session's socket to a random balancer, subject to the current
+// faults.
+func (f *Fabric) sendToBalancer(s *session, b []byte) {
 	ports := *f.balancers.Load()
 	if len(ports) == 0 {
 		return
@@ -186,7 +190,7 @@
 	plan.send(b, func(b []byte) { s.socket.WriteToUDPAddrPort(b, to) })
 }
 
-func (f *Fabric) fromBalancers(s *session) {
+func (f *Fabric) receiveFromBalancers(s *session) {
 	b := make([]byte, udp.MaxDatagram)
 	for {
 		n, from, err := s.socket.ReadFromUDPAddrPort(b)
--- a/internal/standin/platform/endpoint.go
+++ b/internal/standin/platform/endpoint.go
@@ -49,7 +49,7 @@
 	e.store.notifyWatches()
 }
 
-// SetLink sets the link over which the clients of this endpoint receive answers.
+// SetLink sets the link over which the clients of this endpoint receive responses.
 func (e *Endpoint) SetLink(l *Link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform/packet.go
+++ b/internal/standin/platform/packet.go
@@ -35,8 +35,8 @@
 	le.PutUint32(b[8:], h.Ack)
 	b[12] = h.Flags
 	le.PutUint16(b[14:], h.Dst.Port())
-	le.PutUint32(b[16:], number(h.Src.Addr()))
-	le.PutUint32(b[20:], number(h.Dst.Addr()))
+	le.PutUint32(b[16:], addrToUint32(h.Src.Addr()))
+	le.PutUint32(b[20:], addrToUint32(h.Dst.Addr()))
 	le.PutUint16(b[24:], h.Src.Port())
 	le.PutUint16(b[26:], uint16(len(h.Data)))
 	b = append(b, h.Data...)
@@ -52,8 +52,8 @@
 		return h, false, false
 	}
 	h = Header{
-		Src: netip.AddrPortFrom(address(le.Uint32(b[16:])), le.Uint16(b[24:])),
-		Dst: netip.AddrPortFrom(address(le.Uint32(b[20:])), le.Uint16(b[14:])),
+		Src: netip.AddrPortFrom(uint32ToAddr(le.Uint32(b[16:])), le.Uint16(b[24:])),
+		Dst: netip.AddrPortFrom(uint32ToAddr(le.Uint32(b[20:])), le.Uint16(b[14:])),
 		Seq: le.Uint32(b[4:]), Ack: le.Uint32(b[8:]), Flags: b[12],
 		Data: append([]byte(nil), b[headerSize:]...),
 	}
@@ -76,12 +76,12 @@
 	return s
 }
 
-func number(a netip.Addr) uint32 {
+func addrToUint32(a netip.Addr) uint32 {
 	b := a.As4()
 	return binary.BigEndian.Uint32(b[:])
 }
 
-func address(n uint32) netip.Addr {
+func uint32ToAddr(n uint32) netip.Addr {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], n)
 	return netip.AddrFrom4(b)
--- a/internal/standin/platform/restore.go
+++ b/internal/standin/platform/restore.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// eraHeader is the header of every answer with the store era: how often the store was
+// eraHeader is the header of every response with the store era: how often the store was
 // restored from an older copy.
 const eraHeader = "Store-Era"
 
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -198,6 +198,7 @@
 	}
 }
 
+// postControl calls the agent's control API and reports whether the agent accepted the call.
 func (s *Server) postControl(call string, body any) bool {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -236,8 +237,12 @@
 
 // maxFlowDelayAfterDrain is the time after the acknowledgement of draining in which the
 // server may still receive new flows.
+// maxFlowDelayAfterDrain is the time after an acknowledged drain in which first packets that
+// were forwarded before it may still arrive.
 const maxFlowDelayAfterDrain = time.Second
 
+// handlePacket processes a packet. A packet of a flow that the server does not hold is sent
+// back with FlagBounced.
 func (s *Server) handlePacket(h Header) {
 	f := s.flows[h.Src]
 	switch {
@@ -258,6 +263,8 @@
 	}
 }
 
+// openFlow answers the first packet of a flow. A retransmitted first packet keeps the
+// flow that it opened, as long as the flow has received no data.
 func (s *Server) openFlow(h Header, f *serverFlow) {
 	if f == nil || f.expected != h.Seq+1 {
 		f = &serverFlow{service: h.Dst, first: rand.Uint32(), expected: h.Seq + 1}
@@ -268,6 +275,8 @@
 	s.send(Header{Src: h.Dst, Dst: h.Src, Seq: f.first, Ack: f.expected, Flags: FlagSyn | FlagAck})
 }
 
+// handleFlowPacket processes a packet of the flow f after the first: it releases the
+// acknowledged data, and runs the request that the packet carries if it is next in sequence.
 func (s *Server) handleFlowPacket(h Header, f *serverFlow) {
 	if !f.open {
 		f.open = true
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -22,9 +22,9 @@
 // Fault describes a failure of the store.
 type Fault struct {
 	RefuseStatus int           // status code with which all calls fail, 0 for none
-	Hang         bool          // calls are not answered
+	Hang         bool          // calls get no response
 	Delay        time.Duration // before a call takes effect
-	LoseAnswers  bool          // writes take effect, but their answers are lost
+	LoseAnswers  bool          // writes take effect, but their responses are lost
 	StopWatches  bool          // watches report no changes
 	Stale        time.Duration // age of reads that may be stale
 }
@@ -224,7 +224,7 @@
 }
 
 // guard counts the calls of a handler and applies the fault that is set for the client.
-// The handler locks the store itself; it returns the status code and the answer.
+// The handler locks the store itself; it returns the status code and the response.
 func (s *Store) guard(name string, write bool, h func(r *http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		// Only after the body is read does the server detect that the client has disconnected.
@@ -252,15 +252,15 @@
 			return
 		}
 		era := s.eraNow()
-		status, answer := h(r)
+		status, response := h(r)
 		if write && f.LoseAnswers || s.eraNow() != era {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(eraHeader, strconv.FormatUint(era, 10))
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		if answer != nil {
-			json.NewEncoder(w).Encode(answer)
+		if response != nil {
+			json.NewEncoder(w).Encode(response)
 		}
 	}
 }
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -42,7 +42,7 @@
 	writeJSON(w, statusOf[e.Code], e)
 }
 
-// admit counts a call, applies the faults that come before its effect and
+// admit counts a call, applies the faults that precede its effect, and
 // reports whether the call may run.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, limit *rate.Limiter, count func(*Calls)) bool {
 	s.mu.Lock()
@@ -86,11 +86,11 @@
 	return err == nil
 }
 
-// loseAnswer decides at random whether the answer to a write that took effect is
+// loseResponse decides at random whether the response to a write that took effect is
 // lost, and in that case closes the connection.
-func (s *Server) loseAnswer(w http.ResponseWriter) bool {
+func (s *Server) loseResponse(w http.ResponseWriter) bool {
 	s.mu.Lock()
-	lose := s.faults.LoseAnswer > 0 && s.rng.Float64() < s.faults.LoseAnswer
+	lose := s.faults.LoseResponse > 0 && s.rng.Float64() < s.faults.LoseResponse
 	s.mu.Unlock()
 	if !lose {
 		return false
@@ -128,7 +128,7 @@
 	switch {
 	case refused != nil:
 		writeError(w, refused)
-	case !s.loseAnswer(w):
+	case !s.loseResponse(w):
 		writeJSON(w, http.StatusOK, store.VersionBody{Version: version})
 	}
 }
@@ -144,7 +144,7 @@
 	switch {
 	case refused != nil:
 		writeError(w, refused)
-	case !s.loseAnswer(w):
+	case !s.loseResponse(w):
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
@@ -161,7 +161,7 @@
 	s.mu.Lock()
 	id := s.grant(time.Now(), time.Duration(body.TTL)*time.Millisecond)
 	s.mu.Unlock()
-	if !s.loseAnswer(w) {
+	if !s.loseResponse(w) {
 		writeJSON(w, http.StatusOK, store.LeaseBody{Lease: id, TTL: body.TTL})
 	}
 }
@@ -177,7 +177,7 @@
 	switch {
 	case !ok:
 		writeError(w, &store.ErrorBody{Code: store.CodeLeaseExpired})
-	case !s.loseAnswer(w):
+	case !s.loseResponse(w):
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
--- a/internal/standin/store/server.go
+++ b/internal/standin/store/server.go
@@ -32,10 +32,10 @@
 
 // Faults are the faults that SetFaults sets; the zero value has none.
 type Faults struct {
-	Outage      bool          `json:"outage"`       // every call fails
-	Delay       time.Duration `json:"delay_ns"`     // before every call takes effect
-	LoseAnswer  float64       `json:"lose_answer"`  // ratio of writes that take effect but whose answer is lost
-	StopWatches bool          `json:"stop_watches"` // watches neither return nor fail
+	Outage       bool          `json:"outage"`       // every call fails
+	Delay        time.Duration `json:"delay_ns"`     // before every call takes effect
+	LoseResponse float64       `json:"lose_answer"`  // ratio of writes that take effect but whose response is lost
+	StopWatches  bool          `json:"stop_watches"` // watches neither return nor fail
 }
 
 // Calls counts the calls that the server received, including refused ones.
--- a/internal/standin/store/server_test.go
+++ b/internal/standin/store/server_test.go
@@ -127,10 +127,10 @@
 	s, c := start(t, Config{ReadRate: 2, WriteRate: 2})
 	v := swap(t, c, "a", 0, "")
 
-	s.SetFaults(Faults{LoseAnswer: 1})
+	s.SetFaults(Faults{LoseResponse: 1})
 	var unknown *store.UnknownOutcomeError
 	if _, err := c.CompareAndSwap(ctx, "a", v, []byte("y"), ""); !errors.As(err, &unknown) {
-		t.Fatalf("lost answer: %v", err)
+		t.Fatalf("lost response: %v", err)
 	}
 	s.SetFaults(Faults{Outage: true})
 	var unavailable *store.UnavailableError
@@ -139,7 +139,7 @@
 	}
 	s.SetFaults(Faults{})
 	if got, err := c.Get(ctx, "a"); err != nil || string(got.Data) != "y" {
-		t.Fatalf("after a lost answer: %q, %v", got.Data, err)
+		t.Fatalf("after a lost response: %q, %v", got.Data, err)
 	}
 	s.SetFaults(Faults{StopWatches: true})
 	short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -99,9 +99,9 @@
 	for i := range n {
 		if operator == 0 && i%4 == 0 { // the first operator also sets the store's faults
 			s.SetFaults(standin.Faults{
-				LoseAnswer: float64(rng.IntN(2)) * 0.4,
-				Outage:     rng.IntN(4) == 0,
-				Delay:      time.Duration(rng.IntN(2)) * time.Millisecond,
+				LoseResponse: float64(rng.IntN(2)) * 0.4,
+				Outage:       rng.IntN(4) == 0,
+				Delay:        time.Duration(rng.IntN(2)) * time.Millisecond,
 			})
 		}
 		q := operation{service: fmt.Sprintf("s%d", rng.IntN(3)), read: rng.IntN(3) == 0}
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -88,7 +88,7 @@
 	t.Parallel()
 	f := fleet.Start(t, kanatpar())
 	address := f.SpareAddress(1).String()
-	f.Store.SetFaults(standin.Faults{LoseAnswer: 1})
+	f.Store.SetFaults(standin.Faults{LoseResponse: 1})
 	out, code := ctl(t, f, "apply", "-editor", "ada", "-f", entryFile(t, "stock", "exchange", address, 20))
 	f.Store.SetFaults(standin.Faults{})
 	if code == ctlUnknown {
