--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -39,7 +39,7 @@
 	balancerNet = iota + 1
 	agentNet
 	callerNet
-	wireNet // addresses under which processes reach each other through a wire
+	simulatedNet // addresses of the simulated network
 )
 
 // waitLimit bounds every wait for a condition.
@@ -52,13 +52,13 @@
 	store        *platform.Store
 	journal      *platform.Journal
 	router       *platform.Router
-	wire         *platform.Network // nil: processes reach each other directly
+	simNet       *platform.Network // simulated network; nil: processes reach each other directly
 	balancers    []*vm
 	agents       []*vm
 	revision     uint64
 	routes       map[string]string // service by host
 	unusedRoutes int               // number of routes without traffic
-	wireAddrs    []netip.Addr      // addresses of the wire that are in use
+	simNetAddrs  []netip.Addr      // addresses of simNet that are in use
 	requests     atomic.Uint64
 }
 
@@ -112,18 +112,18 @@
 	return startOn(t, nil, balancers, services...)
 }
 
-// startWired runs a deployment whose processes reach each other through a wire, which can
-// inject network faults.
-func startWired(t testing.TB, seed uint64, balancers int, services ...string) *deployment {
+// startOnSimNet runs a deployment whose processes reach each other through a simulated network,
+// which can inject faults.
+func startOnSimNet(t testing.TB, seed uint64, balancers int, services ...string) *deployment {
 	t.Helper()
 	w := platform.NewNetwork(seed)
 	t.Cleanup(w.Close)
 	return startOn(t, w, balancers, services...)
 }
 
-func startOn(t testing.TB, wire *platform.Network, balancers int, services ...string) *deployment {
+func startOn(t testing.TB, simNet *platform.Network, balancers int, services ...string) *deployment {
 	t.Helper()
-	d := &deployment{wire: wire, t: t, store: platform.NewStore(), journal: platform.NewJournal(), routes: map[string]string{}}
+	d := &deployment{simNet: simNet, t: t, store: platform.NewStore(), journal: platform.NewJournal(), routes: map[string]string{}}
 	t.Cleanup(d.store.Close)
 	var err error
 	if d.net, err = loopback.Reserve(); err != nil {
@@ -142,7 +142,7 @@
 		packets = append(packets, netip.AddrPortFrom(v.addr, packetPort))
 		pages = append(pages, netip.AddrPortFrom(v.addr, readinessPort))
 	}
-	d.addToWire(d.balancers, internalPort)
+	d.addToSimNet(d.balancers, internalPort)
 	for i, s := range services {
 		service, zone, named := strings.Cut(s, "/")
 		v := d.newVM("hemlock-agent", d.net.Addr(agentNet, i), service)
@@ -151,7 +151,7 @@
 		}
 		d.agents = append(d.agents, v)
 	}
-	d.addToWire(d.agents, packetPort)
+	d.addToSimNet(d.agents, packetPort)
 	for _, v := range d.all() {
 		v.startProcess()
 	}
@@ -169,20 +169,20 @@
 	return append(d.balancers[:len(d.balancers):len(d.balancers)], d.agents...)
 }
 
-// addToWire gives VMs an address on the wire, if there is one, and has their store endpoints
-// replace addresses of processes by addresses on the wire.
-func (d *deployment) addToWire(list []*vm, port uint16) {
+// addToSimNet gives VMs an address on the simulated network, if there is one, and has their store
+// endpoints replace the addresses of processes by those on the simulated network.
+func (d *deployment) addToSimNet(list []*vm, port uint16) {
 	d.t.Helper()
-	if d.wire == nil {
+	if d.simNet == nil {
 		return
 	}
 	for _, v := range list {
-		addr := d.net.Addr(wireNet, len(d.wireAddrs))
-		d.wireAddrs = append(d.wireAddrs, addr)
-		if err := d.wire.Add(netip.AddrPortFrom(v.addr, port), addr); err != nil {
+		addr := d.net.Addr(simulatedNet, len(d.simNetAddrs))
+		d.simNetAddrs = append(d.simNetAddrs, addr)
+		if err := d.simNet.Add(netip.AddrPortFrom(v.addr, port), addr); err != nil {
 			d.t.Fatal(err)
 		}
-		v.endpoint.Translate = func(value []byte) []byte { return d.wire.Translate(v.addr, value) }
+		v.endpoint.Translate = func(value []byte) []byte { return d.simNet.Translate(v.addr, value) }
 	}
 }
 
--- a/test/packets/wire_test.go
+++ b/test/packets/network_fault_test.go
@@ -18,16 +18,16 @@
 		both bool
 	}{{"both ways", true}, {"what it sends", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := startWired(t, 1, 3, "listing", "listing", "records")
+			d := startOnSimNet(t, 1, 3, "listing", "listing", "records")
 			d.serve(3, 3, "listing", "records")
 			lost := d.balancers[0].addr
-			d.wire.SetFault(func(from, to netip.Addr) platform.NetworkFault {
+			d.simNet.SetFault(func(from, to netip.Addr) platform.NetworkFault {
 				return platform.NetworkFault{Cut: from == lost || c.both && to == lost}
 			})
 			stop := d.startRequests("listing", "records")
 			d.await("the balancer is out of rotation", func() bool { return d.router.Ready() == 2 })
 			d.serve(3, 3, "listing", "records")
-			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return platform.NetworkFault{} })
+			d.simNet.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return platform.NetworkFault{} })
 			d.await("the balancer is in rotation again", func() bool { return d.router.Ready() == 3 })
 			stop()
 			d.serve(3, 3, "listing", "records")
@@ -69,8 +69,8 @@
 		{"overtaken", platform.NetworkFault{Jitter: 30 * time.Millisecond, Duplicate: 0.1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := startWired(t, 2, 3, "listing", "listing", "records")
-			d.wire.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return c.fault })
+			d := startOnSimNet(t, 2, 3, "listing", "listing", "records")
+			d.simNet.SetFault(func(_, _ netip.Addr) platform.NetworkFault { return c.fault })
 			stop := d.startRequests("listing", "records")
 			for _, b := range d.balancers {
 				b.process.Terminate()
--- a/test/packets/restore_test.go
+++ b/test/packets/restore_test.go
@@ -30,10 +30,10 @@
 	return rewrite
 }
 
-// Guards against configuration changes that take 3.3 s to be in force after the
-// store was restored from an older copy, which reissues revisions. Processes that compare values by
-// revision alone, without the store era, drop each new value as older than theirs, and the watcher
-// reads the store 82 times a second, since it watches from a revision not yet reached again.
+// Guards against configuration changes that take 3.3 s to be in force after the store was restored
+// from an older copy, which reissues revisions. Processes that compare values by revision alone,
+// without the store era, drop each new value as older than theirs, and the watcher reads the store
+// 82 times a second, since it watches from a revision not yet reached again.
 func TestChangesAfterStoreCameBackFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	c := d.store.Backup()
--- a/test/packets/slow_link_test.go
+++ b/test/packets/slow_link_test.go
@@ -17,7 +17,7 @@
 	for _, b := range d.balancers {
 		link := platform.NewLink(bytesPerS)
 		b.endpoint.SetLink(link)
-		d.wire.SetLink(b.addr, link)
+		d.simNet.SetLink(b.addr, link)
 	}
 }
 
@@ -33,9 +33,9 @@
 
 // Guards against a large configuration that never reaches balancers with slow links because its
 // transfer takes longer than a fixed timeout.
-func TestLargeConfigurationReachesBalancersOnThinLinks(t *testing.T) {
+func TestLargeConfigurationReachesBalancersOnSlowLinks(t *testing.T) {
 	const routes, bytesPerS = 5000, 500_000
-	d := startWired(t, 1, 3, "listing", "records")
+	d := startOnSimNet(t, 1, 3, "listing", "records")
 	d.serve(2, 3, "listing", "records")
 	d.limitLinks(bytesPerS)
 	for _, idle := range []int{routes, routes + 1, routes / 2} {
--- a/test/packets/soak_faults_test.go
+++ b/test/packets/soak_faults_test.go
@@ -155,11 +155,11 @@
 	})
 }
 
-// wireFault returns the fault of datagrams from one VM to another.
-func (s *soaker) wireFault(from, to netip.Addr) platform.NetworkFault {
+// networkFault returns the fault of datagrams from one VM to another.
+func (s *soaker) networkFault(from, to netip.Addr) platform.NetworkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for v, f := range s.wireFaults {
+	for v, f := range s.networkFaults {
 		if v.addr == to || f.both && v.addr == from {
 			return f.NetworkFault
 		}
@@ -167,34 +167,34 @@
 	return platform.NetworkFault{}
 }
 
-// degradeWire loses, duplicates, reorders or delays the datagrams to one VM.
-func (s *soaker) degradeWire() {
+// degradeNetwork loses, duplicates, reorders or delays the datagrams to one VM.
+func (s *soaker) degradeNetwork() {
 	f := []platform.NetworkFault{
 		{Loss: 0.1}, {Duplicate: 0.5}, {Jitter: 40 * time.Millisecond}, {Delay: 60 * time.Millisecond, Loss: 0.02},
 	}[s.rng.IntN(4)]
-	s.setWireFault(s.randomDuration(300*time.Millisecond, 2*time.Second), vmWireFault{NetworkFault: f})
+	s.setNetworkFault(s.randomDuration(300*time.Millisecond, 2*time.Second), vmNetworkFault{NetworkFault: f})
 }
 
 // cutOffVM drops all datagrams to a VM, and in one of two cases all datagrams from it.
 func (s *soaker) cutOffVM() {
-	f := vmWireFault{NetworkFault: platform.NetworkFault{Cut: true}, both: s.rng.IntN(2) == 0}
-	s.setWireFault(s.randomDuration(200*time.Millisecond, 2500*time.Millisecond), f)
+	f := vmNetworkFault{NetworkFault: platform.NetworkFault{Cut: true}, both: s.rng.IntN(2) == 0}
+	s.setNetworkFault(s.randomDuration(200*time.Millisecond, 2500*time.Millisecond), f)
 }
 
-// setWireFault applies a fault to a random VM for d, unless that VM has one.
-func (s *soaker) setWireFault(d time.Duration, f vmWireFault) {
+// setNetworkFault applies a fault to a random VM for d, unless that VM has one.
+func (s *soaker) setNetworkFault(d time.Duration, f vmNetworkFault) {
 	v := s.all()[s.rng.IntN(len(s.proxies))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, there := s.wireFaults[v]; there {
+	if _, there := s.networkFaults[v]; there {
 		return
 	}
-	s.wireFaults[v] = f
+	s.networkFaults[v] = f
 	s.wg.Go(func() {
 		time.Sleep(d)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.wireFaults, v)
+		delete(s.networkFaults, v)
 	})
 }
 
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -106,18 +106,18 @@
 // soaker injects faults into a deployment.
 type soaker struct {
 	*deployment
-	kind       soakKind
-	rng        *rand.Rand
-	proxies    map[*vm]*toxiproxy.Proxy // between a VM and the store
-	faulty     map[*vm]bool             // VMs with a fault in progress
-	wireFaults map[*vm]vmWireFault
-	storeCopy  *platform.Backup // earlier copy of the store, nil if there is none
-	mu         sync.Mutex
-	wg         sync.WaitGroup
+	kind          soakKind
+	rng           *rand.Rand
+	proxies       map[*vm]*toxiproxy.Proxy // between a VM and the store
+	faulty        map[*vm]bool             // VMs with a fault in progress
+	networkFaults map[*vm]vmNetworkFault
+	storeCopy     *platform.Backup // earlier copy of the store, nil if there is none
+	mu            sync.Mutex
+	wg            sync.WaitGroup
 }
 
-// vmWireFault is a fault of datagrams to a VM, and of datagrams from it if both is set.
-type vmWireFault struct {
+// vmNetworkFault is a fault of datagrams to a VM, and of datagrams from it if both is set.
+type vmNetworkFault struct {
 	platform.NetworkFault
 	both bool
 }
@@ -130,20 +130,20 @@
 	begin := start
 	if c.kind != directSoak {
 		begin = func(t testing.TB, balancers int, services ...string) *deployment {
-			return startWired(t, c.seed, balancers, services...)
+			return startOnSimNet(t, c.seed, balancers, services...)
 		}
 	}
 	d := begin(t, *soakBalancers, services...)
 	s := &soaker{
 		deployment: d, kind: c.kind, rng: rand.New(rand.NewPCG(c.seed, 1)),
-		proxies: map[*vm]*toxiproxy.Proxy{}, faulty: map[*vm]bool{}, wireFaults: map[*vm]vmWireFault{},
+		proxies: map[*vm]*toxiproxy.Proxy{}, faulty: map[*vm]bool{}, networkFaults: map[*vm]vmNetworkFault{},
 	}
 	if c.kind == thinSoak {
 		d.limitLinks(soakLinkBytesPerS)
 	}
 	s.proxyStore()
-	if d.wire != nil {
-		d.wire.SetFault(s.wireFault)
+	if d.simNet != nil {
+		d.simNet.SetFault(s.networkFault)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -229,7 +229,7 @@
 		s.storeFault, s.linkFault, s.removeKeys, s.changeConfig, s.compact,
 	}
 	if s.kind != directSoak {
-		actions = append(actions, s.faultOneEndpoint, s.degradeWire, s.cutOffVM)
+		actions = append(actions, s.faultOneEndpoint, s.degradeNetwork, s.cutOffVM)
 	}
 	if s.kind == restoredSoak {
 		actions = append(actions, s.restoreStore, s.restoreStore)
