--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -204,6 +204,7 @@
 	return err
 }
 
+// addAdmin adds the goroutine that serves the admin pages.
 func (d *Daemon) addAdmin() {
 	s := &http.Server{Handler: d.Mux, ReadHeaderTimeout: adminHeaderTimeout}
 	d.group.Add(func() error {
@@ -215,6 +216,8 @@
 	}, func(error) { s.Close() })
 }
 
+// addSignals adds the goroutine that waits for a stop signal and then drains p for at most
+// drain.
 func (d *Daemon) addSignals(p Part, drain time.Duration) {
 	signals := d.stops
 	if signals == nil {
@@ -267,6 +270,7 @@
 	}, func(error) { close(done) })
 }
 
+// runReload reads the settings again. If they are invalid, the current ones stay in force.
 func (d *Daemon) runReload(reason string) {
 	if d.reload == nil {
 		d.Log.Info("reload ignored: no setting can be changed while the process runs")
@@ -279,6 +283,7 @@
 	d.Log.Info("reloaded", zap.String("reason", reason))
 }
 
+// cancelOnInterrupt cancels a drain on SIGINT. Further SIGTERMs are ignored.
 func cancelOnInterrupt(ctx context.Context, cancel context.CancelFunc, signals <-chan os.Signal) {
 	for {
 		select {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -237,8 +237,6 @@
 
 // maxFlowDelayAfterDrain is the time after the acknowledgement of draining in which the
 // server may still receive new flows.
-// maxFlowDelayAfterDrain is the time after an acknowledged drain in which first packets that
-// were forwarded before it may still arrive.
 const maxFlowDelayAfterDrain = time.Second
 
 // handlePacket processes a packet. A packet of a flow that the server does not hold is sent
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -66,12 +66,12 @@
 
 // openFeeds opens feeds, so that the agent is likely to hold one and keeps running while it
 // drains. It returns once all feeds have received data.
-func openFeeds(t *testing.T, f *fleet.Fleet, a *fleet.Agent, last time.Duration) *flows {
+func openFeeds(t *testing.T, f *fleet.Fleet, a *fleet.Agent, duration time.Duration) *flows {
 	t.Helper()
 	l := &flows{t: t}
 	for i := range 12 {
 		l.run(f.Caller("listing"), func(ctx context.Context, c *caller.Caller, w *progressTimer) error {
-			_, err := c.Feed(ctx, int(last/feedInterval), feedInterval, uint64(i), func(int) { w.progress() })
+			_, err := c.Feed(ctx, int(duration/feedInterval), feedInterval, uint64(i), func(int) { w.progress() })
 			return err
 		})
 	}
--- a/test/flows_test.go
+++ b/test/flows_test.go
@@ -27,13 +27,13 @@
 	slowest time.Duration
 }
 
-// openFlows starts n feeds of listing and n downloads of records that take about the time last,
-// and returns once each has received data.
-func openFlows(t *testing.T, f *fleet.Fleet, n int, last time.Duration) *flows {
+// openFlows starts n feeds of listing and n downloads of records that take about the given
+// time, and returns once each has received data.
+func openFlows(t *testing.T, f *fleet.Fleet, n int, duration time.Duration) *flows {
 	t.Helper()
 	l := &flows{t: t}
-	events := int(last / feedInterval)
-	size := uint64(last.Seconds() * downloadRate)
+	events := int(duration / feedInterval)
+	size := uint64(duration.Seconds() * downloadRate)
 	for i := range n {
 		l.run(f.Caller("listing"), func(ctx context.Context, c *caller.Caller, w *progressTimer) error {
 			_, err := c.Feed(ctx, events, feedInterval, uint64(i), func(int) { w.progress() })
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -40,9 +40,9 @@
 }
 
 // offerLoad runs callers that send one request after another until the time is over.
-func offerLoad(f *fleet.Fleet, callers int, last time.Duration) *outcomes {
+func offerLoad(f *fleet.Fleet, callers int, duration time.Duration) *outcomes {
 	o := &outcomes{}
-	end := time.Now().Add(last)
+	end := time.Now().Add(duration)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -100,9 +100,9 @@
 	capacity := float64(overloadSlots) / overloadWork.Seconds()
 	t.Logf("capacity of the backend servers %.0f/s", capacity)
 	for _, times := range []float64{0.5, 1, 2, 5, 10} {
-		const last = 5 * time.Second
-		n := offerLoad(f, int(times*overloadSlots), last)
+		const duration = 5 * time.Second
+		n := offerLoad(f, int(times*overloadSlots), duration)
 		t.Logf("callers %4.1f x slots: goodput %4.0f/s refused %5.0f/s lost %d unexpected %d slowest %v",
-			times, float64(n.complete)/last.Seconds(), float64(n.refused)/last.Seconds(), n.lost, n.unexpected, n.slowest)
+			times, float64(n.complete)/duration.Seconds(), float64(n.refused)/duration.Seconds(), n.lost, n.unexpected, n.slowest)
 	}
 }
--- a/test/perf/memory_test.go
+++ b/test/perf/memory_test.go
@@ -51,7 +51,7 @@
 	firstError atomic.Value // error of the first feed that ended early
 }
 
-// nextTransport returns the transport for the nextTransport connection.
+// nextTransport returns the transport for the next connection.
 func (f *flows) nextTransport() (*quic.Transport, error) {
 	if f.open%connsPerSocket == 0 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -80,7 +80,7 @@
 	return g.Wait()
 }
 
-// openFeed opens one openFeed and waits for its first byte.
+// openFeed opens one feed and waits for its first byte.
 func (f *flows) openFeed(t *quic.Transport) error {
 	h := &http3.Transport{
 		// The certificate is verified by other tests; here it would only take time.
--- a/test/schedule_test.go
+++ b/test/schedule_test.go
@@ -84,16 +84,16 @@
 func (s *schedule) round(n int) {
 	s.target = s.rng.IntN(len(s.f.Balancers))
 	b, w := balancerFaults[s.rng.IntN(len(balancerFaults))], packetFaults[s.rng.IntN(len(packetFaults))]
-	last := time.Duration(300+s.rng.IntN(1200)) * time.Millisecond
+	duration := time.Duration(300+s.rng.IntN(1200)) * time.Millisecond
 	times := 1
 	if n%3 == 2 {
 		times = 2
 	}
-	s.t.Logf("round %d: %s of balancer %d, %d times, with %s, %v", n, b.name, s.target, times, w.name, last)
+	s.t.Logf("round %d: %s of balancer %d, %d times, with %s, %v", n, b.name, s.target, times, w.name, duration)
 	w.begin(s)
 	for range times {
 		b.begin(s)
-		pause(last)
+		pause(duration)
 		b.end(s)
 	}
 	w.end(s)
