--- a/cmd/hemlock-demo/load.go
+++ b/cmd/hemlock-demo/load.go
@@ -99,6 +99,8 @@
 	}
 }
 
+// makeCall makes one short request and counts its outcome. If reserve is true, the request
+// is a reservation with id as its idempotency key.
 func (l *load) makeCall(ctx context.Context, c *caller.Caller, s deployment.Service, id string, reserve bool) {
 	start := time.Now()
 	var a *caller.Answer
@@ -159,6 +161,7 @@
 
 const maxErrorTexts = 5
 
+// recordError counts an error of a caller as a broken flow or as a wrong response.
 func (l *load) recordError(service string, err error) {
 	var e *caller.Error
 	broken := !errors.As(err, &e) || e.Kind == caller.BrokenFlow
--- a/cmd/hemlock-lab/placement.go
+++ b/cmd/hemlock-lab/placement.go
@@ -91,6 +91,7 @@
 	j.result = lab.Mean(results)
 }
 
+// run runs the jobs, at most maxParallel at a time, and writes their results.
 func (s *placementSettings) run(out io.Writer) error {
 	jobs, err := s.plan()
 	if err != nil {
@@ -119,6 +120,7 @@
 	return figure.Write(out, s.output, columns, rows)
 }
 
+// plan returns a job for each selected case and policy.
 func (s *placementSettings) plan() ([]job, error) {
 	policies := lab.Policies
 	if len(s.policies) > 0 {
--- a/internal/bulk/bulk.go
+++ b/internal/bulk/bulk.go
@@ -152,6 +152,7 @@
 	}
 }
 
+// serve responds to the one request of a connection.
 func (p *Endpoint) serve(conn *quic.Conn) {
 	stream, err := conn.AcceptStream(conn.Context())
 	if err != nil {
@@ -180,6 +181,7 @@
 	return nil
 }
 
+// exchange sends a request on a new connection and passes the response to read.
 func (p *Endpoint) exchange(ctx context.Context, e *transfer.Exchange, addr netip.AddrPort, request []byte, read func(io.Reader) error) error {
 	conn, err := p.transport.Dial(ctx, net.UDPAddrFromAddrPort(addr), p.tls, quicConfig())
 	if err != nil {
--- a/internal/contact/contact.go
+++ b/internal/contact/contact.go
@@ -65,6 +65,7 @@
 	return r.Result
 }
 
+// call makes one call of the store and returns its result.
 func (c *Client) call(ctx context.Context, call membership.Call, lease store.LeaseID) Result {
 	r := Result{Result: membership.Result{ID: call.ID}}
 	var err error
--- a/internal/flowagent/trace.go
+++ b/internal/flowagent/trace.go
@@ -49,8 +49,8 @@
 }
 
 // State implements flow.GateTracer.
-func (t *tracer) State(_ time.Time, before, after flow.ServerState, why string) {
-	t.log.Info("server", zap.Stringer("before", before), zap.Stringer("state", after), zap.String("reason", why))
+func (t *tracer) State(_ time.Time, before, after flow.ServerState, reason string) {
+	t.log.Info("server", zap.Stringer("before", before), zap.Stringer("state", after), zap.String("reason", reason))
 	if after != flow.ServerReady {
 		return
 	}
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -351,6 +351,8 @@
 	return nil
 }
 
+// ready reports whether every balancer has all agents ready, and requests with idempotency
+// keys can run at every agent.
 func (d *Deployment) ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/platform/caller.go
+++ b/internal/standin/platform/caller.go
@@ -47,6 +47,8 @@
 	r.done.Wait()
 }
 
+// probe requests the readiness page of the i-th balancer until Close, and counts its
+// consecutive failures.
 func (r *Router) probe(i int) {
 	c := http.Client{Timeout: 5 * probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -200,6 +202,8 @@
 	f.c.udp.WriteToUDPAddrPort(h.Encode(), f.c.router.pick(f.src, f.dst))
 }
 
+// wait returns the next packet of the flow for which wanted returns true, and a
+// *NoAnswerError if none arrives within limit.
 func (f *Flow) wait(ctx context.Context, limit time.Duration, wanted func(Header) bool) (Header, error) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
@@ -282,6 +286,7 @@
 	delete(f.c.flows, f.src.Port())
 }
 
+// read passes each packet that arrives to its flow until the caller is closed.
 func (c *Caller) read() {
 	b := make([]byte, 2048)
 	for {
--- a/internal/standin/platform/network.go
+++ b/internal/standin/platform/network.go
@@ -47,20 +47,20 @@
 // Add makes the process that listens at own reachable for the others at public, on
 // the same port.
 func (nw *Network) Add(own netip.AddrPort, public netip.Addr) error {
-	e := &networkPeer{own: own, public: netip.AddrPortFrom(public, own.Port())}
+	p := &networkPeer{own: own, public: netip.AddrPortFrom(public, own.Port())}
 	var err error
-	if e.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.public)); err != nil {
+	if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(p.public)); err != nil {
 		return err
 	}
-	if e.tcp, err = net.Listen("tcp4", e.public.String()); err != nil {
-		e.udp.Close()
+	if p.tcp, err = net.Listen("tcp4", p.public.String()); err != nil {
+		p.udp.Close()
 		return err
 	}
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	nw.peers[own.Addr()] = e
-	nw.done.Go(func() { nw.forwardDatagrams(e) })
-	nw.done.Go(func() { nw.forwardConnections(e) })
+	nw.peers[own.Addr()] = p
+	nw.done.Go(func() { nw.forwardDatagrams(p) })
+	nw.done.Go(func() { nw.forwardConnections(p) })
 	return nil
 }
 
@@ -82,9 +82,9 @@
 // Close stops the network.
 func (nw *Network) Close() {
 	nw.mu.Lock()
-	for _, e := range nw.peers {
-		e.udp.Close()
-		e.tcp.Close()
+	for _, p := range nw.peers {
+		p.udp.Close()
+		p.tcp.Close()
 	}
 	nw.mu.Unlock()
 	nw.done.Wait()
@@ -95,14 +95,15 @@
 func (nw *Network) Translate(reader netip.Addr, value []byte) []byte {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	for addr, e := range nw.peers {
+	for addr, p := range nw.peers {
 		if addr != reader {
-			value = bytes.ReplaceAll(value, []byte(e.own.String()), []byte(e.public.String()))
+			value = bytes.ReplaceAll(value, []byte(p.own.String()), []byte(p.public.String()))
 		}
 	}
 	return value
 }
 
+// forwardDatagrams forwards datagrams to a process, subject to the current faults.
 func (nw *Network) forwardDatagrams(to *networkPeer) {
 	b := make([]byte, 2048)
 	for {
--- a/internal/standin/platform/restore.go
+++ b/internal/standin/platform/restore.go
@@ -24,14 +24,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	c := &Backup{revision: s.revision, oldest: s.oldest, items: maps.Clone(s.items), history: slices.Clone(s.history), leases: map[uint64]lease{}}
+	b := &Backup{revision: s.revision, oldest: s.oldest, items: maps.Clone(s.items), history: slices.Clone(s.history), leases: map[uint64]lease{}}
 	for id, l := range s.leases {
-		c.leases[id] = *l
+		b.leases[id] = *l
 	}
-	return c
+	return b
 }
 
-// Restore restores the store from c. Later writes and leases are lost, and their revisions
+// Restore restores the store from b. Later writes and leases are lost, and their revisions
 // and lease numbers are assigned again. Calls in progress are aborted. Restore returns a
 // function that writes the operator's lost keys again.
 func (s *Store) Restore(b *Backup) (rewrite func()) {
@@ -49,7 +49,7 @@
 	return func() { s.rewrite(b, previous) }
 }
 
-// rewrite sets the operator's keys to their values before the store was restored from c,
+// rewrite sets the operator's keys to their values before the store was restored from b,
 // except keys that the operator has written since.
 func (s *Store) rewrite(b *Backup, previous map[string]item) {
 	s.mu.Lock()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -176,6 +176,8 @@
 	}
 }
 
+// heartbeat sends a heartbeat to the agent. The first accepted one in state draining
+// acknowledges the drain.
 func (s *Server) heartbeat() {
 	s.mu.Lock()
 	s.sequence++
@@ -217,6 +219,7 @@
 	s.udp.WriteToUDPAddrPort(h.Encode(), s.cfg.Outbound)
 }
 
+// read handles the packets that arrive until the server is closed.
 func (s *Server) read() {
 	b := make([]byte, 2048)
 	for {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -113,9 +113,9 @@
 	s.mu.Lock()
 	endpoints := s.endpoints
 	s.mu.Unlock()
-	for _, d := range endpoints {
-		d.http.CloseClientConnections()
-		d.http.Close()
+	for _, e := range endpoints {
+		e.http.CloseClientConnections()
+		e.http.Close()
 	}
 }
 
@@ -266,8 +266,8 @@
 }
 
 func (s *Store) faultOf(r *http.Request) Fault {
-	if d := endpointOf(r); d != nil && d.fault != (Fault{}) {
-		return d.fault
+	if e := endpointOf(r); e != nil && e.fault != (Fault{}) {
+		return e.fault
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -288,6 +288,7 @@
 	return http.StatusOK, i
 }
 
+// list returns a page of the keys with a prefix that sort after a given key.
 func (s *Store) list(r *http.Request) (int, any) {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	const page = 50
@@ -309,8 +310,8 @@
 		s.mu.Lock()
 		i := s.items[key]
 		s.mu.Unlock()
-		if d := endpointOf(r); d != nil && d.Translate != nil {
-			i.Key, i.Value = string(d.Translate([]byte(i.Key))), d.Translate(i.Value)
+		if e := endpointOf(r); e != nil && e.Translate != nil {
+			i.Key, i.Value = string(e.Translate([]byte(i.Key))), e.Translate(i.Value)
 		}
 		items = append(items, i)
 	}
@@ -329,6 +330,8 @@
 	return s.revision
 }
 
+// watch returns the changes of keys with a prefix since a revision. It waits for the first
+// one, at most for the time that the client gives.
 func (s *Store) watch(r *http.Request) (int, any) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -359,6 +362,8 @@
 	}
 }
 
+// eventsSince returns the changes of keys with the prefix after a revision. compacted is true
+// if the history does not reach back to that revision, or the store has not reached it.
 func (s *Store) eventsSince(prefix string, after uint64) (events []item, compacted bool) {
 	if after < s.oldest || after > s.revision {
 		return nil, true
@@ -371,6 +376,8 @@
 	return events, false
 }
 
+// txn writes and removes keys in one transaction, if each expected key has its expected
+// revision.
 func (s *Store) txn(r *http.Request) (int, any) {
 	var t struct {
 		Expected []struct {
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -76,6 +76,8 @@
 	return span
 }
 
+// computeMAC sets f.mac to the CBC-MAC of id, via and kind, which fill two blocks at fixed
+// offsets.
 func (f *FlowHasher) computeMAC(id []byte, via netip.AddrPort, kind byte) {
 	clear(f.in[:])
 	n := copy(f.in[:maxIDLen], id)
