--- a/internal/standin/deployment/trace_test.go
+++ b/internal/standin/deployment/trace_test.go
@@ -24,11 +24,11 @@
 	providers map[Role]*tracing.Provider
 }
 
-func newRecorder(t *testing.T, sample float64) *recorder {
+func newRecorder(t *testing.T, sampleRatio float64) *recorder {
 	r := &recorder{exporters: make(map[Role]*tracetest.InMemoryExporter), providers: make(map[Role]*tracing.Provider)}
 	for _, role := range []Role{RoleCaller, RoleBalancer, RoleAgent, RoleBackend} {
 		e := tracetest.NewInMemoryExporter()
-		p := tracing.New(tracing.Config{SampleRatio: sample, Role: string(role)}, e, prometheus.NewRegistry())
+		p := tracing.New(tracing.Config{SampleRatio: sampleRatio, Role: string(role)}, e, prometheus.NewRegistry())
 		t.Cleanup(func() { p.Close(context.Background()) })
 		r.exporters[role], r.providers[role] = e, p
 	}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -21,12 +21,12 @@
 
 // Fault describes a failure of the store.
 type Fault struct {
-	RefuseStatus int           // status code with which all calls fail, 0 for none
-	Hang         bool          // calls get no response
-	Delay        time.Duration // before a call takes effect
-	LoseAnswers  bool          // writes take effect, but their responses are lost
-	StopWatches  bool          // watches report no changes
-	Stale        time.Duration // age of reads that may be stale
+	RefuseStatus  int           // status code with which all calls fail, 0 for none
+	Hang          bool          // calls get no response
+	Delay         time.Duration // before a call takes effect
+	LoseResponses bool          // writes take effect, but their responses are lost
+	StopWatches   bool          // watches report no changes
+	Stale         time.Duration // age of reads that may be stale
 }
 
 // Store simulates the key-value store.
@@ -186,6 +186,7 @@
 	s.changed = make(chan struct{})
 }
 
+// put sets the value of a key and returns its revision. s.mu must be held.
 func (s *Store) put(key string, value []byte, lease uint64) uint64 {
 	s.revision++
 	i := item{Key: key, Value: value, Revision: s.revision, Created: s.revision, Lease: lease}
@@ -253,7 +254,7 @@
 		}
 		era := s.eraNow()
 		status, response := h(r)
-		if write && f.LoseAnswers || s.eraNow() != era {
+		if write && f.LoseResponses || s.eraNow() != era {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(eraHeader, strconv.FormatUint(era, 10))
@@ -276,6 +277,7 @@
 	return s.fault(a.Addr())
 }
 
+// key returns the item of one key.
 func (s *Store) key(r *http.Request) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/flows_test.go
+++ b/test/flows_test.go
@@ -48,6 +48,7 @@
 	return l
 }
 
+// run starts a flow in the background. A flow that returns an error fails the test.
 func (l *flows) run(c *caller.Caller, flow func(context.Context, *caller.Caller, *progressTimer) error) {
 	w := &progressTimer{started: &l.started}
 	l.wg.Go(func() {
@@ -83,6 +84,7 @@
 	longest time.Duration
 }
 
+// progress records that the flow has received data.
 func (p *progressTimer) progress() {
 	now := time.Now()
 	if p.last.IsZero() {
--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -116,11 +116,13 @@
 // which can inject faults.
 func startOnSimNet(t testing.TB, seed uint64, balancers int, services ...string) *deployment {
 	t.Helper()
-	w := platform.NewNetwork(seed)
-	t.Cleanup(w.Close)
-	return startOn(t, w, balancers, services...)
+	simNet := platform.NewNetwork(seed)
+	t.Cleanup(simNet.Close)
+	return startOn(t, simNet, balancers, services...)
 }
 
+// startOn runs a deployment on a simulated network or, if simNet is nil, without one. A service
+// may be followed by a slash and the zone of its agent.
 func startOn(t testing.TB, simNet *platform.Network, balancers int, services ...string) *deployment {
 	t.Helper()
 	d := &deployment{simNet: simNet, t: t, store: platform.NewStore(), journal: platform.NewJournal(), routes: map[string]string{}}
@@ -262,6 +264,7 @@
 	d.store.Put("op/config", data)
 }
 
+// await waits until ok returns true, and fails the test after waitLimit.
 func (d *deployment) await(what string, ok func() bool) {
 	d.t.Helper()
 	end := time.Now().Add(waitLimit)
@@ -273,6 +276,7 @@
 	}
 }
 
+// caller returns a new caller at the i-th address for callers.
 func (d *deployment) caller(i int) *platform.Caller {
 	d.t.Helper()
 	c, err := platform.NewCaller(netip.AddrPortFrom(d.net.Addr(callerNet, i), packetPort), d.router, d.journal)
--- a/test/packets/operator_test.go
+++ b/test/packets/operator_test.go
@@ -15,7 +15,7 @@
 
 const adminPort = 9102
 
-// admin is the address of a VM's admin pages.
+// admin returns the address of a VM's admin pages.
 func (v *vm) admin() string { return fmt.Sprintf("%s:%d", v.addr, adminPort) }
 
 // writeLogs writes the log of each process to a file and returns the file names.
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -173,7 +173,7 @@
 	}{
 		{"busy", platform.Fault{RefuseStatus: http.StatusServiceUnavailable}},
 		{"silent", platform.Fault{Hang: true}},
-		{"answers lost", platform.Fault{LoseAnswers: true}},
+		{"answers lost", platform.Fault{LoseResponses: true}},
 		{"slow", platform.Fault{Delay: 400 * time.Millisecond}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/test/packets/slow_link_test.go
+++ b/test/packets/slow_link_test.go
@@ -22,7 +22,7 @@
 }
 
 // awaitInForce waits until the latest configuration is in force at all balancers, and
-// returns how long that took.
+// returns the time since begun.
 func (d *deployment) awaitInForce(begun time.Time) time.Duration {
 	d.t.Helper()
 	for _, b := range d.balancers {
--- a/test/packets/soak_faults_test.go
+++ b/test/packets/soak_faults_test.go
@@ -44,6 +44,8 @@
 	})
 }
 
+// restartBalancer stops a balancer with two SIGTERMs, of which it must ignore the second, and
+// starts it again.
 func (s *soaker) restartBalancer() {
 	s.runFault(s.balancers, func(v *vm) {
 		v.process.Terminate()
@@ -121,6 +123,7 @@
 	})
 }
 
+// count returns the number of agents of a service.
 func (s *soaker) count(service string) (n int) {
 	for _, v := range s.agents {
 		if v.service == service {
@@ -130,9 +133,10 @@
 	return n
 }
 
+// storeFault injects a store fault that applies to all processes.
 func (s *soaker) storeFault() {
 	f := []platform.Fault{
-		{RefuseStatus: http.StatusServiceUnavailable}, {RefuseStatus: http.StatusTooManyRequests}, {Hang: true}, {LoseAnswers: true}, {StopWatches: true},
+		{RefuseStatus: http.StatusServiceUnavailable}, {RefuseStatus: http.StatusTooManyRequests}, {Hang: true}, {LoseResponses: true}, {StopWatches: true},
 		{Delay: 300 * time.Millisecond},
 	}[s.rng.IntN(6)]
 	d := s.randomDuration(200*time.Millisecond, 2*time.Second)
@@ -186,7 +190,7 @@
 	v := s.all()[s.rng.IntN(len(s.proxies))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, there := s.networkFaults[v]; there {
+	if _, ok := s.networkFaults[v]; ok {
 		return
 	}
 	s.networkFaults[v] = f
@@ -233,34 +237,35 @@
 // restores it from that copy. The operator then rewrites its keys, after a delay in which
 // processes may start.
 func (s *soaker) restoreStore() {
-	away, rewriteAfter := s.randomDuration(50*time.Millisecond, time.Second), s.randomDuration(0, 3*time.Second)
+	outage, rewriteAfter := s.randomDuration(50*time.Millisecond, time.Second), s.randomDuration(0, 3*time.Second)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.storeCopy
-	if c == nil {
+	backup := s.storeCopy
+	if backup == nil {
 		s.storeCopy = s.store.Backup()
 		return
 	}
 	s.storeCopy = nil
 	s.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{RefuseStatus: http.StatusServiceUnavailable} })
 	s.wg.Go(func() {
-		time.Sleep(away)
-		rewrite := s.store.Restore(c)
+		time.Sleep(outage)
+		rewrite := s.store.Restore(backup)
 		s.store.SetFault(func(netip.Addr) platform.Fault { return platform.Fault{} })
 		time.Sleep(rewriteAfter)
 		rewrite()
 	})
 }
 
-func (s *soaker) removeKeys() { s.store.Remove("hemlock/nodes/") }
+// removeProcessKeys removes the keys of all processes from the store.
+func (s *soaker) removeProcessKeys() { s.store.Remove("hemlock/nodes/") }
 
-func (s *soaker) compact() { s.store.Compact() }
+func (s *soaker) compactHistory() { s.store.Compact() }
 
 // changeConfig adds or removes a route that no caller uses.
 func (s *soaker) changeConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, there := s.routes["198.18.9.9"]; there {
+	if _, ok := s.routes["198.18.9.9"]; ok {
 		delete(s.routes, "198.18.9.9")
 	} else {
 		s.routes["198.18.9.9"] = "listing"
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// parseSeeds parses a range of seeds or a single one. 0 stands for a random seed.
 func parseSeeds(t *testing.T, s string) []uint64 {
 	var first, last uint64
 	if _, err := fmt.Sscanf(s, "%d-%d", &first, &last); err != nil {
@@ -122,6 +123,7 @@
 	both bool
 }
 
+// soak runs one case of TestSoak.
 func soak(t *testing.T, c soakCase) {
 	services := make([]string, *soakAgents)
 	for i := range services {
@@ -226,7 +228,7 @@
 	actions := []func(){
 		s.killBalancer, s.restartBalancer, s.freezeBalancer, s.sendHangup,
 		s.killAgent, s.freezeAgent, s.crashServer, s.replaceServer,
-		s.storeFault, s.linkFault, s.removeKeys, s.changeConfig, s.compact,
+		s.storeFault, s.linkFault, s.removeProcessKeys, s.changeConfig, s.compactHistory,
 	}
 	if s.kind != directSoak {
 		actions = append(actions, s.faultOneEndpoint, s.degradeNetwork, s.cutOffVM)
--- a/test/perf/footprint_test.go
+++ b/test/perf/footprint_test.go
@@ -40,6 +40,8 @@
 
 func zoneOf(n int) string { return "zone-" + strconv.Itoa(n%targetZones) }
 
+// record returns the n-th record of the member list at the target size: first the balancers,
+// then the agents.
 func record(n int) membership.Record {
 	r := membership.Record{
 		Addr: netip.AddrPortFrom(addr4(10, n), 7700), State: membership.StateReady, Weight: placement.FullWeight,
@@ -108,6 +110,7 @@
 	}
 }
 
+// residentBytes returns the resident memory of this process.
 func residentBytes(b *testing.B) float64 {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
--- a/test/perf/memory_test.go
+++ b/test/perf/memory_test.go
@@ -154,7 +154,7 @@
 	b.Helper()
 	<-time.After(settleTime)
 	connections, _ := fleet.Metric(agent, "hemlock_agent_connections")
-	agentBytes, balancerBytes = resident(b, agent), resident(b, balancer)
+	agentBytes, balancerBytes = residentBytesOf(b, agent), residentBytesOf(b, balancer)
 	heap, _ := fleet.Metric(agent, "go_memstats_heap_inuse_bytes")
 	stacks, _ := fleet.Metric(agent, "go_memstats_stack_inuse_bytes")
 	goroutines, _ := fleet.Metric(agent, "go_goroutines")
@@ -164,7 +164,8 @@
 	return agentBytes, balancerBytes
 }
 
-func resident(b *testing.B, admin string) float64 {
+// residentBytesOf returns the resident memory of the process with the given admin address.
+func residentBytesOf(b *testing.B, admin string) float64 {
 	b.Helper()
 	v, ok := fleet.Metric(admin, "process_resident_memory_bytes")
 	if !ok {
