--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -176,6 +176,8 @@
 	}
 }
 
+// heartbeat sends a heartbeat to the agent. The first accepted one in state draining
+// acknowledges the drain.
 func (s *Server) heartbeat() {
 	s.mu.Lock()
 	s.sequence++
@@ -217,6 +219,7 @@
 	s.udp.WriteToUDPAddrPort(h.Encode(), s.cfg.Outbound)
 }
 
+// read handles the packets that arrive until the server is closed.
 func (s *Server) read() {
 	b := make([]byte, 2048)
 	for {
@@ -237,8 +240,6 @@
 
 // maxFlowDelayAfterDrain is the time after the acknowledgement of draining in which the
 // server may still receive new flows.
-// maxFlowDelayAfterDrain is the time after an acknowledged drain in which first packets that
-// were forwarded before it may still arrive.
 const maxFlowDelayAfterDrain = time.Second
 
 // handlePacket processes a packet. A packet of a flow that the server does not hold is sent
--- a/test/perf/memory_test.go
+++ b/test/perf/memory_test.go
@@ -51,7 +51,7 @@
 	firstError atomic.Value // error of the first feed that ended early
 }
 
-// nextTransport returns the transport for the nextTransport connection.
+// nextTransport returns the transport for the next connection.
 func (f *flows) nextTransport() (*quic.Transport, error) {
 	if f.open%connsPerSocket == 0 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -80,7 +80,7 @@
 	return g.Wait()
 }
 
-// openFeed opens one openFeed and waits for its first byte.
+// openFeed opens one feed and waits for its first byte.
 func (f *flows) openFeed(t *quic.Transport) error {
 	h := &http3.Transport{
 		// The certificate is verified by other tests; here it would only take time.
@@ -154,7 +154,7 @@
 	b.Helper()
 	<-time.After(settleTime)
 	connections, _ := fleet.Metric(agent, "hemlock_agent_connections")
-	agentBytes, balancerBytes = resident(b, agent), resident(b, balancer)
+	agentBytes, balancerBytes = residentBytesOf(b, agent), residentBytesOf(b, balancer)
 	heap, _ := fleet.Metric(agent, "go_memstats_heap_inuse_bytes")
 	stacks, _ := fleet.Metric(agent, "go_memstats_stack_inuse_bytes")
 	goroutines, _ := fleet.Metric(agent, "go_goroutines")
@@ -164,7 +164,8 @@
 	return agentBytes, balancerBytes
 }
 
-func resident(b *testing.B, admin string) float64 {
+// residentBytesOf returns the resident memory of the process with the given admin address.
+func residentBytesOf(b *testing.B, admin string) float64 {
 	b.Helper()
 	v, ok := fleet.Metric(admin, "process_resident_memory_bytes")
 	if !ok {
