--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,10 +8,10 @@
 	lim    limiter
 	bucket bucket
 
-	flights map[uint64]*flight // by request ID
+	tracked map[uint64]*trackedRequest // by request ID
 	owners  map[string]*owner
-	queues  []*owner // owners with waiting requests
-	free    *flight  // unused flights, linked by next
+	queues  []*owner        // owners with waiting requests
+	free    *trackedRequest // unused records, linked by next
 	effects []Effect
 
 	queued  int // waiting requests
@@ -35,7 +35,7 @@
 // New returns a Controller. The cold-start ramp, if any, begins at now.
 func New(now time.Time, cfg Config) *Controller {
 	c := &Controller{
-		flights: make(map[uint64]*flight),
+		tracked: make(map[uint64]*trackedRequest),
 		owners:  make(map[string]*owner),
 	}
 	c.Configure(now, cfg)
@@ -89,7 +89,7 @@
 
 // firstWaiting returns the first waiting request of o, short ones before long
 // ones.
-func firstWaiting(o *owner) *flight {
+func firstWaiting(o *owner) *trackedRequest {
 	if f := o.waiting[0].head; f != nil {
 		return f
 	}
@@ -104,7 +104,7 @@
 		o.markIdle(now)
 		return Decision{Verdict: Refused, Refusal: c.refusal(now, reason, wait)}
 	}
-	f := c.newFlight(r, o, isLong)
+	f := c.newTrackedRequest(r, o, isLong)
 	if c.queued == 0 && c.startable(now, o, isLong) {
 		if c.missesDeadline(now, f, 0) {
 			return c.refuseNew(now, f, ReasonDeadline)
@@ -125,7 +125,7 @@
 	if c.noBackend {
 		return ReasonNoBackend, 0
 	}
-	if _, taken := c.flights[r.ID]; taken {
+	if _, taken := c.tracked[r.ID]; taken {
 		return ReasonDuplicate, 0
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
@@ -146,7 +146,7 @@
 // Opened releases the slot of a long flow once the header of its answer has
 // arrived. For a short request it does nothing.
 func (c *Controller) Opened(now time.Time, id uint64) {
-	f := c.flights[id]
+	f := c.tracked[id]
 	if f == nil || !f.long || f.state != running {
 		return
 	}
@@ -157,7 +157,7 @@
 
 // Done records the end of an admitted request. An unknown ID is ignored.
 func (c *Controller) Done(now time.Time, id uint64, r Result) {
-	f := c.flights[id]
+	f := c.tracked[id]
 	if f == nil || f.state == waiting {
 		return
 	}
@@ -181,7 +181,7 @@
 // slot until Done, because the backend server may still be processing it. Cancel
 // reports whether the request was waiting and therefore was not run.
 func (c *Controller) Cancel(now time.Time, id uint64) bool {
-	f := c.flights[id]
+	f := c.tracked[id]
 	if f == nil || f.state != waiting {
 		return false
 	}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -95,7 +95,7 @@
 	want(t, c.Offer(now, r), Admitted, 0)
 }
 
-func TestOwnerOverItsShareIsEvicted(t *testing.T) {
+func TestWaitingRequestOfOwnerOverItsShareIsEvicted(t *testing.T) {
 	c := New(t0, Config{Slots: 1, Queue: 4})
 	for id := uint64(1); id <= 5; id++ {
 		c.Offer(t0, request(id, "greedy"))
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestRefusalNamesRemedy(t *testing.T) {
+func TestRefusalIsErrorWithRetryAfter(t *testing.T) {
 	var err error = Refusal{Reason: ReasonDraining, RetryAfter: 1500 * time.Millisecond}
 	var r Refusal
 	if !errors.As(err, &r) || r.Seconds() != 2 || err.Error() == "" {
--- a/admission/lab/experiment.go
+++ b/admission/lab/experiment.go
@@ -18,11 +18,11 @@
 		Summary: "share of each owner's callers served in time, one owner at 10 times its quarter"},
 	{Name: "slow-phase", Run: checked(slowPhase),
 		Summary: "goodput before, during and after a phase in which the backend server runs at a fifth of its speed"},
-	{Name: "thrash", Run: checked(thrash),
+	{Name: "thrash", Run: checked(overloadSlowdown),
 		Summary: "goodput of a backend server with a capacity of 3/5 of its slots that loses speed beyond"},
 	{Name: "shedding", Run: checked(shedding),
 		Summary: "goodput of a backend server that answers 503 above 3/5 of its slots"},
-	{Name: "returns", Run: checked(returns),
+	{Name: "returns", Run: checked(retryBurst),
 		Summary: "how closely together 500 refused callers retry"},
 	{Name: "long-flows", Run: checked(longFlows),
 		Summary: "short requests beside feeds that stay open"},
@@ -116,9 +116,10 @@
 // weakCapacity is the capacity of a weak backend server as a share of its slots.
 const weakCapacity = 3.0 / 5
 
-// thrash runs for four times Config.Duration, at least 80 s, because the
+// overloadSlowdown replays a backend server that loses speed with each request above its
+// capacity. It runs for four times Config.Duration, at least 80 s, because the
 // controller needs time to find the best number of concurrent requests.
-func thrash(c Config) (list []figure.Figure) {
+func overloadSlowdown(c Config) (list []figure.Figure) {
 	long := max(4*c.Duration, 80*time.Second)
 	for _, loss := range []float64{0, 0.3, 1} {
 		for _, p := range c.selected(Controller, BoundedFIFO) {
@@ -158,11 +159,12 @@
 	return list
 }
 
-// burstCallers is the number of callers that arrive at once in the returns
-// experiment.
+// burstCallers is the number of callers that arrive at once in retryBurst.
 const burstCallers = 500
 
-func returns(c Config) (list []figure.Figure) {
+// retryBurst replays burstCallers callers that arrive at once beside a usual load, and
+// retry when refused.
+func retryBurst(c Config) (list []figure.Figure) {
 	const long = 20 * time.Second
 	for _, p := range c.selected(Controller, BoundedFIFO) {
 		m := c.model(p)
--- a/admission/owner.go
+++ b/admission/owner.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// flightState is the state of a request.
-type flightState uint8
+// trackedState is the state of a request.
+type trackedState uint8
 
 const (
-	waiting flightState = iota
-	running             // holds a slot
-	opened              // a long flow whose header has arrived; holds no slot
+	waiting trackedState = iota
+	running              // holds a slot
+	opened               // a long flow whose header has arrived; holds no slot
 )
 
-// flight is a request that is waiting or in progress. Waiting flights form a
-// list.
-type flight struct {
+// trackedRequest is a request that is waiting or in progress. Waiting requests
+// form a list.
+type trackedRequest struct {
 	req        Request
 	owner      *owner
 	long       bool
-	state      flightState
+	state      trackedState
 	started    time.Time
 	charged    time.Duration // slot time charged to the owner at the start
-	prev, next *flight
+	prev, next *trackedRequest
 }
 
-// queue is a linked list of waiting flights in order of arrival.
+// queue is a linked list of waiting requests in order of arrival.
 type queue struct {
-	head, tail *flight
+	head, tail *trackedRequest
 	n          int
 }
 
-func (q *queue) push(f *flight) {
+func (q *queue) push(f *trackedRequest) {
 	f.prev, f.next = q.tail, nil
 	if q.tail == nil {
 		q.head = f
@@ -40,7 +40,7 @@
 	q.n++
 }
 
-func (q *queue) remove(f *flight) {
+func (q *queue) remove(f *trackedRequest) {
 	if f.prev == nil {
 		q.head = f.next
 	} else {
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -163,7 +163,7 @@
 		k.offer()
 		for range 10_000 {
 			if len(k.waiting)+len(k.running)+len(k.open) == 0 {
-				if n := len(k.c.flights); n > 0 {
+				if n := len(k.c.tracked); n > 0 {
 					t.Fatalf("%d finished requests are still tracked", n)
 				}
 				return
--- a/admission/schedule.go
+++ b/admission/schedule.go
@@ -30,22 +30,22 @@
 	return o
 }
 
-func (c *Controller) newFlight(r Request, o *owner, isLong bool) *flight {
+func (c *Controller) newTrackedRequest(r Request, o *owner, isLong bool) *trackedRequest {
 	f := c.free
 	if f == nil {
-		f = new(flight)
+		f = new(trackedRequest)
 	} else {
 		c.free = f.next
 	}
-	*f = flight{req: r, owner: o, long: isLong}
+	*f = trackedRequest{req: r, owner: o, long: isLong}
 	return f
 }
 
 // untrack removes f, which neither waits nor holds a slot.
-func (c *Controller) untrack(now time.Time, f *flight) {
-	delete(c.flights, f.req.ID)
+func (c *Controller) untrack(now time.Time, f *trackedRequest) {
+	delete(c.tracked, f.req.ID)
 	o := f.owner
-	*f = flight{next: c.free}
+	*f = trackedRequest{next: c.free}
 	c.free = f
 	o.markIdle(now)
 }
@@ -67,9 +67,11 @@
 	}
 }
 
-// mayAddLongFlow reports whether o may have one more long flow. Waiting long
-// flows are counted as well, so that a queued flow only waits for a slot and
-// never for the end of another long flow, which can't be predicted.
+// mayAddLongFlow reports whether o may have one more long flow: it has fewer
+// than its own limit, if it has one, and fewer than shareFactor times the
+// number that is still free. Waiting long flows are counted as well, so that a
+// queued flow only waits for a slot and never for the end of another long flow,
+// which can't be predicted.
 func (c *Controller) mayAddLongFlow(o *owner) bool {
 	own := o.long + o.waiting[1].n
 	if o.limits.LongFlows > 0 && own >= o.limits.LongFlows {
@@ -98,7 +100,7 @@
 }
 
 // start assigns a slot to f and charges its owner the expected slot time.
-func (c *Controller) start(now time.Time, f *flight) {
+func (c *Controller) start(now time.Time, f *trackedRequest) {
 	o := f.owner
 	f.state = running
 	f.started = now
@@ -113,12 +115,12 @@
 		c.long++
 		c.opening++
 	}
-	c.flights[f.req.ID] = f
+	c.tracked[f.req.ID] = f
 }
 
 // release frees the slot of f and updates the estimates and the limit by the
 // outcome and the time for which the slot was held.
-func (c *Controller) release(now time.Time, f *flight, outcome Outcome) {
+func (c *Controller) release(now time.Time, f *trackedRequest, outcome Outcome) {
 	o := f.owner
 	slotTime := now.Sub(f.started)
 	busy := c.slots >= c.lim.limit(now)
@@ -183,8 +185,8 @@
 
 // pick returns the request to start next, or nil: among the owners with a
 // request that may start, that of the owner with the lowest virtual time.
-func (c *Controller) pick(now time.Time) *flight {
-	var best *flight
+func (c *Controller) pick(now time.Time) *trackedRequest {
+	var best *trackedRequest
 	for _, o := range c.queues {
 		if best != nil && o.vtime >= best.owner.vtime {
 			continue
@@ -198,7 +200,7 @@
 
 // candidate returns the first waiting request of o that may start now, or nil.
 // Short requests come before long flows.
-func (c *Controller) candidate(now time.Time, o *owner) *flight {
+func (c *Controller) candidate(now time.Time, o *owner) *trackedRequest {
 	for k := range o.waiting {
 		f := o.waiting[k].head
 		if f != nil && c.startable(now, o, f.long) {
--- a/admission/waiting.go
+++ b/admission/waiting.go
@@ -7,7 +7,7 @@
 
 // enqueue queues f, or refuses it if it can't meet its deadline or the queue is
 // full.
-func (c *Controller) enqueue(now time.Time, f *flight) Decision {
+func (c *Controller) enqueue(now time.Time, f *trackedRequest) Decision {
 	o := f.owner
 	ahead := c.countAhead(o, o.queued())
 	if c.missesDeadline(now, f, ahead+1) {
@@ -23,7 +23,7 @@
 	o.waiting[classIndex(f.long)].push(f)
 	c.queued++
 	c.longWaiting += classIndex(f.long)
-	c.flights[f.req.ID] = f
+	c.tracked[f.req.ID] = f
 	n := len(c.effects)
 	c.dispatch(now)
 	return c.offerDecision(f, n)
@@ -32,7 +32,7 @@
 // offerDecision returns the result of Offer for f after it was queued. If one of
 // the effects from index n on starts f, that effect is removed and f is
 // admitted.
-func (c *Controller) offerDecision(f *flight, n int) Decision {
+func (c *Controller) offerDecision(f *trackedRequest, n int) Decision {
 	for i := n; i < len(c.effects); i++ {
 		if e := c.effects[i]; e.ID == f.req.ID && e.Kind == Start {
 			c.effects = slices.Delete(c.effects, i, i+1)
@@ -53,7 +53,7 @@
 }
 
 // refuseNew refuses f, which is not queued, and removes it.
-func (c *Controller) refuseNew(now time.Time, f *flight, reason Reason) Decision {
+func (c *Controller) refuseNew(now time.Time, f *trackedRequest, reason Reason) Decision {
 	r := c.refusal(now, reason, 0)
 	c.untrack(now, f)
 	return Decision{Verdict: Refused, Refusal: r}
@@ -84,7 +84,7 @@
 
 // newest returns the last waiting request of o, from the longer of its two
 // queues.
-func (o *owner) newest() *flight {
+func (o *owner) newest() *trackedRequest {
 	if o.waiting[1].n > o.waiting[0].n {
 		return o.waiting[1].tail
 	}
@@ -92,7 +92,7 @@
 }
 
 // unqueue removes f from its owner's queue.
-func (c *Controller) unqueue(f *flight) {
+func (c *Controller) unqueue(f *trackedRequest) {
 	o := f.owner
 	o.waiting[classIndex(f.long)].remove(f)
 	c.queued--
@@ -105,7 +105,7 @@
 }
 
 // refuseWaiting refuses a waiting request by an effect.
-func (c *Controller) refuseWaiting(now time.Time, f *flight, reason Reason) {
+func (c *Controller) refuseWaiting(now time.Time, f *trackedRequest, reason Reason) {
 	id := f.req.ID
 	c.unqueue(f)
 	c.untrack(now, f)
@@ -129,7 +129,7 @@
 // position-th slot to become free. On an idle backend server the estimated
 // service time is ignored: a stale estimate from a slow phase would otherwise
 // refuse every request and would never be corrected by an answer.
-func (c *Controller) missesDeadline(now time.Time, f *flight, position int) bool {
+func (c *Controller) missesDeadline(now time.Time, f *trackedRequest, position int) bool {
 	if f.req.Deadline.IsZero() {
 		return false
 	}
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -18,7 +18,7 @@
 // Config holds the bounds that all processes of a service must share. A zero
 // field means its default.
 type Config struct {
-	Window    time.Duration // a key runs at most once within it; default DefaultWindow
+	Window    time.Duration // a request runs at most once for a key within it; default DefaultWindow
 	Expiry    time.Duration // from the request for votes to the first byte; default DefaultExpiry
 	Skew      time.Duration // until each requester knows of a change of the member list; default DefaultSkew
 	Freshness time.Duration // a member list not confirmed for longer isn't used; default DefaultFreshness
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -40,8 +40,8 @@
 	wantVote(t, voter.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), Granted)
 }
 
-// Guards against a key that runs twice after two restarts: a voter accepts a
-// handover, votes and crashes, and the next process at its address gets the same
+// Guards against a request that runs twice for a key after two restarts: a voter accepts
+// a handover, votes and crashes, and the next process at its address gets the same
 // handover, which lacks those votes.
 func TestHandoverGoesToOneProcess(t *testing.T) {
 	cfg := testConfig()
--- a/idempotency/message.go
+++ b/idempotency/message.go
@@ -26,7 +26,7 @@
 	return Key(sum[:KeyLen])
 }
 
-// ClaimID identifies one attempt to run a key and is never reused.
+// ClaimID identifies one attempt to run a request with a key and is never reused.
 type ClaimID struct {
 	Agent       netip.AddrPort `cbor:"1,keyasint"`
 	Incarnation uint64         `cbor:"2,keyasint"` // of the agent's process; never reused
@@ -64,7 +64,7 @@
 // ran reports whether a claim in state s is known to have started.
 func (s State) ran() bool { return s == Running || s == Done || s == Lost }
 
-// Claim asks a voter for its vote. All messages encode to less than 200 bytes.
+// Claim asks a voter for its vote. All messages encode to at most 200 bytes.
 type Claim struct {
 	Key Key     `cbor:"1,keyasint"`
 	ID  ClaimID `cbor:"2,keyasint"`
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -55,7 +55,7 @@
 		recent := earlier != nil && s.now.Sub(earlier.ranAt) < s.cfg.Window
 		switch {
 		case c.result == Run && recent:
-			t.Fatalf("key run again after %v", s.now.Sub(earlier.ranAt))
+			t.Fatalf("a request runs again for the key after %v", s.now.Sub(earlier.ranAt))
 		case c.result == NotRun && recent:
 			t.Fatalf("answered not run, but it ran %v ago", s.now.Sub(earlier.ranAt))
 		case c.result == Duplicate && c.state.ran() && earlier == nil:
@@ -64,9 +64,10 @@
 	}
 }
 
-// Guards against a key that two agents run within its window, while callers repeat
-// requests at any agent, datagrams are lost, duplicated, delayed and reordered, and
-// agents crash, pause, join, leave, suspect each other and are partitioned.
+// Guards against two agents that both run a request for one key within its window,
+// while callers repeat requests at any agent, datagrams are lost, duplicated, delayed
+// and reordered, and agents crash, pause, join, leave, suspect each other and are
+// partitioned.
 func TestNoKeyRunsTwiceWithinItsWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
@@ -91,11 +92,11 @@
 		sim.check = sim.checkAnswers(t)
 		i, next := 0, 0
 		sim.run(time.Duration(2*n+8)*time.Second, func() {
-			if sim.step()%100 == 0 && next < n {
+			if sim.stepNumber()%100 == 0 && next < n {
 				sim.restart(sim.processes[next], time.Second)
 				next++
 			}
-			if p := sim.processes[(next+1)%n]; i < 50 && sim.step()%10 == 0 && p.up {
+			if p := sim.processes[(next+1)%n]; i < 50 && sim.stepNumber()%10 == 0 && p.up {
 				sim.begin((next+1)%n, key(i))
 				i++
 			}
@@ -154,7 +155,7 @@
 	})
 }
 
-// Guards against a key that doesn't run although there are no faults.
+// Guards against a key for which no request runs although there are no faults.
 func TestEveryKeyRunsWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "agents")
@@ -183,7 +184,7 @@
 		sim.crash(sim.processes[0], time.Second)
 		i := 0
 		sim.run(8*time.Second, func() {
-			if i < 50 && sim.step()%5 == 0 {
+			if i < 50 && sim.stepNumber()%5 == 0 {
 				sim.begin(1+sim.rng.IntN(n-1), key(i))
 				i++
 			}
--- a/idempotency/simulation_test.go
+++ b/idempotency/simulation_test.go
@@ -209,23 +209,23 @@
 		if from != d.to && (s.rng.Float64() < s.f.loss || s.processes[from].group != s.processes[d.to].group) {
 			continue
 		}
-		at := s.step() + 1 + int64(s.rng.Float64()*float64(s.f.delay/step))
+		at := s.stepNumber() + 1 + int64(s.rng.Float64()*float64(s.f.delay/step))
 		s.net[at] = append(s.net[at], d)
 	}
 }
 
-func (s *simulation) step() int64 { return int64(s.now.Sub(t0) / step) }
+func (s *simulation) stepNumber() int64 { return int64(s.now.Sub(t0) / step) }
 
 func (s *simulation) deliver() {
-	due := s.net[s.step()]
-	delete(s.net, s.step())
+	due := s.net[s.stepNumber()]
+	delete(s.net, s.stepNumber())
 	for _, d := range due {
 		p := s.processes[d.to]
 		if !p.up {
 			continue
 		}
 		if p.pausedUntil.After(s.now) {
-			s.net[s.step()+1] = append(s.net[s.step()+1], d)
+			s.net[s.stepNumber()+1] = append(s.net[s.stepNumber()+1], d)
 			continue
 		}
 		now := s.clock(p)
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -82,7 +82,7 @@
 	return max(0, v.fencedUntil.Sub(now))
 }
 
-// Claim returns the vote on a claim.
+// Claim votes on c, records a granted vote, and returns the vote.
 func (v *Voter) Claim(now time.Time, c Claim) Vote {
 	vote := Vote{Key: c.Key, ID: c.ID}
 	r, known := v.records[c.Key]
@@ -170,7 +170,7 @@
 }
 
 // full reports whether there is no capacity for another key. A voter never removes
-// a key early: the key could run twice without being noticed.
+// a key early: a request could run twice for the key without being noticed.
 func (v *Voter) full(now time.Time) bool {
 	if len(v.records) < v.cfg.MaxKeys {
 		return false
@@ -179,7 +179,8 @@
 	return len(v.records) >= v.cfg.MaxKeys
 }
 
-// capacityIn is the time until the oldest key is due to be removed.
+// capacityIn returns the time until the next key is due to be removed, at least one
+// second.
 func (v *Voter) capacityIn(now time.Time) time.Duration {
 	return max(time.Second, v.expiry[v.nextExpiry].at.Sub(now))
 }
--- a/idempotency/voter_test.go
+++ b/idempotency/voter_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against a key that runs twice because its vote is removed one window
-// after it was granted: the first byte may be sent an Expiry later, and a repeat a
-// little less than a window after that must still be answered Held.
+// Guards against a request that runs twice for a key because the key's vote is removed
+// one window after it was granted: the first byte may be sent an Expiry later, and a
+// repeat a little less than a window after that must still be answered Held.
 func TestVoteOutlastsWindowAfterLateStart(t *testing.T) {
 	cfg := testConfig()
 	voter, now := newVotingVoter(cfg)
@@ -76,7 +76,7 @@
 	wantVote(t, voter.Claim(now, claim(1)), Granted)
 }
 
-// Guards against a key that is blocked for its window although no request runs it: a
+// Guards against a key that is blocked for its window although no request runs for it: a
 // copy of a released claim arrives after its report, also at a voter that never
 // received the claim itself, and gets the vote.
 func TestLateCopyOfReleasedClaimGetsNoVote(t *testing.T) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against a key that runs twice because a voter without capacity for more
-// keys removes an older one before it expires.
+// Guards against a request that runs twice for a key because a voter without capacity
+// for more keys removes an older one before it expires.
 func TestFullVoterRefusesAndKeepsKeys(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxKeys = 2
@@ -152,10 +152,10 @@
 	t.Fatalf("no %v among %v", kind, effects)
 }
 
-// Guards against a key that runs twice after a pause: an agent with its votes is
-// paused before the first byte, the voters remove their votes, another agent runs
-// the key, and the first one resumes and starts the request without checking the
-// time.
+// Guards against a request that runs twice for a key after a pause: an agent with the
+// key's votes is paused before the first byte, the voters remove their votes, another
+// agent runs a request for the key, and the first one resumes and starts its request
+// without checking the time.
 func TestPausedAgentDoesNotStart(t *testing.T) {
 	cfg := testConfig()
 	for pause, answer := range map[time.Duration]EffectKind{
@@ -172,8 +172,8 @@
 	}
 }
 
-// Guards against a key that runs twice after a pause: the votes waited in the
-// agent's socket during the pause, and the agent counts them as new.
+// Guards against a request that runs twice for a key after a pause: the votes waited in
+// the agent's socket during the pause, and the agent counts them as new.
 func TestLateVotesAreVoid(t *testing.T) {
 	cfg := testConfig()
 	q, _, now := newRequester(cfg, 3)
@@ -205,8 +205,8 @@
 	wantEffect(t, q.Effects(nil), Unknown)
 }
 
-// Guards against a key that runs on both sides of a partition that lasts longer
-// than the retention, because the smaller side stops counting the larger one.
+// Guards against requests that run for one key on both sides of a partition that lasts
+// longer than the retention, because the smaller side stops counting the larger one.
 func TestSmallerPartitionKeepsDepartedMembers(t *testing.T) {
 	cfg := testConfig()
 	for live, want := range map[int]int{2: 5, 3: 3} {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestMessagesFitADatagram(t *testing.T) {
+func TestMessagesStayWithin200Bytes(t *testing.T) {
 	id := ClaimID{Agent: netip.MustParseAddrPort("255.255.255.255:65535"), Incarnation: 1<<64 - 1, Seq: 1<<64 - 1}
 	k := KeyOf(1, "a", "b")
 	for _, m := range []any{
--- a/placement/decider.go
+++ b/placement/decider.go
@@ -103,7 +103,7 @@
 // primary.
 func (d *Decider) Decide(now time.Time, cid []byte, own Occupancy, alt Alternate, hasAlternate bool) Decision {
 	at := now.UnixMilli()
-	r, known := d.lookup(cid, at)
+	r, known := d.lookupOrAdd(cid, at)
 	if known {
 		d.resetUnanswered(r, at)
 		return r.decision()
@@ -117,30 +117,30 @@
 // Keep records that the flow stays at this agent, because the agent that it was
 // forwarded to sent it back.
 func (d *Decider) Keep(now time.Time, cid []byte) {
-	r, _ := d.lookup(cid, now.UnixMilli())
+	r, _ := d.lookupOrAdd(cid, now.UnixMilli())
 	r.to = 0
 }
 
-// lookup returns the record of the decision on cid and whether it existed. A new
-// record replaces the one of its set that is closest to its expiry.
-func (d *Decider) lookup(cid []byte, at int64) (r *decisionRecord, known bool) {
+// lookupOrAdd returns the record of the decision on cid and whether it existed. If it did
+// not, it adds a record, which replaces the one of its set that is closest to its expiry.
+func (d *Decider) lookupOrAdd(cid []byte, at int64) (r *decisionRecord, known bool) {
 	id := hashID(cid, d.seed)
 	set := &d.sets[id&uint64(len(d.sets)-1)]
-	oldest := &set[0]
+	soonest := &set[0]
 	for i := range set {
 		r := &set[i]
 		if r.id == id && at < r.expiresAt {
 			return r, true
 		}
-		if r.expiresAt < oldest.expiresAt {
-			oldest = r
+		if r.expiresAt < soonest.expiresAt {
+			soonest = r
 		}
 	}
-	if at < oldest.expiresAt {
+	if at < soonest.expiresAt {
 		d.Evicted++
 	}
-	*oldest = decisionRecord{id: id, expiresAt: at + d.ttl}
-	return oldest, false
+	*soonest = decisionRecord{id: id, expiresAt: at + d.ttl}
+	return soonest, false
 }
 
 // resetUnanswered lets a forwarded flow stay at this agent once its Initial is
--- a/placement/decider_test.go
+++ b/placement/decider_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Guards against a draining backend server receiving new flows because its agent
+// Guards against a full agent's backend server receiving new flows because the agent
 // keeps a flow that another agent can take, or because that agent sends it back.
 func TestFullAgentGetsNoFlowThatAnotherCanTake(t *testing.T) {
 	agents := testAgents(2)
--- a/placement/lab/stats.go
+++ b/placement/lab/stats.go
@@ -72,7 +72,8 @@
 }
 
 // sample records the figures of one tick and adds the outstanding requests to the
-// history of the load endpoints.
+// history, from which the load endpoints answer (see reportedLoad). During the warm-up it
+// discards the figures; after it, it closes a window every windowTicks.
 func (m *model) sample() {
 	m.ticks++
 	row := m.historyRow()
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Guards against collisions in the load table: with a single word per hash, a
-// third of the agents share a word and overwrite each other's reports, so a
-// balancer keeps choosing a busy agent although an idle one has reported.
-func TestLoadKnowsNearlyAllAgents(t *testing.T) {
+// Guards against collisions in the load table: with a single table slot per
+// hash, a third of the agents share a slot and overwrite each other's reports,
+// so a balancer keeps choosing a busy agent although an idle one has reported.
+func TestLoadKeepsNearlyAllReports(t *testing.T) {
 	for _, n := range []int{3, 7, 64, 2000, 94000} {
 		agents, l := testAgents(n), NewLoad(n, LoadOptions{})
 		for i, a := range agents {
--- a/placement/primary.go
+++ b/placement/primary.go
@@ -141,6 +141,8 @@
 	return None
 }
 
+// participates reports whether the agent with index i takes part for flow hash h, which
+// it does with probability weight/maxWeight.
 func (t *Table) participates(i int, h uint64) bool {
 	e := t.entries[i]
 	if e.weight() == t.maxWeight {
--- a/placement/tables.go
+++ b/placement/tables.go
@@ -39,6 +39,8 @@
 	s.page(service >> pageBits)[service%pageSize].Store(t)
 }
 
+// page returns the page with the given number. A missing page is added to a copy of the
+// map, which then replaces the map, so that Get needs no lock.
 func (s *Tables) page(number uint32) *page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
