--- a/flow/cold.go
+++ b/flow/cold.go
@@ -33,7 +33,14 @@
 // flows may claim; requests on open flows use the rest.
 const coldQueueShare = 0.8
 
-// The cold limit.
+// isCold reports whether the server counts as cold: its latest heartbeat reported it as
+// cold, or it may have become cold since.
+func (g *Gate) isCold(now time.Time) bool {
+	return g.server.coldUnknown || now.Before(g.server.coldUntil)
+}
+
+// coldLimited reports whether the cold limit applies now: the limit on the rate of
+// requests to a cold server.
 //
 // After a power loss, a release, or when an evacuated zone returns to service, servers
 // start cold and process a fraction of their usual rate for some seconds, while callers
@@ -44,14 +51,6 @@
 // The limit is enforced by the agent, through which all requests to its server pass, in
 // every sliding second, so no coordination between processes is needed. A token bucket
 // would admit the requests of two seconds within one.
-
-// isCold reports whether the server counts as cold: its latest heartbeat reported it as
-// cold, or it may have become cold since.
-func (g *Gate) isCold(now time.Time) bool {
-	return g.server.coldUnknown || now.Before(g.server.coldUntil)
-}
-
-// coldLimited reports whether the limit for cold servers applies now.
 func (g *Gate) coldLimited(now time.Time) bool {
 	return g.orders.coldRate != 0 && g.orders.service == g.server.service && g.isCold(now)
 }
--- a/flow/director.go
+++ b/flow/director.go
@@ -81,16 +81,16 @@
 	nextHelloAt       time.Time // when the next hello is due
 }
 
-// takesFlows reports whether the agent's server accepts new flows, by its last message.
+// takesFlows reports whether the agent last reported its server as ready and is
+// responsive. The operator's orders for its zone are checked in mayOffer.
 func (a *agent) takesFlows() bool { return a.state == ServerReady && !a.unresponsive }
 
 // mayOffer reports whether the agent may be offered a new flow.
 func (d *Director) mayOffer(a *agent) bool { return a.takesFlows() && d.inService(a) }
 
 // ended reports whether the agent's server has ended. Such an agent stays in the table
-// as long as it sends messages. If it were removed, each of its reports would add it
-// again; named by other balancers, it would hold up lookups for the 6 s in which an
-// agent that others receive messages from must be waited for.
+// as long as it sends messages. If it were removed, its reports and other balancers'
+// member lists would add it again, and lookups would wait up to 6 s for its answer.
 func (a *agent) ended() bool { return a.state == ServerEnded }
 
 // service holds the placement tables of one service.
--- a/flow/director_test.go
+++ b/flow/director_test.go
@@ -157,11 +157,10 @@
 	}
 }
 
-// Guards against the reset of a flow that its server holds (soak, seed 4). The store's
-// keys are removed, a balancer is killed and restarts, and a paused agent can't report
-// to it. If the balancer took the agents listed in the store for all, it would reset a
-// flow of the paused agent, because all agents that it knows answer that they do not
-// hold it.
+// Guards against the reset of a flow that its server holds. The store's keys are
+// removed, a balancer is killed and restarts, and a paused agent can't report to it. If
+// the balancer took the agents listed in the store for all, it would reset a flow of
+// the paused agent, because all agents that it knows answer that they do not hold it.
 func TestStartedBalancerAsksOthersForAgents(t *testing.T) {
 	w := newWorld(t, 3)
 	c := w.caller(1000, listingPort)
@@ -192,11 +191,10 @@
 	}
 }
 
-// Guards against the reset of a flow that its server holds (soak, seed 4). An agent
-// starts while the store lists no balancers and reaches only one balancer; its flow
-// then arrives at another that has run for long. If balancers learned of agents only
-// from the store and from the agents themselves, the other one would not know this
-// agent.
+// Guards against the reset of a flow that its server holds. An agent starts while the
+// store lists no balancers and reaches only one balancer; its flow then arrives at
+// another that has run for long. If balancers learned of agents only from the store and
+// from the agents themselves, the other one would not know this agent.
 func TestBalancersAnnounceNewAgents(t *testing.T) {
 	w := newWorld(t, 2)
 	for b, d := range w.balancers {
@@ -222,9 +220,9 @@
 	}
 }
 
-// Guards against the reset of a flow that its server holds (soak, seed 2). A balancer
-// starts while the store lists no process; one agent reports to it, the flow's agent
-// not yet. That the balancer knows no other balancer does not mean that there is none.
+// Guards against the reset of a flow that its server holds. A balancer starts while the
+// store lists no process; one agent reports to it, the flow's agent not yet. That the
+// balancer knows no other balancer does not mean that there is none.
 func TestStartedBalancerWithoutPeersDoesNotReset(t *testing.T) {
 	w := newWorld(t, 2)
 	c := w.caller(1000, listingPort)
@@ -240,11 +238,11 @@
 	}
 }
 
-// Guards against the reset of a flow that its server holds (soak, seed 1). The store's
-// keys are removed, and a balancer restarts without knowing any other. An agent starts
-// and knows this balancer alone; its flow then arrives at a balancer that has run for
-// long. Unless agents list balancers to each other, the first balancer can't announce
-// the agent to the second.
+// Guards against the reset of a flow that its server holds. The store's keys are
+// removed, and a balancer restarts without knowing any other. An agent starts and knows
+// this balancer alone; its flow then arrives at a balancer that has run for long.
+// Unless agents list balancers to each other, the first balancer can't announce the
+// agent to the second.
 func TestAgentsListBalancersToEachOther(t *testing.T) {
 	w := newWorld(t, 2)
 	w.advance(maxDiscoveryTime)
--- a/flow/fleet_start.go
+++ b/flow/fleet_start.go
@@ -21,13 +21,15 @@
 //
 // Without this, an agent that starts a little after its server doesn't know whether the
 // server holds a flow until it has forwarded one of the flow's packets to the server. In
-// a fleet of 65 machines the packets of ended flows to every agent fill a 10 Mbit/s link
-// for 15 s, and resets are sent 4 to 10 s after their lookups began.
+// a fleet of 65 machines, sending packets of ended flows to every agent fills a 10 Mbit/s
+// link for 15 s and delays resets to 4 to 10 s after the start of their lookups.
 //
 // The report of a single agent is not enough: its process may have restarted beside a
-// server that is a second old. Only if every known agent reports a recent start has the
-// whole fleet started. A balancer determines whether it knows all agents as after any
-// other start, but sooner if the other balancers have recently started too.
+// server that is a second old. The whole fleet counts as started only if more than half
+// of the known agents have sent a message, and each of these has reported a recent start,
+// or a server that holds no flows or has ended. The others must be ones whose answer is
+// optional. The check waits for minDiscoveryTime once the store has listed the agents,
+// otherwise for DirectorConfig.DiscoveryTime.
 func (d *Director) detectFleetStart(now time.Time) {
 	before := d.fleetRecentlyStarted
 	d.reportersRecentlyStarted, d.fleetRecentlyStarted = false, false
--- a/flow/fleet_start_test.go
+++ b/flow/fleet_start_test.go
@@ -173,10 +173,10 @@
 	}
 }
 
-// Guards against the reset of an open flow (soak, seed 2). Shortly after a start of the
-// whole fleet one balancer restarts and gets no member list; an agent that the store
-// lists is paused for most of a second, and a flow of its server arrives. The agent has
-// to be waited for as long as usual even if all others have recently started.
+// Guards against the reset of an open flow. Shortly after a start of the whole fleet
+// one balancer restarts and gets no member list; an agent that the store lists is
+// paused for most of a second, and a flow of its server arrives. The agent has to be
+// waited for as long as usual even if all others have recently started.
 func TestPausedAgentIsWaitedForAfterFleetStart(t *testing.T) {
 	w := newWorld(t, 3)
 	w.startAll(3)
--- a/flow/lab/doc.go
+++ b/flow/lab/doc.go
@@ -4,8 +4,13 @@
 // Balancers and agents are the state machines of package flow themselves. The model
 // adds links with a bandwidth and a bounded queue, servers with slots, a queue and a
 // cold start, and callers with copies of first packets, attempts, repeats and
-// deadlines. Results are shown beside an upper bound: the same servers' slots assigned
-// with knowledge of all requests and without messages.
+// deadlines.
+//
+// Results are given as credit: 1 for a request that is answered within latencyTarget,
+// lateCredit for a later answer, 0 for none. Window n, from 0, starts 2n seconds after
+// the event, lasts two seconds, and has the mean credit of the requests sent in it.
+// Results are shown beside an upper bound: the same servers' slots assigned with
+// knowledge of all requests and without messages.
 //
 // Package flow iterates over maps, so two runs with the same seed differ a little;
 // figures are means over seeds.
--- a/flow/lab/experiment.go
+++ b/flow/lab/experiment.go
@@ -10,7 +10,7 @@
 // Experiments are the replayed loads. Their Run returns a ConfigError for a
 // configuration that can't be used.
 var Experiments = []figure.Experiment[Config]{
-	{Name: "power", Run: checked(power), Summary: "credit per window of two seconds after a power loss of the whole fleet"},
+	{Name: "power", Run: checked(powerLoss), Summary: "credit per window of two seconds after a power loss of the whole fleet"},
 	{Name: "kill", Run: checked(kill), Summary: "the same after a kill of all processes; the servers and their flows keep running"},
 	{Name: "burst", Run: checked(burst), Summary: "the same from the start of two seconds of load at 1.3 times the servers' capacity"},
 	{Name: "slow", Run: checked(slow), Summary: "the same from the moment when one server becomes five times slower"},
@@ -40,7 +40,9 @@
 // warmSlots returns the number of slots of all servers while they are warm.
 func warmSlots(c Config) float64 { return float64(c.Agents * c.Slots) }
 
-func power(c Config) []figure.Figure {
+// powerLoss replays a power loss of the whole fleet: all processes and servers stop, and
+// start again cold after Config.Outage.
+func powerLoss(c Config) []figure.Figure {
 	return c.replay(scenario{
 		event: func(f *fleet) {
 			f.stop(true)
@@ -58,6 +60,8 @@
 	})
 }
 
+// kill replays a kill of all processes, which start again after Config.Outage while the
+// servers and their flows keep running.
 func kill(c Config) []figure.Figure {
 	return c.replay(scenario{
 		event: func(f *fleet) {
@@ -73,6 +77,7 @@
 	})
 }
 
+// burst replays two seconds of load at 1.3 times the servers' capacity.
 func burst(c Config) []figure.Figure {
 	const times, span = 1.3, 2 * time.Second
 	return c.replay(scenario{
@@ -81,6 +86,7 @@
 	})
 }
 
+// slow replays a server that becomes five times slower.
 func slow(c Config) []figure.Figure {
 	const times = 5
 	return c.replay(scenario{
--- a/flow/lab/fleet.go
+++ b/flow/lab/fleet.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// fromCaller delivers a caller's packet to a balancer, the same one for all packets of a
-// flow as long as it is ready.
+// fromCaller delivers a caller's packet to the balancer of its flow (see balancerFor). It
+// drops the packet if no balancer is ready or the queue of the balancer's link is full.
 func (f *fleet) fromCaller(s flow.Segment) {
 	b := f.balancerFor(s.Key)
 	if b == nil {
@@ -151,7 +151,8 @@
 }
 
 // balancerFor returns the balancer of a flow among those that are ready, by rendezvous
-// hashing, or nil if none is.
+// hashing, or nil if none is. While the same balancers are ready, all packets of a flow go
+// to the same one.
 func (f *fleet) balancerFor(key flow.Key) *balancer {
 	var best *balancer
 	var bestScore uint64
--- a/flow/lab/lab_test.go
+++ b/flow/lab/lab_test.go
@@ -29,8 +29,8 @@
 // whole fleet, so that a third of the requests is late or fails for good. Balancers
 // have links of 5 Mbit/s, which carry the usual load easily, and callers continue on
 // ended flows. The lookups of ended flows must not delay new flows, whose callers then
-// retry: with the caller's packet sent to every agent for each ended flow, credit in
-// the second two seconds is 0.83.
+// retry: with the caller's packet sent to every agent for each ended flow, the credit of
+// the window from 2 to 4 s is 0.83.
 func TestOverloadEndsByItself(t *testing.T) {
 	c := DefaultConfig()
 	c.Seeds, c.Balancers, c.Agents, c.Slots, c.Link = 2, 10, 48, 2, 0.6e6
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestNothingBeatsTheBound(t *testing.T) {
+func TestCreditDoesNotExceedBound(t *testing.T) {
 	c := DefaultConfig()
 	c.Seeds = 1
 	for _, x := range Experiments {
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -67,9 +67,9 @@
 }
 
 // resumeBlocked continues the lookups that waited for an agent's answer once that
-// answer is no longer required. Callers' packets come at intervals that grow to 1.6 s:
-// if lookups resumed only with those packets, 377 of 623 flows that ended in a power
-// loss would run into their callers' deadline of 2 s.
+// answer is no longer required. If lookups resumed only with the callers' packets, whose
+// intervals grow to 1.6 s, the callers of 377 of 623 flows that ended in a power loss
+// would not be notified before their deadline of 2 s.
 func (d *Director) resumeBlocked(now time.Time) {
 	if !d.recheckBlocked {
 		return
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -318,11 +318,11 @@
 	}
 }
 
-// Guards against the reset of an open flow (soak, seed 4). A server deregisters and its
-// agent reports it to a balancer; a new server starts on the VM, with a new agent that
-// has not sent this balancer a message yet. A flow is opened there through another
-// balancer and then arrives at this one. The member list of the other balancer names
-// the new agent, so it has to be queried.
+// Guards against the reset of an open flow. A server deregisters and its agent reports
+// it to a balancer; a new server starts on the VM, with a new agent that has not sent
+// this balancer a message yet. A flow is opened there through another balancer and then
+// arrives at this one. The member list of the other balancer names the new agent, so it
+// has to be queried.
 func TestNewServerAfterEndedOneIsQueried(t *testing.T) {
 	w := newWorld(t, 2)
 	w.advance(fleetStartWindow)
--- a/flow/members.go
+++ b/flow/members.go
@@ -112,11 +112,11 @@
 	d.sendToPeers(Message{Kind: MemberListRequest})
 }
 
-// discoveryDone reports whether this balancer knows all agents that may hold a flow.
-// For that a balancer that started earlier has sent its member list, or those that
-// answered have recently started like this one; and the agents have had time to report,
-// or all of them report that the whole fleet has recently started, as after a power
-// loss.
+// discoveryDone reports whether this balancer knows all agents that may hold a flow, or
+// maxDiscoveryTime has passed. It knows them once another balancer has sent a member list
+// with agents or answered that it has recently started too, and the agents have had
+// DiscoveryTime to report. It need not wait for DiscoveryTime if the whole fleet has
+// recently started, as after a power loss.
 func (d *Director) discoveryDone(now time.Time) bool {
 	up := now.Sub(d.started)
 	answered := d.memberListKnown || d.peerRecentlyStarted
@@ -197,8 +197,8 @@
 // the agent a hello message, and on the first answer announces it to as many others:
 // four reach 98 of 100 balancers, and the agent itself reports to those that the store
 // lists. If each balancer announced to all, 204 agents that start together would cost
-// 300 KB out of and into each of 91 balancers: by calculation 0.12 s of a 20 Mbit/s
-// link, for which new flows would wait.
+// 300 KB out of and into each of 91 balancers and delay new flows by 0.12 s on a
+// 20 Mbit/s link.
 const announceFanout = 4
 
 // queueAnnouncement schedules the announcement of an agent that has sent its first
--- a/flow/message.go
+++ b/flow/message.go
@@ -65,6 +65,8 @@
 	lastKind = Announce
 )
 
+// kinds are the names that MessageKind.String returns. They stay the same when a constant
+// is renamed.
 var kinds = [...]string{"invalid", "open", "pass", "seek", "taken", "refused", "queued", "held", "not_held", "hello", "report", "ask_roster", "roster", "balancers", "query", "query_answer", "return", "room", "configured", "announce"}
 
 // String returns the kind's name.
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -10,7 +10,7 @@
 // wait in total. A caller refused because the queue is full retries at once as a new flow,
 // takes the place of one that could be answered in time, and has used up its attempts
 // after 30 ms. With 40 per slot, fewer requests are answered in time after a power loss:
-// in flow/lab the credit of the second two seconds is 0.864 instead of 0.909.
+// in flow/lab the credit of the window from 2 to 4 s is 0.864 instead of 0.909.
 const queuePerSlot = 100
 
 // queueEntry is a flow, or a caller to be notified, that waits for capacity at the server.
--- a/flow/reset.go
+++ b/flow/reset.go
@@ -44,8 +44,8 @@
 // deadline, but can open a new flow as soon as it is notified. A caller that only
 // closes the flow needs no capacity and is notified at once: without an answer it
 // repeats the close for seconds, and each repeat is looked up at every agent. After a
-// power loss these would be 600 lookups per second; on 58 VMs they raise a day's bytes
-// between zones from 0.075 to 0.129 GB and the processor time from 47 to 69 s.
+// power loss, 600 such lookups per second on 58 VMs raise a day's traffic between zones
+// from 0.075 to 0.129 GB and the processor time from 47 to 69 s.
 //
 // After a power loss every caller has such flows. If all were notified at once, they
 // would all retry within the same 0.1 s at cold servers, be refused as busy, and have
--- a/flow/snapshot.go
+++ b/flow/snapshot.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// DirectorSnapshot is the state of a balancer at one moment, for operators.
+// DirectorSnapshot is the state of a balancer at one moment, for operators. The JSON
+// names stay the same when a field is renamed.
 type DirectorSnapshot struct {
 	Revision  uint64   `json:"revision"`     // of the configuration in force, 0 for none
 	Orders    uint64   `json:"orders"`       // number of the operator's orders in force, 0 for none
--- a/flow/types.go
+++ b/flow/types.go
@@ -106,6 +106,8 @@
 	ServerEvacuated                       // could accept new flows, but its availability zone gets none
 )
 
+// serverStates are the names of the states outside the process, as in logs and metrics.
+// They stay the same when a constant is renamed.
 var serverStates = [...]string{"unknown", "ready", "draining", "silent", "gone", "evacuated"}
 
 // String returns the state's name.
@@ -139,6 +141,8 @@
 	ReasonRegion              // all servers of the service are in regions that the route does not name
 )
 
+// reasons are the names of the reasons outside the process, as in logs and metrics. They
+// stay the same when a constant is renamed.
 var reasons = [...]string{"none", "state", "service", "busy", "bounced", "silent", "timeout", "no_route", "no_agent", "not_held", "lost", "overflow", "return", "started", "evacuated", "region"}
 
 // String returns the reason's name.
