--- a/catalogue/editor.go
+++ b/catalogue/editor.go
@@ -89,9 +89,9 @@
 var errOutsideHistory = errors.New("it is older than the kept history; compare the entries themselves")
 
 // Apply applies an edit as a whole. It returns a *RefusedError or an
-// *UnknownOutcomeError; Accepted is valid only without an error. If concurrent
-// edits of other services come first, the edit is checked and written again on
-// top of them.
+// *UnknownOutcomeError; Accepted is valid only without an error. If a
+// concurrent edit is written first, Apply checks the edit against the new head
+// and tries again.
 func (ed *Editor) Apply(ctx context.Context, e Edit) (Accepted, error) {
 	if n := len(e.Put) + len(e.Delete); n > MaxEdit {
 		return Accepted{}, refused(fmt.Errorf("catalogue: edit of %d entries is over the limit of %d; split it", n, MaxEdit))
--- a/catalogue/lab/experiment.go
+++ b/catalogue/lab/experiment.go
@@ -51,9 +51,9 @@
 	return c.Changes
 }
 
-func listOr(list, own []float64) []float64 {
+func listOr(list, fallback []float64) []float64 {
 	if len(list) == 0 {
-		return own
+		return fallback
 	}
 	return list
 }
@@ -162,6 +162,6 @@
 	return list
 }
 
-// seed returns the seed of the exchanges; 7 is the one used in
-// docs/measure/catalogue.md.
+// seed returns the seed of the exchanges. The offset makes Config.Seed 1 give
+// exchange seed 7, which docs/measure/catalogue.md uses.
 func (c Config) seed() uint64 { return c.Seed + 6 }
--- a/catalogue/lab/spread.go
+++ b/catalogue/lab/spread.go
@@ -47,7 +47,8 @@
 }
 
 // Spread makes single changes, 3 s apart, in an exchange of n nodes, of which 3
-// read the store.
+// read the store. It measures the propagation time of each change and its cost,
+// less the traffic when idle.
 func Spread(seed uint64, n, changes int, loss float64, cfg catalogue.ReplicaConfig) SpreadResult {
 	const gap = 3 * time.Second
 	length := time.Duration(changes) * gap
--- a/connid/connid.go
+++ b/connid/connid.go
@@ -3,8 +3,9 @@
 // A connection ID is one key number byte followed by one AES block. The block
 // holds the agent's address, the service number and random bytes. A balancer can
 // route a packet by the ID alone, without any state per flow. An observer without
-// the fleet key can neither link two IDs of one connection nor forge an ID for
-// another service.
+// the fleet key cannot link two IDs of one connection. An ID forged without the key
+// decodes to an arbitrary target; comparing Target.Service with the expected service
+// rejects it, except by chance.
 package connid
 
 import (
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -149,6 +149,7 @@
 	return next
 }
 
+// allCurrent reports whether all contacts have acknowledged this process's latest version.
 func (a *Announcer) allCurrent() bool {
 	for i := range a.contacts {
 		if !a.current(&a.contacts[i]) {
@@ -158,9 +159,11 @@
 	return true
 }
 
+// current reports whether c has acknowledged this process's latest version.
 func (a *Announcer) current(c *contact) bool { return c.acked && c.version >= a.self.Version }
 
-// Tick sends due announcements and heartbeats. Call it at least every 250 ms.
+// Tick detects a pause of the process, replaces unresponsive contacts, and sends due
+// announcements and heartbeats. Call it at least every 250 ms.
 func (a *Announcer) Tick(now time.Time) {
 	a.detectPause(now)
 	a.replaceUnresponsive(now)
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -10,7 +10,7 @@
 	// fanOut is the number of balancers that get each gossip message: with 3 a
 	// change is known to four times as many balancers after each period.
 	fanOut = 3
-	// farFanOut of them are picked from the whole fleet, the rest from the own
+	// farFanOut of them are picked from the whole fleet, the rest from the sender's
 	// availability zone, where latency and traffic cost least.
 	farFanOut = 1
 	// repairTransmissions is how often a record received by repair is gossiped:
@@ -31,7 +31,8 @@
 
 // transmissions returns how often each balancer passes on one change. It grows
 // with the logarithm of the fleet size: each further transmission divides the
-// share of balancers that miss a change by e, and repair fetches the rest.
+// share of balancers that miss a change by e, and repair fetches the rest. While
+// there is a backlog it is at most backlogTransmissions.
 func (m *Machine) transmissions() int {
 	n := bits.Len(uint(len(m.members.liveAll()))) + spareTransmissions
 	if m.backlogged() {
@@ -88,7 +89,8 @@
 	return 0, queuePos{}, false
 }
 
-// gossip sends the changes with the fewest transmissions to a few balancers.
+// gossip sends queued changes to a few balancers: urgent ones first, then those with the
+// fewest transmissions.
 func (m *Machine) gossip(now time.Time) {
 	targets := m.gossipTargets()
 	if len(targets) == 0 {
@@ -171,7 +173,7 @@
 	return false
 }
 
-// gossipTargets picks distinct balancers, most of them in the own zone.
+// gossipTargets picks distinct balancers, most of them in this balancer's zone.
 func (m *Machine) gossipTargets() []netip.AddrPort {
 	targets := make([]netip.AddrPort, 0, fanOut)
 	near, all := m.members.live[m.zone], m.members.liveAll()
--- a/membership/lab/experiment.go
+++ b/membership/lab/experiment.go
@@ -53,11 +53,11 @@
 // seed returns the seed of an experiment with the default seed own.
 func (c Config) seed(own uint64) uint64 { return own + c.Seed - 1 }
 
-// orDefault returns v, or own if v is zero.
-func orDefault[T comparable](v, own T) T {
+// orDefault returns v, or fallback if v is zero.
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
-		return own
+		return fallback
 	}
 	return v
 }
--- a/membership/lab/report.go
+++ b/membership/lab/report.go
@@ -122,6 +122,7 @@
 	return f.list
 }
 
+// zoneLoss reports how soon the loss of a whole zone is known, and its traffic.
 func zoneLoss(c Config) []figure.Figure {
 	r := ZoneLoss(c.seed(1), orDefault(c.Zones, 18), orDefault(c.Balancers, 32), orDefault(c.Agents, 120))
 	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d", r.Balancers, r.Agents)}
@@ -133,6 +134,8 @@
 	return f.list
 }
 
+// regionApart reports how many balancers treat a region that is cut off as lost, and how
+// soon the member lists agree after the cut.
 func regionApart(c Config) []figure.Figure {
 	r := RegionApart(c.seed(2), orDefault(c.Zones, 18), orDefault(c.Balancers, 16), orDefault(c.Agents, 40), orDefault(c.Duration, time.Hour))
 	f := &figures{caseName: fmt.Sprintf("balancers=%d agents=%d changes=%d", r.Balancers, r.Agents, r.Changes)}
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -1,3 +1,5 @@
+// The tests in this file run the experiments of docs/measure/membership.md at small
+// sizes; `hemlock-lab membership` runs them at full size.
 package membership_test
 
 import (
@@ -9,9 +11,6 @@
 	"github.com/hemlockscale/hemlockscale/membership/lab"
 )
 
-// The experiments of docs/measure/membership.md at small sizes; `hemlock-lab
-// membership` runs them at full size.
-
 // Guards against a change that some balancer never receives, with or without loss,
 // because gossip ends before all know it and repair doesn't find it.
 func TestMeasureSpread(t *testing.T) {
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -23,7 +23,7 @@
 	// that changed within it is expected to differ and is not compared further.
 	recentChange = 3 * time.Second
 	// One in farComparePeriod comparisons, at random, is with a balancer of any
-	// zone, the others with one of the own zone.
+	// zone, the others with one of the same zone.
 	farComparePeriod = 4
 )
 
--- a/membership/zone_test.go
+++ b/membership/zone_test.go
@@ -26,10 +26,10 @@
 }
 
 // Guards against control traffic at its limit for minutes, or processes that stay
-// dead, after a region was cut off for an hour while processes changed on both sides.
-// If each side declared the other's processes dead one by one, all would have to be
-// refuted.
-func TestRegionRejoinsWithoutStorm(t *testing.T) {
+// marked dead, after a region was cut off for an hour while processes changed on
+// both sides. If each side declared the other's processes dead one by one, all
+// would have to be refuted.
+func TestRegionRejoinsWithoutExcessTraffic(t *testing.T) {
 	r := lab.RegionApart(2, 6, 4, 10, 2*time.Minute)
 	if !r.Converged {
 		t.Fatalf("member lists differ 2 minutes after the cut healed:%.2000s", r.Differences)
--- a/propagation/doc.go
+++ b/propagation/doc.go
@@ -10,7 +10,8 @@
 // process draws a random age; the process with the lowest draw reads the store when the
 // latest read reaches that age, and becomes the watcher. If the watcher is killed, cut off or
 // refused by the store, another process takes over in the same way, at most MaxReadAge
-// later. Of two watchers the one with the earlier read stops.
+// later. Of two watchers the one with the earlier read stops; if their reads have the same
+// number, the one with the higher identity.
 //
 // A store that was restored from an older copy lacks the latest writes. Processes that have
 // such content keep it, and the others take it from them. They compare the number that the
--- a/propagation/node.go
+++ b/propagation/node.go
@@ -224,9 +224,10 @@
 // known, or has the same number and was made by a watcher with a lower identity: the other
 // watcher has to receive it to stop.
 //
-// A watcher stops when it receives such a read of another watcher. Since reads are ordered,
-// one of two watchers always accepts the other's read and stops, and the other goes on alone.
-// If the identities alone decided, the one to stop might never receive a read that it accepts.
+// A watcher stops when it accepts another watcher's read: one with a higher number, or with
+// the same number and a lower identity. Since reads are ordered, one of two watchers always
+// accepts the other's read and stops, and the other goes on alone. If the identities alone
+// decided, the watcher with the higher one might never receive a read of the other.
 func (n *Node) receiveRead(now time.Time, r ReadMark) {
 	if r.Number > maxReadNumber {
 		return
@@ -296,7 +297,8 @@
 // watchers, and may have lost writes.
 func (n *Node) readFailed() bool { return !n.failedSince.IsZero() && n.read.At.Before(n.failedSince) }
 
-// overdue reports whether the latest read known is so old that this process reads.
+// overdue reports whether the latest read known is so old that this process reads, and
+// its own latest read is at least minReadAge old.
 func (n *Node) overdue(now time.Time) bool {
 	return now.Sub(n.read.At) >= n.maxReadAge && now.Sub(n.ownReadAt) >= n.minReadAge()
 }
@@ -382,8 +384,9 @@
 	}
 }
 
-// backoff returns the time before the store is called again after a failure. Refused calls
-// back off too, since the store charges for them like for others.
+// backoff counts a failure and returns the time before the store is called again: a random
+// time between half and all of the backoff interval. The backoff also applies to refused
+// calls, since the store charges for them like for others.
 func (n *Node) backoff() time.Duration {
 	longest := backoffMax
 	if n.revision == 0 {
--- a/propagation/watchers_test.go
+++ b/propagation/watchers_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against two processes that both go on watching, each at a store call per change: a
-// watcher that receives the other's reads too late would go on as long as changes come.
+// Guards against two processes that keep watching in parallel, at one store call each per
+// change: a watcher that always receives the other's reads too late would never stop.
 func TestOfTwoWatchersOneStopsAtTheNextRead(t *testing.T) {
 	const processes, changes = 8, 5
 	for seed := range uint64(200) {
