--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -17,9 +17,9 @@
 
 const (
 	voterTickInterval = time.Second
-	// memberListRequestsPerFreshness is how many requests for the member list are sent within
+	// voterListRequestsPerFreshness is how many requests for the voter list are sent within
 	// the time for which a vote counts it as fresh, so that a lost response does no harm.
-	memberListRequestsPerFreshness = 3
+	voterListRequestsPerFreshness = 3
 )
 
 // claims runs the two state machines of package idempotency: the requester for
@@ -39,13 +39,13 @@
 	waiting    map[uint64]chan idempotency.Effect
 	effects    []idempotency.Effect
 
-	memberListSeq         uint64
-	memberListRequestedAt time.Time // when the request with memberListSeq was sent
-	tickedAt              time.Time
-	listedAt              time.Time // when the member list first contained this agent
-	complete              bool      // the latest member list is complete
-	otherServing          int       // number of other agents of the service that accept new flows
-	otherAgents           int       // number of other agents of the service
+	voterListSeq         uint64
+	voterListRequestedAt time.Time // when the request with voterListSeq was sent
+	tickedAt             time.Time
+	listedAt             time.Time // when the voter list first contained this agent
+	complete             bool      // the latest voter list is complete
+	otherServing         int       // number of other agents of the service that accept new flows
+	otherAgents          int       // number of other agents of the service
 }
 
 func newClaims(link *control.Link, self netip.AddrPort, cfg idempotency.Config) *claims {
@@ -160,7 +160,7 @@
 	}
 }
 
-// receive handles a message of the topics claim, vote, report and member list. ok
+// receive handles a message of the topics claim, vote, report and voter list. ok
 // is false if the message can't be decoded.
 func (c *claims) receive(topic seal.Topic, from netip.AddrPort, b []byte) (ok bool) {
 	var err error
@@ -181,21 +181,21 @@
 			if err = cbor.Unmarshal(b, &m); err == nil && c.voter != nil {
 				c.voter.Report(now, m)
 			}
-		case seal.TopicMemberList:
-			var m control.MemberListResponse
+		case seal.TopicVoterList:
+			var m control.VoterListResponse
 			if err = cbor.Unmarshal(b, &m); err == nil {
-				c.receiveMemberList(now, m)
+				c.receiveVoterList(now, m)
 			}
 		}
 	})
 	return err == nil
 }
 
-// receiveMemberList handles the response to the latest request and ignores any other. The
-// member list is as old as the request: the response may have waited in the socket buffer
+// receiveVoterList handles the response to the latest request and ignores any other. The
+// voter list is as old as the request: the response may have waited in the socket buffer
 // while this process was suspended.
-func (c *claims) receiveMemberList(now time.Time, m control.MemberListResponse) {
-	if m.Seq != c.memberListSeq {
+func (c *claims) receiveVoterList(now time.Time, m control.VoterListResponse) {
+	if m.Seq != c.voterListSeq {
 		return
 	}
 	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
@@ -204,16 +204,16 @@
 	}
 	c.recordService(now, m)
 	c.electorate.Update(now, r)
-	c.electorate.Confirm(c.memberListRequestedAt)
+	c.electorate.Confirm(c.voterListRequestedAt)
 	if c.voter != nil {
 		c.voter.Update(now, r)
-		c.voter.Confirm(c.memberListRequestedAt)
+		c.voter.Confirm(c.voterListRequestedAt)
 	}
 }
 
-// recordService records what a member list shows about the other agents of the service. It
+// recordService records what a voter list shows about the other agents of the service. It
 // ignores a list that does not contain this agent. c.mu is held.
-func (c *claims) recordService(now time.Time, m control.MemberListResponse) {
+func (c *claims) recordService(now time.Time, m control.VoterListResponse) {
 	if !slices.Contains(m.Live, c.self) {
 		return
 	}
@@ -225,14 +225,14 @@
 	c.otherServing = int(m.Serving)
 }
 
-// tick requests the member list from a balancer when that is due, and advances the state
+// tick requests the voter list from a balancer when that is due, and advances the state
 // machines.
 func (c *claims) tick(balancer netip.AddrPort, service uint32) {
 	c.do(func(now time.Time) {
-		if now.Sub(c.memberListRequestedAt) >= c.freshness/memberListRequestsPerFreshness && balancer.IsValid() {
-			c.memberListSeq++
-			c.memberListRequestedAt = now
-			c.link.Send(seal.TopicMemberListRequest, balancer, control.MemberListRequest{Service: service, Seq: c.memberListSeq})
+		if now.Sub(c.voterListRequestedAt) >= c.freshness/voterListRequestsPerFreshness && balancer.IsValid() {
+			c.voterListSeq++
+			c.voterListRequestedAt = now
+			c.link.Send(seal.TopicVoterListRequest, balancer, control.VoterListRequest{Service: service, Seq: c.voterListSeq})
 		}
 		if c.voter != nil && now.Sub(c.tickedAt) >= voterTickInterval {
 			c.tickedAt = now
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -144,7 +144,7 @@
 		l.receiveMembership(now, m.From, b)
 	case seal.TopicCatalogue:
 		l.receiveEntry(now, b)
-	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicMemberList:
+	case seal.TopicClaim, seal.TopicVote, seal.TopicReport, seal.TopicVoterList:
 		if !l.a.claims.receive(topic, m.From, b) {
 			l.a.metrics.controlRejected.Inc()
 		}
--- a/internal/balancer/controlloop.go
+++ b/internal/balancer/controlloop.go
@@ -189,7 +189,7 @@
 		l.machine.Receive(now, m.From, msg)
 	case seal.TopicCatalogue:
 		l.receiveCatalogue(now, m.From, b)
-	case seal.TopicMemberListRequest:
+	case seal.TopicVoterListRequest:
 		l.sendVoters(now, m.From, b)
 	case seal.TopicTrace:
 		if !l.b.data.forwarder.traces.receiveClaim(b) {
--- a/internal/balancer/voters.go
+++ b/internal/balancer/voters.go
@@ -74,9 +74,9 @@
 	return xxhash.Sum64(b)
 }
 
-// respond returns the response to a request for the voters of a service.
-func (v *voters) respond(request control.MemberListRequest, now time.Time) control.MemberListResponse {
-	response := control.MemberListResponse{Seq: request.Seq, Complete: now.Sub(v.started) > v.retention}
+// respond returns the response to a request for the voter list of a service.
+func (v *voters) respond(request control.VoterListRequest, now time.Time) control.VoterListResponse {
+	response := control.VoterListResponse{Seq: request.Seq, Complete: now.Sub(v.started) > v.retention}
 	list := v.services[request.Service]
 	list = slices.DeleteFunc(list, func(e voter) bool { return !e.departedAt.IsZero() && now.Sub(e.departedAt) > v.retention })
 	v.services[request.Service] = list
@@ -94,14 +94,14 @@
 	return response
 }
 
-// sendVoters answers an agent's request for the voters on its service's idempotency keys.
+// sendVoters sends the voter list of an agent's service to the agent that requested it.
 func (l *controlLoop) sendVoters(now time.Time, to netip.AddrPort, b []byte) {
-	var q control.MemberListRequest
+	var q control.VoterListRequest
 	if err := cbor.Unmarshal(b, &q); err != nil {
 		l.b.metrics.controlRejected.Inc()
 		return
 	}
-	if err := l.link.Send(seal.TopicMemberList, to, l.voters.respond(q, now)); err != nil {
-		l.b.log.Error("list of voters could not be sent to an agent", zap.Error(err))
+	if err := l.link.Send(seal.TopicVoterList, to, l.voters.respond(q, now)); err != nil {
+		l.b.log.Error("voter list could not be sent to an agent", zap.Error(err))
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -67,14 +67,14 @@
 	NoEntry     uint64 = 1 << 63 // the balancer's catalogue has no entry for the service number
 )
 
-// MemberListRequest requests from a balancer the agents of a service that vote on
-// idempotency keys.
-type MemberListRequest struct {
+// VoterListRequest requests from a balancer the voter list of a service: the agents
+// that vote on its idempotency keys.
+type VoterListRequest struct {
 	Service uint32 `cbor:"1,keyasint"`
 	Seq     uint64 `cbor:"2,keyasint"` // returned in the response
 }
 
-// MaxVoters is the maximum length of each list in a MemberListResponse, so that it fits
+// MaxVoters is the maximum length of each list in a VoterListResponse, so that it fits
 // into one datagram.
 const MaxVoters = 32
 
@@ -85,9 +85,9 @@
 	Left bool           `cbor:"3,keyasint,omitempty"`
 }
 
-// MemberListResponse lists a service's voters as the balancer knows them: of the live and
+// VoterListResponse is a service's voter list as the balancer knows it: of the live and
 // of the departed agents, the MaxVoters ones with the lowest hash.
-type MemberListResponse struct {
+type VoterListResponse struct {
 	Seq      uint64           `cbor:"1,keyasint"`
 	Live     []netip.AddrPort `cbor:"2,keyasint"`
 	Departed []DepartedVoter  `cbor:"3,keyasint,omitempty"`
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,8 +13,8 @@
 // fragmentation.
 const maxDatagram = 1300
 
-func voters(n int) MemberListResponse {
-	a := MemberListResponse{Seq: 1 << 40, Complete: true, Serving: 1 << 20}
+func voters(n int) VoterListResponse {
+	a := VoterListResponse{Seq: 1 << 40, Complete: true, Serving: 1 << 20}
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 200, 250, byte(i)}), 7700)
 		a.Live = append(a.Live, addr)
@@ -23,8 +23,8 @@
 	return a
 }
 
-// TestMemberListResponseFitsOneDatagram logs the sizes that docs/CAPACITY.md uses.
-func TestMemberListResponseFitsOneDatagram(t *testing.T) {
+// TestVoterListResponseFitsOneDatagram logs the sizes that docs/CAPACITY.md uses.
+func TestVoterListResponseFitsOneDatagram(t *testing.T) {
 	size := func(v any) int {
 		b, err := cbor.Marshal(v)
 		if err != nil {
@@ -36,7 +36,7 @@
 	three := voters(3)
 	three.Departed = nil
 	t.Logf("encrypted: request %d B, response with 3 live agents %d B, with %d live and as many departed agents %d B",
-		size(MemberListRequest{Service: 1 << 20, Seq: 1 << 40}), size(three), MaxVoters, full)
+		size(VoterListRequest{Service: 1 << 20, Seq: 1 << 40}), size(three), MaxVoters, full)
 	if full > maxDatagram {
 		t.Errorf("encrypted response has %d bytes, want at most %d", full, maxDatagram)
 	}
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -16,14 +16,14 @@
 
 // The topics.
 const (
-	TopicMembership        Topic = iota + 1
-	TopicCatalogue               // a catalogue.Message
-	TopicMemberListRequest       // a control.MemberListRequest to a balancer
-	TopicMemberList              // a control.MemberListResponse to an agent
-	TopicClaim                   // an idempotency.Claim to a voter
-	TopicVote                    // an idempotency.Vote to a requester
-	TopicReport                  // an idempotency.Report to a voter
-	TopicTrace                   // a tracing.Claim to a balancer
+	TopicMembership       Topic = iota + 1
+	TopicCatalogue              // a catalogue.Message
+	TopicVoterListRequest       // a control.VoterListRequest to a balancer
+	TopicVoterList              // a control.VoterListResponse to an agent
+	TopicClaim                  // an idempotency.Claim to a voter
+	TopicVote                   // an idempotency.Vote to a requester
+	TopicReport                 // an idempotency.Report to a voter
+	TopicTrace                  // a tracing.Claim to a balancer
 )
 
 const (
