--- a/internal/standin/platform/caller.go
+++ b/internal/standin/platform/caller.go
@@ -18,24 +18,24 @@
 // balancer that leaves the rotation move.
 type Router struct {
 	balancers []netip.AddrPort // packet addresses
-	pages     []netip.AddrPort // readiness addresses
+	readiness []netip.AddrPort // readiness addresses
 	stop      chan struct{}
 	done      sync.WaitGroup
 
-	mu     sync.Mutex
-	misses []int // by balancer: consecutive probes that did not find it ready
+	mu           sync.Mutex
+	failedProbes []int // by balancer: consecutive probes that did not find it ready
 }
 
 const (
-	probeInterval = 100 * time.Millisecond
-	maxMisses     = 2
+	probeInterval   = 100 * time.Millisecond
+	maxFailedProbes = 2
 )
 
-// NewRouter returns a router to balancers whose readiness it probes at pages.
-func NewRouter(balancers, pages []netip.AddrPort) *Router {
-	r := &Router{balancers: balancers, pages: pages, misses: make([]int, len(pages)), stop: make(chan struct{})}
-	for i := range pages {
-		r.misses[i] = maxMisses
+// NewRouter returns a router to balancers, which probes their readiness addresses.
+func NewRouter(balancers, readiness []netip.AddrPort) *Router {
+	r := &Router{balancers: balancers, readiness: readiness, failedProbes: make([]int, len(readiness)), stop: make(chan struct{})}
+	for i := range readiness {
+		r.failedProbes[i] = maxFailedProbes
 		r.done.Go(func() { r.probe(i) })
 	}
 	return r
@@ -52,15 +52,15 @@
 func (r *Router) probe(i int) {
 	c := http.Client{Timeout: 5 * probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		resp, err := c.Get(fmt.Sprintf("http://%s/api/readiness", r.pages[i]))
+		resp, err := c.Get(fmt.Sprintf("http://%s/api/readiness", r.readiness[i]))
 		ready := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
 			resp.Body.Close()
 		}
 		r.mu.Lock()
-		r.misses[i]++
+		r.failedProbes[i]++
 		if ready {
-			r.misses[i] = 0
+			r.failedProbes[i] = 0
 		}
 		r.mu.Unlock()
 		select {
@@ -76,8 +76,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, m := range r.misses {
-		if m < maxMisses {
+	for _, m := range r.failedProbes {
+		if m < maxFailedProbes {
 			n++
 		}
 	}
@@ -92,7 +92,7 @@
 	var bestScore uint64
 	for _, includeUnready := range [...]bool{false, true} {
 		for i, b := range r.balancers {
-			if r.misses[i] >= maxMisses && !includeUnready {
+			if r.failedProbes[i] >= maxFailedProbes && !includeUnready {
 				continue
 			}
 			h := fnv.New64a()
@@ -121,7 +121,7 @@
 	port  uint16
 }
 
-// NewCaller returns a caller at addr, to which balancers and agents send its packets.
+// NewCaller returns a caller that receives packets at addr.
 func NewCaller(addr netip.AddrPort, router *Router, journal *Journal) (*Caller, error) {
 	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -141,8 +141,8 @@
 	return !s.drained.IsZero()
 }
 
-// Flows returns the number of flows that the server has accepted.
-func (s *Server) Flows() int {
+// AcceptedFlows returns the number of flows that the server has accepted.
+func (s *Server) AcceptedFlows() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestNewRefusesURL(t *testing.T) {
+func TestNewRejectsInvalidURL(t *testing.T) {
 	for _, url := range []string{"", "10.0.0.1:70", "https://a", "http://"} {
 		if _, err := New(Config{URL: url}); err == nil || !strings.Contains(err.Error(), "setting") {
 			t.Errorf("%q: %v", url, err)
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -216,7 +216,7 @@
 	p.Close(context.Background())
 }
 
-func TestOffIsNil(t *testing.T) {
+func TestTracingOff(t *testing.T) {
 	p, err := Open(Config{Exporter: Off}, prometheus.NewRegistry())
 	if p != nil || err != nil {
 		t.Fatalf("%v %v", p, err)
--- a/test/fleet/catalogue.go
+++ b/test/fleet/catalogue.go
@@ -45,7 +45,7 @@
 // SpareAddress returns the n-th address that belongs to no service when the fleet starts.
 func (f *Fleet) SpareAddress(n int) netip.Addr { return f.addr(4, n) }
 
-// Ports returns the ports of all balancers.
+// Ports returns the public ports of all balancers.
 func (f *Fleet) Ports() []uint16 {
 	var ports []uint16
 	for _, b := range f.Balancers {
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -82,7 +82,7 @@
 	cfg       Config
 	net       *loopback.Network
 	authority *pki.Authority
-	fleetKey  string // fleet keys of processes that are started from now on
+	fleetKey  string // fleet keys, a list in one string, of processes that are started from now on
 }
 
 const (
@@ -222,8 +222,9 @@
 	return b
 }
 
-// SetFleetKey sets the fleet keys of processes that are started from now on.
-func (f *Fleet) SetFleetKey(keys string) { f.fleetKey = keys }
+// SetFleetKeys sets the fleet keys, a list in one string, of processes that are started from now
+// on.
+func (f *Fleet) SetFleetKeys(keys string) { f.fleetKey = keys }
 
 // StartAgent starts another agent of a service, with a backend server.
 func (f *Fleet) StartAgent(s Service) *Agent {
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -105,7 +105,8 @@
 // Log returns the output of the process so far.
 func (p *Process) Log() string { return p.log.String() }
 
-// Kill ends the process with SIGKILL, as a crash would, and waits for its end.
+// Kill ends the process with SIGKILL, as a crash would, also if it is frozen, and waits for its
+// end.
 func (p *Process) Kill() {
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -39,8 +39,8 @@
 	slowest                                           time.Duration
 }
 
-// offerLoad runs callers that send one request after another until the time is over.
-func offerLoad(f *fleet.Fleet, callers int, duration time.Duration) *outcomes {
+// generateLoad runs callers that send one request after another until the time is over.
+func generateLoad(f *fleet.Fleet, callers int, duration time.Duration) *outcomes {
 	o := &outcomes{}
 	end := time.Now().Add(duration)
 	var wg sync.WaitGroup
@@ -81,7 +81,7 @@
 func TestOverloadIsRefusedImmediately(t *testing.T) {
 	t.Parallel()
 	f := fleet.Start(t, overloadFleet())
-	n := offerLoad(f, 5*overloadSlots, 2*time.Second)
+	n := generateLoad(f, 5*overloadSlots, 2*time.Second)
 	t.Logf("complete %d refused %d slowest %v", n.complete, n.refused, n.slowest)
 	if n.noRetryAfter+n.lost+n.unexpected > 0 {
 		t.Errorf("%d refusals without Retry-After, %d lost, %d unexpected", n.noRetryAfter, n.lost, n.unexpected)
@@ -101,7 +101,7 @@
 	t.Logf("capacity of the backend servers %.0f/s", capacity)
 	for _, times := range []float64{0.5, 1, 2, 5, 10} {
 		const duration = 5 * time.Second
-		n := offerLoad(f, int(times*overloadSlots), duration)
+		n := generateLoad(f, int(times*overloadSlots), duration)
 		t.Logf("callers %4.1f x slots: goodput %4.0f/s refused %5.0f/s lost %d unexpected %d slowest %v",
 			times, float64(n.complete)/duration.Seconds(), float64(n.refused)/duration.Seconds(), n.lost, n.unexpected, n.slowest)
 	}
--- a/test/packets/evacuate_test.go
+++ b/test/packets/evacuate_test.go
@@ -43,9 +43,9 @@
 	inB[0].process.Kill()
 	inB[0].startProcess()
 	d.await("the new process has applied the evacuation", func() bool { return inB[0].loggedState("evacuated") })
-	before := inB[0].server.Flows() + inB[1].server.Flows()
+	before := inB[0].server.AcceptedFlows() + inB[1].server.AcceptedFlows()
 	d.serve(4, 10, "listing")
-	if after := inB[0].server.Flows() + inB[1].server.Flows(); after > before {
+	if after := inB[0].server.AcceptedFlows() + inB[1].server.AcceptedFlows(); after > before {
 		t.Errorf("%d new flows in the evacuated zone", after-before)
 	}
 	if err := open.Request(ctx, d.requestID(), "listing", true, 500); err != nil {
@@ -59,7 +59,7 @@
 	begun := time.Now()
 	d.await("the zone gets new flows again", func() bool {
 		d.serve(1, 5, "listing")
-		return inB[0].server.Flows()+inB[1].server.Flows() > before
+		return inB[0].server.AcceptedFlows()+inB[1].server.AcceptedFlows() > before
 	})
 	t.Logf("new flows %v after the end of the evacuation", time.Since(begun))
 }
--- a/test/packets/fleet_test.go
+++ b/test/packets/fleet_test.go
@@ -137,12 +137,12 @@
 		d.routes[host(s)] = s
 	}
 	d.configure()
-	var packets, pages []netip.AddrPort
+	var packets, readiness []netip.AddrPort
 	for i := range balancers {
 		v := d.newVM("hemlock-balancer", d.net.Addr(balancerNet, i), "")
 		d.balancers = append(d.balancers, v)
 		packets = append(packets, netip.AddrPortFrom(v.addr, packetPort))
-		pages = append(pages, netip.AddrPortFrom(v.addr, readinessPort))
+		readiness = append(readiness, netip.AddrPortFrom(v.addr, readinessPort))
 	}
 	d.addToSimNet(d.balancers, internalPort)
 	for i, s := range services {
@@ -160,7 +160,7 @@
 	for _, v := range d.agents {
 		v.startServer()
 	}
-	d.router = platform.NewRouter(packets, pages)
+	d.router = platform.NewRouter(packets, readiness)
 	t.Cleanup(d.router.Close)
 	d.await("all balancers in rotation", func() bool { return d.router.Ready() == balancers })
 	return d
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -49,13 +49,13 @@
 	}
 }
 
-// Serves requests of two services, many requests on one flow, and a long response.
+// TestWholePath checks that requests of two services, many requests on one flow, and a long
+// response are answered.
 func TestWholePath(t *testing.T) {
 	d := start(t, 3, "listing", "listing", "records")
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	d.serve(6, 5, "listing", "records")
-	// Many requests on one flow, and a long response.
 	f, err := d.caller(0).Open(ctx, serviceAddr("listing"))
 	if err != nil {
 		t.Fatal(err)
--- a/test/packets/restore_keys_test.go
+++ b/test/packets/restore_keys_test.go
@@ -10,7 +10,7 @@
 // restored from an older copy so quickly that no call of a process failed. The store is restored
 // at several moments of the first seconds of an idle fleet, with and without another process that
 // starts then.
-func TestKeysAfterStoreCameBackAtAnyMoment(t *testing.T) {
+func TestKeysAfterStoreRestoredAtAnyMoment(t *testing.T) {
 	for _, after := range []time.Duration{0, 200 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond, 2500 * time.Millisecond} {
 		for _, starts := range []bool{false, true} {
 			t.Run(fmt.Sprintf("after %v, another starts %v", after, starts), func(t *testing.T) {
--- a/test/packets/restore_start_test.go
+++ b/test/packets/restore_start_test.go
@@ -90,7 +90,7 @@
 	d.serve(2, 5, "listing")
 }
 
-// startWithoutRoute runs a deployment whose configuration has no route to the service records.
+// startWithoutRoute runs a deployment whose configuration has no route to the service "records".
 func startWithoutRoute(t *testing.T, balancers int) *deployment {
 	t.Helper()
 	d := start(t, balancers, "listing", "records")
@@ -99,7 +99,7 @@
 	return d
 }
 
-// addRoute has the operator add the route to the service records, and waits until it is in force.
+// addRoute has the operator add the route to the service "records", and waits until it is in force.
 func (d *deployment) addRoute() {
 	d.t.Helper()
 	d.routes[host("records")] = "records"
@@ -144,7 +144,7 @@
 			for _, v := range inB {
 				d.await("the agent has applied the evacuation", func() bool { return v.loggedState("evacuated") })
 			}
-			before := inB[0].server.Flows() + inB[1].server.Flows()
+			before := inB[0].server.AcceptedFlows() + inB[1].server.AcceptedFlows()
 			rewrite := d.restoreWithoutRewrite(c)
 			d.awaitRestoreDetected()
 			begun := time.Now()
@@ -161,13 +161,13 @@
 			}
 			rewrite()
 			d.serve(4, 10, "listing")
-			if after := inB[0].server.Flows() + inB[1].server.Flows(); after > before {
+			if after := inB[0].server.AcceptedFlows() + inB[1].server.AcceptedFlows(); after > before {
 				t.Errorf("%d new flows in the evacuated zone", after-before)
 			}
 			d.endEvacuation("b")
 			d.await("the zone gets new flows again", func() bool {
 				d.serve(1, 5, "listing")
-				return inB[0].server.Flows()+inB[1].server.Flows() > before
+				return inB[0].server.AcceptedFlows()+inB[1].server.AcceptedFlows() > before
 			})
 		})
 	}
--- a/test/packets/restore_test.go
+++ b/test/packets/restore_test.go
@@ -11,9 +11,10 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// applyLimit is the time after the store's acknowledgement of a change within which the change
-// has to be in force at every balancer.
-const applyLimit = 3 * time.Second
+// changeLimit is the time after the store's acknowledgement of a change within which the change
+// has to be in force at every balancer, on links without a rate limit. slowLinkChangeLimit is the
+// limit on slow links.
+const changeLimit = 3 * time.Second
 
 // restore makes the store unavailable until a call of a balancer has failed, and restores it from
 // c. The operator rewrites its keys at once.
@@ -30,11 +31,11 @@
 	return rewrite
 }
 
-// Guards against configuration changes that take 3.3 s to be in force after the store was restored
-// from an older copy, which reissues revisions. Processes that compare values by revision alone,
-// without the store era, drop each new value as older than theirs, and the watcher reads the store
-// 82 times a second, since it watches from a revision not yet reached again.
-func TestChangesAfterStoreCameBackFromOlderCopy(t *testing.T) {
+// Guards against changes that are in force only after 3.3 s, and a watcher that reads the store 82
+// times a second, once the store was restored from an older copy and reissues revisions. Processes
+// that compare values by revision alone, without the store era, drop each new value as older than
+// their own, and the watcher watches from a revision that the store has not reached again.
+func TestChangesAfterStoreRestoredFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing", "listing")
 	c := d.store.Backup()
 	for range 5 {
@@ -52,8 +53,8 @@
 		for _, b := range d.balancers {
 			d.await("the change is in force", func() bool { return b.inForce(d.revision) })
 		}
-		if took := time.Since(acknowledged); took > applyLimit {
-			t.Errorf("the change is in force after %v, want %v at most", took, applyLimit)
+		if took := time.Since(acknowledged); took > changeLimit {
+			t.Errorf("the change is in force after %v, want %v at most", took, changeLimit)
 		}
 	}
 	d.serve(2, 5, "listing")
@@ -64,10 +65,11 @@
 const keyRestoreLimit = 2 * time.Second
 
 // Guards against an agent whose key is missing after the store was restored from a copy older
-// than the key. Balancers that start would not find the agent until it renews its lease, up to
-// 14 s later. If leases are compared by number without the store era, even the renewal is answered
-// with 200, since the restored store has granted the number again to another process.
-func TestKeysAfterStoreCameBackFromOlderCopy(t *testing.T) {
+// than the key. Balancers that start would not find the agent until the next regular renewal of
+// its lease, up to 14 s later. If leases are compared by number without the store era, even the
+// renewal is answered with 200, since the restored store has granted the number again to another
+// process.
+func TestKeysAfterStoreRestoredFromOlderCopy(t *testing.T) {
 	d := start(t, 2, "listing")
 	c := d.store.Backup()
 	late := d.addAgent("listing")
@@ -116,7 +118,7 @@
 	d.evacuate("b")
 	inB := d.agents[1]
 	d.await("the agent has applied the evacuation", func() bool { return inB.loggedState("evacuated") })
-	before := inB.server.Flows()
+	before := inB.server.AcceptedFlows()
 	rewrite := d.restoreWithoutRewrite(c)
 	d.awaitRestoreDetected()
 	for end := time.Now().Add(rewriteDelay); time.Now().Before(end); {
@@ -124,13 +126,13 @@
 	}
 	rewrite()
 	d.serve(4, 10, "listing")
-	if after := inB.server.Flows(); after > before {
+	if after := inB.server.AcceptedFlows(); after > before {
 		t.Errorf("%d new flows in the evacuated zone", after-before)
 	}
 	d.endEvacuation("b")
 	d.await("the zone gets new flows again", func() bool {
 		d.serve(1, 5, "listing")
-		return inB.server.Flows() > before
+		return inB.server.AcceptedFlows() > before
 	})
 }
 
--- a/test/packets/slow_link_test.go
+++ b/test/packets/slow_link_test.go
@@ -7,9 +7,10 @@
 	"github.com/hemlockscale/hemlockscale/internal/standin/platform"
 )
 
-// inForceLimit is the time within which a configuration change has to be in force at every
-// balancer.
-const inForceLimit = 5 * time.Second
+// slowLinkChangeLimit is the time within which a configuration change of thousands of routes has to
+// be in force at every balancer on slow links. It is longer than changeLimit because the transfer
+// takes time.
+const slowLinkChangeLimit = 5 * time.Second
 
 // limitLinks gives every balancer a link of the given rate, shared by what it receives from the
 // store and what it sends to other balancers.
@@ -44,8 +45,8 @@
 		d.configure()
 		took := d.awaitInForce(begun)
 		t.Logf("%d unused routes are in force after %v", idle, took)
-		if took > inForceLimit {
-			t.Errorf("%d unused routes are in force after %v, want %v at most", idle, took, inForceLimit)
+		if took > slowLinkChangeLimit {
+			t.Errorf("%d unused routes are in force after %v, want %v at most", idle, took, slowLinkChangeLimit)
 		}
 	}
 	d.serve(2, 3, "listing", "records")
--- a/test/packets/soak_faults_test.go
+++ b/test/packets/soak_faults_test.go
@@ -274,9 +274,9 @@
 }
 
 const (
-	// soakLinkBytesPerS is the rate of a balancer's link in a thinSoak.
+	// soakLinkBytesPerS is the rate of a balancer's link in a slowLinkSoak.
 	soakLinkBytesPerS = 1_000_000
-	// soakMaxUnusedRoutes bounds the number of unused routes in a thinSoak.
+	// soakMaxUnusedRoutes bounds the number of unused routes in a slowLinkSoak.
 	soakMaxUnusedRoutes = 5000
 )
 
--- a/test/packets/soak_test.go
+++ b/test/packets/soak_test.go
@@ -37,14 +37,14 @@
 	// directSoak has processes that reach each other directly. Faults of connections to the
 	// store apply to all processes at once.
 	directSoak soakKind = iota
-	// wiredSoak injects faults into datagrams between processes too, and store faults that
+	// networkFaultSoak injects faults into datagrams between processes too, and store faults that
 	// apply to single processes.
-	wiredSoak
-	// restoredSoak is wiredSoak with a store that is restored from older copies of itself.
+	networkFaultSoak
+	// restoredSoak is networkFaultSoak with a store that is restored from older copies of itself.
 	restoredSoak
-	// thinSoak is wiredSoak on slow links, with a configuration that grows and shrinks by
+	// slowLinkSoak is networkFaultSoak on slow links, with a configuration that grows and shrinks by
 	// thousands of routes.
-	thinSoak
+	slowLinkSoak
 )
 
 // soakCase is one run of the soak test.
@@ -57,17 +57,17 @@
 	return fmt.Sprintf("%s seed=%d", [...]string{"direct", "wired", "restored", "thin"}[c.kind], c.seed)
 }
 
-// regressions are cases that once failed, each with the failure that it guards against.
+// regressions are fault sequences that each cover one failure, which is stated beside it.
 var regressions = []soakCase{
-	{directSoak, 1},  // two balancers did not know each other, and one lacked an agent that the other knew
-	{directSoak, 2},  // a recently started balancer that knew no other balancer assumed that its agents were all agents
-	{directSoak, 4},  // a balancer did not know an agent that had started while the store was unavailable
-	{directSoak, 5},  // as seed 4, and flows of two agents were reset
-	{directSoak, 7},  // a flow was reset while its server held it; the likely cause is that of wired seed 7
-	{directSoak, 10}, // an agent ended right after its start with an empty log; the likely, unproved cause is SIGHUP
-	{wiredSoak, 7},   // a flow that an agent had only queried at its server was counted as lost with the server's instance
-	{wiredSoak, 34},  // as seed 7
-	{wiredSoak, 10},  // a balancer missed the message that announces a new agent, and reset its flows
+	{directSoak, 1},        // two balancers don't know each other, and one lacks an agent that the other knows
+	{directSoak, 2},        // a recently started balancer that knows no other balancer assumes that its agents are all agents
+	{directSoak, 4},        // a balancer doesn't know an agent that has started while the store was unavailable
+	{directSoak, 5},        // a balancer doesn't know an agent that has started while the store was unavailable, and flows of two agents are reset
+	{directSoak, 7},        // a flow is reset while its server holds it; cause unknown, possibly a flow that an agent has only queried is counted as lost
+	{directSoak, 10},       // an agent ends right after its start with an empty log; cause unknown, possibly SIGHUP
+	{networkFaultSoak, 7},  // a flow that an agent has only queried at its server is counted as lost with the server's instance
+	{networkFaultSoak, 34}, // a flow that an agent has only queried at its server is counted as lost with the server's instance
+	{networkFaultSoak, 10}, // a balancer misses the message that announces a new agent, and resets the agent's flows
 }
 
 // TestSoak injects faults into running processes in an order that the seed determines, while
@@ -76,7 +76,7 @@
 func TestSoak(t *testing.T) {
 	cases := regressions
 	for _, seed := range parseSeeds(t, *soakSeeds) {
-		cases = append(cases, soakCase{wiredSoak, seed}, soakCase{restoredSoak, seed}, soakCase{thinSoak, seed})
+		cases = append(cases, soakCase{networkFaultSoak, seed}, soakCase{restoredSoak, seed}, soakCase{slowLinkSoak, seed})
 	}
 	for _, c := range cases {
 		t.Run(c.String(), func(t *testing.T) { soak(t, c) })
@@ -140,7 +140,7 @@
 		deployment: d, kind: c.kind, rng: rand.New(rand.NewPCG(c.seed, 1)),
 		proxies: map[*vm]*toxiproxy.Proxy{}, faulty: map[*vm]bool{}, networkFaults: map[*vm]vmNetworkFault{},
 	}
-	if c.kind == thinSoak {
+	if c.kind == slowLinkSoak {
 		d.limitLinks(soakLinkBytesPerS)
 	}
 	s.proxyStore()
@@ -236,7 +236,7 @@
 	if s.kind == restoredSoak {
 		actions = append(actions, s.restoreStore, s.restoreStore)
 	}
-	if s.kind == thinSoak {
+	if s.kind == slowLinkSoak {
 		actions = append(actions, s.resizeConfig, s.resizeConfig)
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -292,9 +292,9 @@
 	})
 	switch s.kind {
 	case restoredSoak:
-		s.checkInForceWithin(s.changeConfig, applyLimit)
-	case thinSoak:
-		s.checkInForceWithin(s.resizeConfig, inForceLimit)
+		s.checkInForceWithin(s.changeConfig, changeLimit)
+	case slowLinkSoak:
+		s.checkInForceWithin(s.resizeConfig, slowLinkChangeLimit)
 	}
 }
 
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -18,7 +18,7 @@
 	os.Exit(code)
 }
 
-// kanatpar is a small version of the first user's deployment.
+// kanatpar returns a small fleet of an exchange, with an interactive and a download service.
 func kanatpar() fleet.Config {
 	return fleet.Config{
 		Balancers: 3,
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestWholePath serves short requests, feeds and downloads through a fabric that sends each packet
-// to any of three balancers.
+// TestWholePath checks that short requests, feeds and downloads are answered through a fabric that
+// sends each packet to any of three balancers.
 func TestWholePath(t *testing.T) {
 	f := fleet.Start(t, kanatpar())
 	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -60,7 +60,7 @@
 				{Name: "listing", Owner: "exchange", Class: catalogue.ClassInteractive, Backends: 4, Limits: c.limits, RequestDuration: c.work},
 			}})
 			r := &refusals{t: t, reasons: make(map[string]int)}
-			r.offer(f, c)
+			r.sendReservations(f, c)
 			r.check(f, c.reason)
 		})
 	}
@@ -75,8 +75,8 @@
 	reasons map[string]int
 }
 
-// offer has callers send reservations until the expected reason was given often enough.
-func (r *refusals) offer(f *fleet.Fleet, c refusalCase) {
+// sendReservations has callers send reservations until the expected reason was given often enough.
+func (r *refusals) sendReservations(f *fleet.Fleet, c refusalCase) {
 	// Twice as many callers as slots and queue places in the smallest case.
 	const callers, enough = 16, 30
 	ctx, cancel := context.WithTimeout(context.Background(), fleet.WaitLimit)
--- a/test/survive_test.go
+++ b/test/survive_test.go
@@ -156,11 +156,11 @@
 	const second = "2:101112131415161718191a1b1c1d1e1f"
 	f := fleet.Start(t, kanatpar())
 	l := openFlows(t, f, flowsPerService, 14*time.Second)
-	f.SetFleetKey(fleet.FleetKey + "," + second)
+	f.SetFleetKeys(fleet.FleetKey + "," + second)
 	for i := range f.Balancers {
 		replaceBalancer(t, f, i)
 	}
-	f.SetFleetKey(second + "," + fleet.FleetKey)
+	f.SetFleetKeys(second + "," + fleet.FleetKey)
 	f.StartAgent(kanatpar().Services[0])
 	f.StartAgent(kanatpar().Services[1])
 	f.WaitReady()
