--- a/cmd/hemlockctl/edit.go
+++ b/cmd/hemlockctl/edit.go
@@ -59,7 +59,7 @@
 	Revision uint64             `json:"revision,omitempty"`
 	Edit     string             `json:"edit,omitempty"`
 	Error    string             `json:"error,omitempty"`
-	Next     string             `json:"next,omitempty"`    // the command that resolves an unknown outcome
+	Next     string             `json:"next,omitempty"`    // the settle command that resolves an unknown outcome
 	Changes  []catalogue.Change `json:"changes,omitempty"` // made by the edit, or conflicting with it
 }
 
@@ -68,7 +68,8 @@
 	return nil
 }
 
-func (c *cli) resolveEdit(ctx context.Context) error {
+// settle finds out whether an edit whose response was lost is in force.
+func (c *cli) settle(ctx context.Context) error {
 	id, err := catalogue.ParseEditID(c.settings.edit)
 	if err != nil {
 		return usagef("%v", err)
--- a/cmd/hemlockctl/main.go
+++ b/cmd/hemlockctl/main.go
@@ -4,7 +4,7 @@
 //
 // Exit codes: 0 accepted or shown; 1 refused or failed, no part of the edit named
 // in the message is in force; 2 invalid usage or settings; 3 unknown whether an
-// edit is in force, the printed command resolves it.
+// edit is in force, the printed settle command finds out.
 package main
 
 import (
@@ -51,14 +51,14 @@
 var commands = []command{
 	{"apply", "", "create or replace the entries of a file; each edit applies completely or not at all", editFlags, (*cli).applyFile},
 	{"delete", "SERVICE...", "delete entries of one owner", deleteFlags, (*cli).deleteServices},
-	{"settle", "", "find out whether an edit whose response was lost is in force", settleFlags, (*cli).resolveEdit},
+	{"settle", "", "find out whether an edit whose response was lost is in force", settleFlags, (*cli).settle},
 	{"check", "", "validate a file without access to the store", fileFlags, (*cli).check},
 	{"diff", "", "show what applying a file would change", fileFlags, (*cli).diff},
 	{"get", "SERVICE", "show one entry as a file that apply accepts", nil, (*cli).get},
 	{"list", "", "list all entries", nil, (*cli).list},
 	{"history", "", "list the changes that the store keeps", historyFlags, (*cli).history},
 	{"platform", "", "show the contents of the platform's store and the state as known to processes, read-only", platformFlags, (*cli).platform},
-	{"flow", "CALLER LOG...", "show the timeline of one flow from the logs of several processes", timelineFlags, (*cli).flow},
+	{"flow", "CALLER LOG...", "show the timeline of one flow from the logs of several processes", flowFlags, (*cli).flow},
 	{"status", "", "show the revision in force at each balancer", statusFlags, (*cli).status},
 }
 
--- a/cmd/hemlockctl/timeline.go
+++ b/cmd/hemlockctl/timeline.go
@@ -20,8 +20,8 @@
 // that names the file.
 const maxLogLine = 1 << 20
 
-// timelineFlags defines the flags of the flow command.
-func timelineFlags(fs *flag.FlagSet, s *settings) {
+// flowFlags defines the flags of the flow command.
+func flowFlags(fs *flag.FlagSet, s *settings) {
 	fs.DurationVar(&s.around, "around", 0, "also show lines without a flow, such as state changes, from this long before the flow's first line to this long after its last")
 }
 
@@ -195,6 +195,7 @@
 	return timeline
 }
 
+// showTimeline prints the timeline that the flow command has selected.
 func (c *cli) showTimeline(timeline []logLine) error {
 	if c.output == outJSON {
 		return writeJSON(c.out, timeline)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -3,7 +3,7 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	unknownDatagrams prometheus.Counter
+	unknownDatagrams prometheus.Counter // hemlock_agent_strange_datagrams_total
 	foreignPackets   prometheus.Counter
 	forwarded        prometheus.Counter
 	noReturnPath     prometheus.Counter
--- a/internal/agent/paths_test.go
+++ b/internal/agent/paths_test.go
@@ -53,8 +53,9 @@
 }
 
 // TestOnePathThroughTwoBalancers guards against open downloads that stall for 7.5 s after a
-// balancer has failed, when a caller's packets arrive through two balancers. With the balancer
-// in the path's address, each path has one return path only and QUIC sees a migrating caller.
+// balancer has failed, when a caller's packets arrive through two balancers. If the
+// balancer were part of the path's address, each path would have only one return path, and QUIC
+// would treat every switch as a migration.
 func TestOnePathThroughTwoBalancers(t *testing.T) {
 	c := newPathTest()
 	if a, b := c.receive(testKey, balancerA), c.receive(testKey, balancerB); a != b {
@@ -278,8 +279,8 @@
 	}
 }
 
-// TestStalledPathIsReported guards against a download that stalls without a line in its agent's
-// log, as one of eight did for 88 s. A path that does not respond is reported once per stall,
+// TestStalledPathIsReported guards against downloads that stall, such as one of eight for 88 s,
+// without a line in their agent's log. A path that does not respond is reported once per stall,
 // and many stalled paths in one report per second.
 func TestStalledPathIsReported(t *testing.T) {
 	c := newPathTest()
--- a/internal/agent/spacing.go
+++ b/internal/agent/spacing.go
@@ -19,8 +19,8 @@
 //
 // If half of the balancers have failed, the network loses half of the packets that callers
 // send. QUIC sends two packets when its timer fires. They arrive together, and the caller
-// sends one acknowledgement for both. Each lost acknowledgement doubles the timer, which
-// stalled some flows for a minute. Two packets that arrive apart are acknowledged separately.
+// sends one acknowledgement for both. Each lost acknowledgement doubles the timer, so
+// a flow may stall for a minute. Two packets that arrive apart are acknowledged separately.
 type spacing struct {
 	until  time.Time
 	sentAt time.Time
--- a/internal/agent/stalls.go
+++ b/internal/agent/stalls.go
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%v %s, nothing received for %v, delivery rate %.2f", s.balancer, s.grade, s.sinceReceived.Round(time.Millisecond), s.deliveryRate)
 }
 
-// String returns the grade's name in log lines.
+// String returns the grade's name in log lines, which is "dead" for gradeFailed.
 func (g grade) String() string { return [...]string{"dead", "excluded", "usable"}[g] }
 
 // stalls reports stalled paths. Without its log lines the cause of a hanging download can't be
--- a/internal/balancer/clock.go
+++ b/internal/balancer/clock.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// batchClock holds the time at which the current batch of packets was read. Reading the
-// system clock for each packet costs a fifth of the decision on a first packet, and
-// occupancy estimates have a resolution of 10 ms.
+// batchClock holds the time at which the current batch of packets was read. A clock
+// read for each packet would take a fifth of the time of the decision on a first packet,
+// and is not needed, since occupancy estimates have a resolution of 10 ms.
 type batchClock struct {
 	nanos atomic.Int64 // since the Unix epoch; 0 before the first batch
 }
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -7,7 +7,7 @@
 type metrics struct {
 	packets          [verdictCount]prometheus.Counter
 	returned         prometheus.Counter
-	unknownDatagrams prometheus.Counter
+	unknownDatagrams prometheus.Counter // hemlock_balancer_strange_datagrams_total
 	sendErrors       prometheus.Counter
 	controlOverflow  prometheus.Counter
 	controlRejected  prometheus.Counter
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -72,7 +72,7 @@
 	d := &Daemon{Log: log, Registry: prometheus.NewRegistry(), Mux: http.NewServeMux(), admin: ln, stops: cfg.StopSignals}
 	d.ring = ring
 	d.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Name: "hemlock_log_lines_dropped_total", Help: "Log lines dropped because the log buffer was full.",
+		Name: "hemlock_log_lines_dropped_total", Help: "Log lines dropped because the log ring was full.",
 	}, ring.droppedMetric))
 	d.Mux.Handle("GET /metrics", metricsPage(d.Registry))
 	d.Mux.HandleFunc("GET /ready", d.serveReady)
@@ -244,8 +244,8 @@
 }
 
 // settingsPollInterval is the time between two checks for settings that have changed
-// without a signal. Reading a file of 2 KB takes 20 us, and no setting has to
-// take effect sooner.
+// without a signal. A check reads a file of 2 KB, which takes 20 us; no setting
+// has to take effect sooner.
 const settingsPollInterval = 3 * time.Second
 
 // addReload adds the goroutine that reloads the settings on SIGHUP and when they have
--- a/internal/daemon/logring.go
+++ b/internal/daemon/logring.go
@@ -14,9 +14,10 @@
 // bounds the memory that the ring uses besides its pending lines.
 const maxBatchSize = 16 << 10
 
-// LogRing accepts log lines without blocking. A goroutine writes them; a line that
-// arrives while the ring is full is dropped and counted. Otherwise a stopped reader
-// of the log would stop the forwarding of packets.
+// LogRing is a bounded queue that accepts log lines without blocking. A goroutine writes
+// them. While the ring is full, new lines are dropped and counted; lines in the ring are
+// never overwritten. If Write blocked, a stopped reader of the log would stop the
+// forwarding of packets.
 type LogRing struct {
 	lines   chan []byte
 	dropped atomic.Uint64
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -10,7 +10,8 @@
 )
 
 // Guards against monitoring without the system's own metrics: monitoring keeps the first
-// kilobytes of a page, and go_ sorts before hemlock_, so it kept 58 lines on the Go runtime.
+// kilobytes of a page, and go_ sorts before hemlock_, so the runtime's metrics (58 lines) would
+// fill it.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(prometheus.NewCounter(prometheus.CounterOpts{Name: "hemlock_trials_total", Help: "test counter"}))
--- a/internal/flowagent/agent.go
+++ b/internal/flowagent/agent.go
@@ -76,7 +76,7 @@
 
 	registrar         *node.Registrar
 	heartbeatTime     prometheus.Histogram
-	invalidHeartbeats prometheus.Counter
+	invalidHeartbeats prometheus.Counter // hemlock_heartbeats_wrong_total
 
 	eventOutput     *node.Output // guarded by eventMu
 	invalidLoggedAt time.Time    // when an invalid heartbeat was last logged; guarded by eventMu
@@ -185,9 +185,10 @@
 func (a *Agent) Close() { a.cancel() }
 
 // Drain implements daemon.Part. The platform stops an agent after its server has ended.
-// The agent notifies the balancers at once, and removes its key from the store for those
-// that start later: if the key stayed until its lease expires, the lookups of every
-// balancer that starts within 45 s would wait for an agent that never answers.
+// The agent notifies the balancers at once, and removes its key from the store for
+// balancers that start later: if the key stayed until its lease expires, up to 45 s (the
+// lease's TTL), the lookups of every balancer that starts in that time would wait for an
+// agent that never answers.
 func (a *Agent) Drain(ctx context.Context) {
 	a.handleEvent(func(now time.Time) { a.gate.Close(now) })
 	a.registrar.Deregister(ctx)
--- a/internal/flowbalancer/relay_bench_test.go
+++ b/internal/flowbalancer/relay_bench_test.go
@@ -37,19 +37,19 @@
 	sink := relay.Listen(b)
 	go relay.Drain(sink)
 	agent := sink.LocalAddr()
-	l := newBenchBalancer(b, agent)
+	bal := newBenchBalancer(b, agent)
 	var packets [][]byte
 	for i := range relayFlows {
 		h := standin.Header{Src: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)), Dst: relayService}
 		h.Flags = standin.FlagSyn
-		l.openFlow(b, agent, h.Encode())
+		bal.openFlow(b, agent, h.Encode())
 		h.Flags = standin.FlagAck
 		h.Data = make([]byte, size-platform.HeaderSize)
 		packets = append(packets, h.Encode())
 	}
-	r, out := udp.NewReader(l.callers), l.output()
-	whole := &relay.Relay{To: l.callers.LocalAddr(), Step: func() int {
-		n, err := l.receiveCallerBatch(r, out)
+	r, out := udp.NewReader(bal.callers), bal.output()
+	whole := &relay.Relay{To: bal.callers.LocalAddr(), Step: func() int {
+		n, err := bal.receiveCallerBatch(r, out)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 // newBenchBalancer returns a balancer with one known agent, which accepts new flows.
 func newBenchBalancer(b *testing.B, agent netip.AddrPort) benchBalancer {
 	b.Helper()
-	l, err := New(Config{
+	bal, err := New(Config{
 		Settings:  node.Settings{Zone: "a", IP: loopback.Addr(), Packets: loopback, Readiness: loopback, MaxFlowAge: time.Hour},
 		Codec:     platform.Packets{},
 		Readiness: platform.ReadinessHandler,
@@ -72,24 +72,24 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		l.callers.Close()
-		l.internal.Close()
-		l.readinessListener.Close()
-		l.ordersListener.Close()
+		bal.callers.Close()
+		bal.internal.Close()
+		bal.readinessListener.Close()
+		bal.ordersListener.Close()
 	})
-	l.director.SetRoutes(flow.NewRoutes(1, 0, map[netip.AddrPort]flow.Route{relayService: {Service: flow.IDOf("listing")}}))
-	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Report, State: flow.ServerReady, Service: flow.IDOf("listing")}, nil, nil)
-	return benchBalancer{l}
+	bal.director.SetRoutes(flow.NewRoutes(1, 0, map[netip.AddrPort]flow.Route{relayService: {Service: flow.IDOf("listing")}}))
+	bal.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Report, State: flow.ServerReady, Service: flow.IDOf("listing")}, nil, nil)
+	return benchBalancer{bal}
 }
 
 // openFlow processes a flow's first packet and the agent's acceptance of the flow.
-func (l benchBalancer) openFlow(b *testing.B, agent netip.AddrPort, packet []byte) {
+func (bal benchBalancer) openFlow(b *testing.B, agent netip.AddrPort, packet []byte) {
 	b.Helper()
-	s, ok := l.cfg.Codec.FromCaller(packet)
+	s, ok := bal.cfg.Codec.FromCaller(packet)
 	if !ok {
 		b.Fatal("the codec does not decode the caller's packet")
 	}
-	l.director.FromCaller(node.Now(), s, packet)
-	l.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Taken, State: flow.ServerReady, Service: flow.IDOf("listing"), Key: s.Key}, nil, nil)
-	l.director.Effects()
+	bal.director.FromCaller(node.Now(), s, packet)
+	bal.director.FromAgent(node.Now(), agent, &flow.Message{Kind: flow.Taken, State: flow.ServerReady, Service: flow.IDOf("listing"), Key: s.Key}, nil, nil)
+	bal.director.Effects()
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -39,7 +39,7 @@
 }
 
 func (e *NoNewerValueError) Error() string {
-	return fmt.Sprintf("none of %d other processes returned a newer value, other processes or the store are tried next; last result: %v", e.Requested, e.Last)
+	return fmt.Sprintf("none of %d other processes returned a newer value: read it from the store; last result: %v", e.Requested, e.Last)
 }
 
 func (e *NoNewerValueError) Unwrap() error { return e.Last }
@@ -232,7 +232,8 @@
 	r.exchange.End()
 }
 
-// receive reads the value of a response that has a newer one.
+// receive reads the newer value in a response. For status 304 it is the known data under the
+// response's version.
 func (c *ValueClient) receive(response valueResponse, known store.Value) (ReceivedValue, error) {
 	defer response.close()
 	version, err := response.version()
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -26,7 +26,7 @@
 type OrdersError struct{ Reason string }
 
 func (e *OrdersError) Error() string {
-	return fmt.Sprintf("orders can't be decoded: invalid %s; the value is corrupt or of a process of another version and is read from the store instead", e.Reason)
+	return fmt.Sprintf("orders can't be decoded: invalid %s; the value is corrupt or was encoded by another program version: run the same version on all processes", e.Reason)
 }
 
 // Encode returns the orders as one value: the number of zones, each zone's name preceded by
--- a/internal/node/registrar.go
+++ b/internal/node/registrar.go
@@ -106,9 +106,9 @@
 	// from an older copy and the renewal of the lease. Keys have to be back within two seconds.
 	reclaimJitter = 500 * time.Millisecond
 	// retryBase and retryMax bound the delay between retries of failed calls. Keys have to be
-	// back within two seconds of the store's return. Refused calls cost as much as others: if
-	// processes retried every 1 s, and every 150 ms while they start, an outage for some of 82
-	// processes would cause a third more calls in a day, 2,070 instead of 1,594.
+	// back within two seconds of the store's return. Refused calls cost as much as others: with
+	// retries every 1 s, and every 150 ms at the start, 82 processes make a third more calls on
+	// a day with a partial outage of the store, 2,070 instead of 1,594.
 	retryBase = 200 * time.Millisecond
 	retryMax  = 1800 * time.Millisecond
 )
@@ -129,7 +129,7 @@
 	// is the first to show that the store was restored from an older copy. version is the
 	// lowest version of the new store era.
 	StoreRestored func(version uint64)
-	InvalidKeys   prometheus.Counter // keys that are no valid registration, counted at every read
+	InvalidKeys   prometheus.Counter // hemlock_store_keys_wrong_total: keys that are no valid registration, counted at every read
 	Log           *zap.Logger
 
 	mu           sync.Mutex // guards lease
@@ -188,8 +188,8 @@
 // ObserveVersion records the version of a value that any process has read from the store. If
 // it is of a later store era than the lease, the store was restored from an older copy and
 // may lack this process's key, so the lease is renewed soon. The next regular renewal would
-// detect the loss up to 14 s later, and processes that start until then would not find this
-// process.
+// detect the loss up to renewInterval (14 s) later, and processes that start until
+// then would not find this process.
 func (r *Registrar) ObserveVersion(version uint64) {
 	era := store.EraOf(version)
 	if uint64(era) <= r.latestEra.Load() {
--- a/internal/node/spans_test.go
+++ b/internal/node/spans_test.go
@@ -25,7 +25,8 @@
 
 func (spanRecorder) Shutdown(context.Context) error { return nil }
 
-// newTestSpans returns the spans of a process; end closes it and returns the exported spans.
+// newTestSpans returns the spans of a process; end closes the tracing
+// provider and returns the exported spans.
 func newTestSpans(t *testing.T, sample float64) (s *Spans, end func() []sdk.ReadOnlySpan) {
 	t.Helper()
 	k := spanRecorder{spans: make(chan sdk.ReadOnlySpan, 100)}
--- a/internal/tracing/flow.go
+++ b/internal/tracing/flow.go
@@ -108,7 +108,7 @@
 type flowKey struct{}
 
 // WithFlowSpan returns a context in which the next span is started with the identity
-// span. The trace ID of span is used only if the started span has no parent.
+// given by span. The trace ID of span is used only if the started span has no parent.
 func WithFlowSpan(ctx context.Context, span FlowSpan) context.Context {
 	return context.WithValue(ctx, flowKey{}, span)
 }
--- a/internal/tracing/http.go
+++ b/internal/tracing/http.go
@@ -30,8 +30,8 @@
 // SampleFunc reports whether a request is traced, and returns the links of its span.
 type SampleFunc func(r *http.Request, parent trace.SpanContext) (links []trace.Link, ok bool)
 
-// Wrap returns a handler that records a span around each request that decide
-// samples. The span is a child of the span in the request's traceparent header;
+// Wrap returns a handler that records a span around each request for which
+// decide returns true. The span is a child of the span in the request's traceparent header;
 // h receives the request with the new span in that header, so that calls which
 // pass it on become children. Wrap returns h itself when tracing is off.
 func (p *Provider) Wrap(h http.Handler, decide SampleFunc) http.Handler {
--- a/internal/tracing/queue.go
+++ b/internal/tracing/queue.go
@@ -25,7 +25,7 @@
 // drops: without that count, a dropped span looks like a hop that the call did not pass.
 type queue struct {
 	exporter sdk.SpanExporter
-	ring     chan sdk.ReadOnlySpan
+	pending  chan sdk.ReadOnlySpan
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     chan struct{}
@@ -42,7 +42,7 @@
 	}
 	q := &queue{
 		exporter: e,
-		ring:     make(chan sdk.ReadOnlySpan, queueCapacity),
+		pending:  make(chan sdk.ReadOnlySpan, queueCapacity),
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
 		dropped:  counter("spans_dropped_total", "Spans dropped because the queue was full."),
@@ -59,7 +59,7 @@
 // OnEnd implements sdk.SpanProcessor.
 func (q *queue) OnEnd(s sdk.ReadOnlySpan) {
 	select {
-	case q.ring <- s:
+	case q.pending <- s:
 	default:
 		q.dropped.Inc()
 	}
@@ -73,7 +73,7 @@
 	batch := make([]sdk.ReadOnlySpan, 0, maxBatchLen)
 	for {
 		select {
-		case s := <-q.ring:
+		case s := <-q.pending:
 			batch = append(batch, s)
 			if len(batch) < maxBatchLen {
 				continue
@@ -91,7 +91,7 @@
 func (q *queue) drain(batch []sdk.ReadOnlySpan) {
 	for {
 		select {
-		case s := <-q.ring:
+		case s := <-q.pending:
 			batch = append(batch, s)
 		default:
 			q.export(batch)
