--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -58,11 +58,11 @@
 // BenchmarkVoters measures the choice of five voters among 611 processes.
 func BenchmarkVoters(b *testing.B) {
 	e := NewElectorate(t0, Config{})
-	var r MemberList
+	var list VoterList
 	for i := range 611 {
-		r.Live = append(r.Live, addrPort(i))
+		list.Live = append(list.Live, addrPort(i))
 	}
-	e.Update(t0, r)
+	e.Update(t0, list)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		e.voters(benchKey(i))
--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -20,8 +20,8 @@
 type Config struct {
 	Window    time.Duration // a request runs at most once for a key within it; default DefaultWindow
 	Expiry    time.Duration // from the request for votes to the first byte; default DefaultExpiry
-	Skew      time.Duration // until each requester knows of a change of the member list; default DefaultSkew
-	Freshness time.Duration // a member list not confirmed for longer isn't used; default DefaultFreshness
+	Skew      time.Duration // until each requester knows of a change of the voter list; default DefaultSkew
+	Freshness time.Duration // a voter list not confirmed for longer isn't used; default DefaultFreshness
 	Retention time.Duration // how long a failed process is still counted; default DefaultRetention
 	Resend    time.Duration // until the claim is sent again to a voter that didn't answer; default DefaultResend
 	Drift     float64       // bound on the relative drift of two clocks; default DefaultDrift
@@ -61,7 +61,7 @@
 	return time.Duration(float64(c.Window+2*c.Expiry) * (1 + 2*c.Drift))
 }
 
-// Fence is how long a process that was added to the member list doesn't vote,
+// Fence is how long a process that was added to the voter list doesn't vote,
 // unless it accepts a handover of the votes of its predecessor.
 func (c Config) Fence() time.Duration {
 	c = c.withDefaults()
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,7 +1,7 @@
 // Package idempotency lets a request with an idempotency key run at most once
 // within its repeat window. This holds even if the caller repeats the request on a
 // new connection at another agent, if the first agent was killed, or paused and
-// resumed, and while the member lists of processes differ.
+// resumed, and while the voter lists of processes differ.
 //
 // Each key has a few voters: the [Config.Voters] processes of the electorate with
 // the highest rendezvous hash scores. Before the first byte of a request goes to
@@ -11,7 +11,7 @@
 // [Config.VoteRetention]. Two claims would need two majorities, which share a
 // voter.
 //
-// Majorities of differing member lists share a voter because of one rule: a
+// Majorities of differing voter lists share a voter because of one rule: a
 // process votes only if every requester counts it from VoteRetention before to
 // VoteRetention after its vote. So a recently started process doesn't vote yet
 // (its start fence, [Config.Fence]), and an [Electorate] continues to count a
--- a/idempotency/electorate.go
+++ b/idempotency/electorate.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberList holds the processes that may be voters, as known to the membership
+// VoterList holds the processes that may be voters, as known to the membership
 // layer: the agents of a service and, if there are fewer than three, other
 // processes of the system as well.
-type MemberList struct {
+type VoterList struct {
 	Live     []netip.AddrPort
-	Departed []DepartedMember
+	Departed []DepartedVoter
 	// Complete means that Departed includes every process that failed within the
 	// retention. Without it, a recently started requester waits for the length
 	// of the fence.
 	Complete bool
 }
 
-// DepartedMember is a process that has failed or left.
-type DepartedMember struct {
+// DepartedVoter is a process of the voter list that has failed or left.
+type DepartedVoter struct {
 	Addr netip.AddrPort
 	Age  time.Duration // time since it failed or left
 	Left bool          // it left by a planned stop, and is known not to vote any more
@@ -57,16 +57,16 @@
 	return e
 }
 
-// Update applies the member list as known at now.
-func (e *Electorate) Update(now time.Time, r MemberList) {
+// Update applies the voter list as known at now.
+func (e *Electorate) Update(now time.Time, list VoterList) {
 	for _, m := range e.list {
 		m.listed = false
 	}
-	for _, addr := range r.Live {
+	for _, addr := range list.Live {
 		m := e.member(addr)
 		m.departedAt, m.left, m.listed = time.Time{}, false, true
 	}
-	for _, g := range r.Departed {
+	for _, g := range list.Departed {
 		m := e.member(g.Addr)
 		if m.listed {
 			continue
@@ -84,13 +84,13 @@
 			m.departedAt = now
 		}
 	}
-	if r.Complete {
+	if list.Complete {
 		e.readyAt = now
 	}
 	e.dropExpired(now)
 }
 
-// Confirm records that the last member list was current at the time at. The caller
+// Confirm records that the last voter list was current at the time at. The caller
 // must know this from an exchange that it began at that time: if the process was
 // paused, a message may have waited in its socket, so the time at which it is read
 // proves nothing.
--- a/idempotency/example_test.go
+++ b/idempotency/example_test.go
@@ -14,13 +14,13 @@
 	var cfg idempotency.Config
 	now := time.Unix(0, 0)
 	self := netip.MustParseAddrPort("127.0.0.1:7000")
-	members := idempotency.MemberList{Live: []netip.AddrPort{self}, Complete: true}
+	list := idempotency.VoterList{Live: []netip.AddrPort{self}, Complete: true}
 
 	voter := idempotency.NewVoter(self, cfg)
 	electorate := idempotency.NewElectorate(now, cfg)
 	requester := idempotency.NewRequester(self, 1, electorate, cfg, rand.New(rand.NewPCG(1, 2)))
-	voter.Update(now, members)
-	electorate.Update(now, members)
+	voter.Update(now, list)
+	electorate.Update(now, list)
 
 	now = now.Add(cfg.Fence()) // the voter has recently started and is fenced until now
 	voter.Confirm(now)
--- a/idempotency/handover_test.go
+++ b/idempotency/handover_test.go
@@ -21,7 +21,7 @@
 // successor returns a voter that has just started at the same address.
 func successor(now time.Time, cfg Config) *Voter {
 	voter := NewVoter(addr(1), cfg)
-	voter.Update(now, MemberList{Live: addrs(1, 1)})
+	voter.Update(now, VoterList{Live: addrs(1, 1)})
 	voter.Confirm(now)
 	return voter
 }
@@ -134,10 +134,10 @@
 	}
 }
 
-// Guards against a handover that arrives before the first member list and has no
+// Guards against a handover that arrives before the first voter list and has no
 // effect because that list starts a new fence, or one that still has effect when
 // the voter is listed only long after.
-func TestHandoverBeforeFirstMemberList(t *testing.T) {
+func TestHandoverBeforeFirstVoterList(t *testing.T) {
 	cfg := testConfig()
 	for pause, want := range map[time.Duration]VoteKind{time.Second: Granted, cfg.VoteRetention(): Fenced} {
 		parts, now := newHandover(t, cfg)
@@ -147,7 +147,7 @@
 			t.Fatal("handover not accepted")
 		}
 		now = now.Add(pause)
-		voter.Update(now, MemberList{Live: addrs(1, 1)})
+		voter.Update(now, VoterList{Live: addrs(1, 1)})
 		voter.Confirm(now)
 		wantVote(t, voter.Claim(now, Claim{Key: key(1), ID: claim(2).ID}), want)
 	}
--- a/idempotency/simulation_test.go
+++ b/idempotency/simulation_test.go
@@ -48,8 +48,8 @@
 	joinedAt    time.Time
 	pausedUntil time.Time // paused until then
 	group       int
-	listAt      time.Time                    // time of the last member list
-	nextListAt  time.Time                    // when it next receives a member list
+	listAt      time.Time                    // time of the last voter list
+	nextListAt  time.Time                    // when it next receives a voter list
 	suspects    map[netip.AddrPort]time.Time // falsely suspected until then
 	pending     map[uint64]time.Time         // when it calls Start, by request
 }
@@ -115,7 +115,7 @@
 	p.pending = map[uint64]time.Time{}
 	p.suspects = map[netip.AddrPort]time.Time{}
 	p.listAt = time.Time{}
-	s.updateMemberList(p, complete)
+	s.updateVoterList(p, complete)
 	s.fetchTransfers(p)
 }
 
@@ -149,32 +149,32 @@
 	return t0.Add(time.Duration(float64(s.now.Sub(t0)) * p.clockRate))
 }
 
-// updateMemberList gives p a member list that is up to Skew old.
-func (s *simulation) updateMemberList(p *process, complete bool) {
+// updateVoterList gives p a voter list that is up to Skew old.
+func (s *simulation) updateVoterList(p *process, complete bool) {
 	at := s.now.Add(-time.Duration(s.rng.Float64() * float64(s.cfg.Skew)))
 	if at.Before(p.listAt) {
 		at = p.listAt
 	}
 	p.listAt = at
-	r := MemberList{Complete: complete}
+	list := VoterList{Complete: complete}
 	for _, o := range s.processes {
 		if o != p && o.joinedAt.After(at) {
 			continue
 		}
 		if !o.departedAt.IsZero() && o.departedAt.Before(at) && o != p {
-			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr, Age: s.now.Sub(o.departedAt), Left: o.left})
+			list.Departed = append(list.Departed, DepartedVoter{Addr: o.addr, Age: s.now.Sub(o.departedAt), Left: o.left})
 		} else if s.now.After(p.suspects[o.addr]) {
-			r.Live = append(r.Live, o.addr)
+			list.Live = append(list.Live, o.addr)
 		} else if p.electorate.members[o.addr] == nil {
-			// A member list may drop a process that it contained before, but a list
+			// A voter list may drop a process that it contained before, but a list
 			// that never contains a new process violates the assumption on Skew.
-			r.Departed = append(r.Departed, DepartedMember{Addr: o.addr})
+			list.Departed = append(list.Departed, DepartedVoter{Addr: o.addr})
 		}
 	}
 	now := s.clock(p)
-	p.electorate.Update(now, r)
+	p.electorate.Update(now, list)
 	p.electorate.Confirm(now)
-	p.voter.Update(now, r)
+	p.voter.Update(now, list)
 	p.voter.Confirm(now)
 }
 
@@ -265,7 +265,7 @@
 	s.flush(i)
 	if !s.now.Before(p.nextListAt) && (p.group == 0 || s.rng.IntN(50) == 0) {
 		p.nextListAt = s.now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.Freshness / 2))))
-		s.updateMemberList(p, false)
+		s.updateVoterList(p, false)
 	}
 }
 
--- a/idempotency/voter.go
+++ b/idempotency/voter.go
@@ -18,13 +18,13 @@
 	expiry     []expiryEntry // in the order in which the keys are checked for expiry
 	nextExpiry int           // first element of expiry that is still due
 
-	listed      bool      // whether the member list contains self
-	confirmedAt time.Time // when the member list was last known to be current
-	fencedUntil time.Time // no vote before; zero before the first member list
+	listed      bool      // whether the voter list contains self
+	confirmedAt time.Time // when the voter list was last known to be current
+	fencedUntil time.Time // no vote before; zero before the first voter list
 
 	closed        bool         // handed over: no more votes
 	voted         bool         // has granted a vote: too late to accept a handover
-	inheritUntil  time.Time    // a member list with self before this time starts no fence
+	inheritUntil  time.Time    // a voter list with self before this time starts no fence
 	transferFrom  uint64       // incarnation of the accepted handover
 	acceptedParts map[int]bool // parts of the handover accepted so far
 }
@@ -53,11 +53,11 @@
 	}
 }
 
-// Update applies the member list as known at now. A voter that is not in the
-// member list doesn't vote, since requesters may no longer count it. When it is
+// Update applies the voter list as known at now. A voter that is not in the
+// voter list doesn't vote, since requesters may no longer count it. When it is
 // added again, its fence starts again.
-func (v *Voter) Update(now time.Time, r MemberList) {
-	listed := slices.Contains(r.Live, v.self)
+func (v *Voter) Update(now time.Time, list VoterList) {
+	listed := slices.Contains(list.Live, v.self)
 	if listed && !v.listed && !now.Before(v.inheritUntil) {
 		v.fencedUntil = now.Add(v.cfg.Fence())
 	}
@@ -74,8 +74,8 @@
 // fenceLeft returns how long the voter will grant no votes, zero if it may grant
 // them now.
 func (v *Voter) fenceLeft(now time.Time) time.Duration {
-	// A paused voter still has the member list from before the pause. Its clock
-	// shows the pause, so it waits for a current member list.
+	// A paused voter still has the voter list from before the pause. Its clock
+	// shows the pause, so it waits for a current voter list.
 	if v.closed || !v.listed || now.Sub(v.confirmedAt) > v.cfg.Freshness {
 		return v.cfg.Freshness
 	}
--- a/idempotency/voter_test.go
+++ b/idempotency/voter_test.go
@@ -24,7 +24,7 @@
 // newVotingVoter returns a voter whose fence has just ended at the returned time.
 func newVotingVoter(cfg Config) (*Voter, time.Time) {
 	voter := NewVoter(addr(1), cfg)
-	voter.Update(t0, MemberList{Live: addrs(1, 1)})
+	voter.Update(t0, VoterList{Live: addrs(1, 1)})
 	now := t0.Add(cfg.Fence())
 	voter.Confirm(now)
 	return voter, now
@@ -59,17 +59,17 @@
 }
 
 // Guards against votes of a voter that requesters no longer count: after a pause or
-// cut it answers claims that waited in its socket, with an outdated member list.
-func TestVoterWithStaleMemberListIsFenced(t *testing.T) {
+// cut it answers claims that waited in its socket, with an outdated voter list.
+func TestVoterWithStaleVoterListIsFenced(t *testing.T) {
 	cfg := testConfig()
 	voter, now := newVotingVoter(cfg)
 	now = now.Add(cfg.Freshness + 1)
 	wantVote(t, voter.Claim(now, claim(1)), Fenced)
 	voter.Confirm(now)
 	wantVote(t, voter.Claim(now, claim(1)), Granted)
-	voter.Update(now, MemberList{Live: addrs(2, 3)})
+	voter.Update(now, VoterList{Live: addrs(2, 3)})
 	wantVote(t, voter.Claim(now, claim(1)), Fenced)
-	voter.Update(now, MemberList{Live: addrs(1, 3)})
+	voter.Update(now, VoterList{Live: addrs(1, 3)})
 	wantVote(t, voter.Claim(now, claim(1)), Fenced)
 	now = now.Add(cfg.Fence())
 	voter.Confirm(now)
@@ -128,7 +128,7 @@
 // newRequester returns a requester among n live voters, and the time.
 func newRequester(cfg Config, n int) (*Requester, *Electorate, time.Time) {
 	e := NewElectorate(t0, cfg)
-	e.Update(t0, MemberList{Live: addrs(1, n), Complete: true})
+	e.Update(t0, VoterList{Live: addrs(1, n), Complete: true})
 	e.Confirm(t0)
 	return NewRequester(addr(1), 1, e, cfg, rand.New(rand.NewPCG(1, 2))), e, t0
 }
@@ -187,7 +187,7 @@
 // Guards against two majorities that share no voter. An agent may count the wrong
 // voters after a pause in which most were replaced, or after a recent start, when
 // it doesn't know departed voters.
-func TestRequesterWithStaleMemberListDoesNotAsk(t *testing.T) {
+func TestRequesterWithStaleVoterListDoesNotAsk(t *testing.T) {
 	cfg := testConfig()
 	q, e, now := newRequester(cfg, 3)
 	now = now.Add(cfg.Freshness + 1)
@@ -198,7 +198,7 @@
 	wantEffect(t, q.Effects(nil), SendClaim)
 
 	e = NewElectorate(t0, cfg)
-	e.Update(t0, MemberList{Live: addrs(1, 3)})
+	e.Update(t0, VoterList{Live: addrs(1, 3)})
 	e.Confirm(t0)
 	q = NewRequester(addr(1), 1, e, cfg, rand.New(rand.NewPCG(1, 2)))
 	q.Begin(t0, 1, key(0))
@@ -207,12 +207,12 @@
 
 // Guards against requests that run for one key on both sides of a partition that lasts
 // longer than the retention, because the smaller side stops counting the larger one.
-func TestSmallerPartitionKeepsDepartedMembers(t *testing.T) {
+func TestSmallerPartitionKeepsDepartedVoters(t *testing.T) {
 	cfg := testConfig()
 	for live, want := range map[int]int{2: 5, 3: 3} {
 		_, e, now := newRequester(cfg, 5)
-		e.Update(now, MemberList{Live: addrs(1, live)})
-		e.Update(now.Add(cfg.Retention+1), MemberList{Live: addrs(1, live)})
+		e.Update(now, VoterList{Live: addrs(1, live)})
+		e.Update(now.Add(cfg.Retention+1), VoterList{Live: addrs(1, live)})
 		if got := len(e.list); got != want {
 			t.Errorf("%d of 5 live: %d counted, want %d", live, got, want)
 		}
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -198,15 +198,15 @@
 	if m.Seq != c.voterListSeq {
 		return
 	}
-	r := idempotency.MemberList{Live: m.Live, Complete: m.Complete}
+	list := idempotency.VoterList{Live: m.Live, Complete: m.Complete}
 	for _, g := range m.Departed {
-		r.Departed = append(r.Departed, idempotency.DepartedMember{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
+		list.Departed = append(list.Departed, idempotency.DepartedVoter{Addr: g.Addr, Age: time.Duration(g.Age) * time.Second, Left: g.Left})
 	}
 	c.recordService(now, m)
-	c.electorate.Update(now, r)
+	c.electorate.Update(now, list)
 	c.electorate.Confirm(c.voterListRequestedAt)
 	if c.voter != nil {
-		c.voter.Update(now, r)
+		c.voter.Update(now, list)
 		c.voter.Confirm(c.voterListRequestedAt)
 	}
 }
