--- a/catalogue/message.go
+++ b/catalogue/message.go
@@ -86,7 +86,7 @@
 }
 
 // fitMessage returns the number of leading changes that fit in one message, and
-// the size of that message in bytes.
+// an upper bound of the size of that message in bytes.
 func fitMessage(changes []Change) (n, size int) {
 	size = messageOverhead
 	for _, ch := range changes {
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -223,9 +223,9 @@
 
 // handleDivergence handles a peer whose history of changes differs. Histories
 // can only diverge if the store has lost accepted edits, because it was wiped or
-// restored from a copy, or if a process has damaged its state. The state that
-// the store confirms takes precedence, but never at a revision below this
-// replica's.
+// restored from a copy, or if a process has damaged its state. The state of the
+// higher revision takes precedence, even if it is unconfirmed; at the same
+// revision, the one that the store has confirmed does.
 func (r *Replica) handleDivergence(now time.Time, from netip.AddrPort, d Digest) {
 	r.stats.Diverged++
 	if d.Revision > r.state.revision || d.Revision == r.state.revision && d.Confirmed && !r.confirmed {
--- a/flow/director.go
+++ b/flow/director.go
@@ -26,7 +26,7 @@
 	queryAllLimit = 16
 	// firstContactTimeout is the time after which an agent that was added and never
 	// sent a message counts as failed. It is above the time that a process takes to
-	// start.
+	// start. reachesAnyAgent measures it from this balancer's own start.
 	firstContactTimeout = time.Second
 	// queryRetryInterval is the time after which agents that have not answered are
 	// queried again, and maxQueryAttempts the number of times.
@@ -308,8 +308,8 @@
 // Routes returns the configuration in force, or nil.
 func (d *Director) Routes() *Routes { return d.orders.Routes }
 
-// Behind reports whether another process has reported newer orders than those in force
-// here.
+// Behind reports whether no routes are in force here, or newer orders than those in
+// force are known to exist.
 func (d *Director) Behind() bool { return d.orders.Routes == nil || d.newestOrders > d.orders.Number }
 
 // NewestOrders returns the number of the newest orders that any process has reported.
--- a/flow/peers.go
+++ b/flow/peers.go
@@ -357,7 +357,8 @@
 func (d *Director) Ready() bool { return d.orders.Routes != nil && d.reachesAnyAgent() }
 
 // reachesAnyAgent reports whether some agent can be reached, or may still answer for
-// the first time.
+// the first time. A balancer that knows no agent and has never received a message from
+// one counts as reaching one, without a time limit.
 func (d *Director) reachesAnyAgent() bool {
 	for _, a := range d.agents {
 		if !a.lastReceivedAt.IsZero() && !a.unresponsive {
--- a/idempotency/electorate.go
+++ b/idempotency/electorate.go
@@ -110,9 +110,11 @@
 	return m
 }
 
-// dropExpired removes processes that can't have voted for long. It removes none
-// while half of the processes or more have departed: the agent may then be on the
-// smaller side of a partition, and the other side may still vote.
+// dropExpired removes processes that departed so long ago that their votes are
+// taken to have expired: longer than Config.Retention ago, or than Config.Fence
+// if they left by a planned stop. It removes none while half of the processes or
+// more have departed: the agent may then be on the smaller side of a partition,
+// and the other side may still vote.
 func (e *Electorate) dropExpired(now time.Time) {
 	kept := e.list[:0]
 	mayShrink := 2*e.live > len(e.list)
--- a/internal/balancer/lifecycle_test.go
+++ b/internal/balancer/lifecycle_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Guards against goroutines that keep running after Close, also when the store does not
-// answer. TestMain detects them.
+// Guards against goroutines that keep running after Close, with Run and without. The store
+// refuses connections. TestMain detects them.
 func TestCloseStopsAllGoroutines(t *testing.T) {
 	ring, err := fleetkey.Parse(testFleetKey)
 	if err != nil {
--- a/internal/flowbalancer/balancer.go
+++ b/internal/flowbalancer/balancer.go
@@ -68,7 +68,7 @@
 	ordersListener    net.Listener // on which other balancers fetch the operator's orders
 	follower          *node.Follower
 	registrar         *node.Registrar
-	inForce           node.Orders // orders in force; only the follower's goroutine uses it
+	lastOrders        node.Orders // orders for which applyOrders last returned true, in force or not; only the follower's goroutine uses it
 	readiness         *node.Readiness
 	tracer            *tracer // guarded by mu
 	invalidKeys       prometheus.Counter
--- a/internal/flowbalancer/configuration.go
+++ b/internal/flowbalancer/configuration.go
@@ -150,8 +150,8 @@
 	g.Add(func() error { return node.IgnoreServerClosed(s.Serve(b.ordersListener)) }, func(error) { s.Close() })
 }
 
-// applyOrders puts the operator's orders in force. It reports whether they were decoded and
-// this balancer has routes.
+// applyOrders puts the operator's orders in force, unless those in force are as new or newer. It
+// reports whether they were decoded and this balancer has routes.
 func (b *Balancer) applyOrders(v store.Value) bool {
 	start := node.Now()
 	b.registrar.ObserveVersion(v.Version)
@@ -188,7 +188,7 @@
 		b.log.Info("configuration", zap.Uint64("revision", routes.Revision), zap.Bool("in_force", inForce), zap.Int("routes", routes.Len()), zap.Int("bytes", len(o.Configuration)), node.VersionField("orders", v.Version), zap.Duration("took", node.Now().Sub(start)))
 	}
 	b.logEvacuations(v.Version, inForce, o.Evacuated)
-	b.inForce = o
+	b.lastOrders = o
 	return true
 }
 
@@ -208,7 +208,7 @@
 // parseRoutes decodes a configuration. It returns nil if the configuration equals the one
 // decoded last or can't be decoded; the routes in force then stay.
 func (b *Balancer) parseRoutes(configuration []byte) *flow.Routes {
-	if bytes.Equal(configuration, b.inForce.Configuration) {
+	if bytes.Equal(configuration, b.lastOrders.Configuration) {
 		return nil
 	}
 	routes, errs := b.cfg.ParseConfig(configuration)
@@ -222,10 +222,10 @@
 // zones that the settings do not name. Such a zone has no agents: its name may be mistyped,
 // and the operator would wait for an evacuation that never happens.
 func (b *Balancer) logEvacuations(number uint64, inForce bool, zones []string) {
-	if slices.Equal(zones, b.inForce.Evacuated) {
+	if slices.Equal(zones, b.lastOrders.Evacuated) {
 		return
 	}
-	b.log.Info("evacuated zones changed", zap.Strings("zones", zones), zap.Strings("before", b.inForce.Evacuated), node.VersionField("orders", number), zap.Bool("in_force", inForce))
+	b.log.Info("evacuated zones changed", zap.Strings("zones", zones), zap.Strings("before", b.lastOrders.Evacuated), node.VersionField("orders", number), zap.Bool("in_force", inForce))
 	known := b.cfg.Settings.Zones
 	for _, zone := range zones {
 		if _, ok := known[zone]; !ok && len(known) > 0 {
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -16,8 +16,8 @@
 )
 
 // Guards against a holder of a contact slot that no longer follows the catalogue: its watches
-// stop without an error, or the store has an outage, each followed by an edit. The follower
-// must not rely on its watch alone, and must retry failed calls.
+// stop without an error, followed by an edit. The follower must not rely on its watch alone.
+// The outage step ends at once, before the next edit, so it hardly exercises retries.
 func TestFollowOverHTTP(t *testing.T) {
 	s := standin.New(standin.Config{WatchWait: 200 * time.Millisecond})
 	hs := httptest.NewServer(s.Handler())
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -73,7 +73,7 @@
 // balancer that sent it.
 func (a *Announcer) EntryVersion() (uint64, netip.AddrPort) { return a.entryVersion, a.entryFrom }
 
-// LastAck returns when a balancer last sent an ack; zero if none has.
+// LastAck returns when an ack last arrived from a balancer; zero if none has.
 func (a *Announcer) LastAck() time.Time { return a.ackAt }
 
 // Observers returns the balancers that the process reports to.
@@ -244,10 +244,12 @@
 		a.self.Version = m.Version
 		a.announceNewVersion(now)
 	}
-	a.acknowledge(now, keyOf(from), m)
+	a.recordAck(now, keyOf(from), m)
 }
 
-func (a *Announcer) acknowledge(now time.Time, k key, m *Message) {
+// recordAck records an ack from the balancer k. If the ack asks for this process's
+// record, it announces the record again.
+func (a *Announcer) recordAck(now time.Time, k key, m *Message) {
 	if m.Flags&FlagSendRecord != 0 && !inContacts(a.contacts, k) {
 		a.out = append(a.out, Envelope{k.addrPort(), a.announcement()})
 		return
--- a/placement/meter.go
+++ b/placement/meter.go
@@ -28,7 +28,7 @@
 // zero value is ready to use. A Meter is not safe for concurrent use.
 type Meter struct {
 	last     time.Time
-	requests float64 // number since last
+	requests float64 // number in progress or waiting since the time last
 	mean     float64 // exponentially weighted mean of requests
 	failures float64 // share of recent requests that failed
 }
--- a/placement/occupancy_test.go
+++ b/placement/occupancy_test.go
@@ -30,9 +30,9 @@
 
 func TestFullOccupancy(t *testing.T) {
 	for name, u := range map[string]Usage{
-		"draining":         {Slots: 5, MaxConnections: 2000, Draining: true},
-		"no connections":   {Slots: 5, Connections: 2000, MaxConnections: 2000},
-		"nothing declared": {},
+		"draining":           {Slots: 5, MaxConnections: 2000, Draining: true},
+		"no connection left": {Slots: 5, Connections: 2000, MaxConnections: 2000},
+		"nothing declared":   {},
 	} {
 		var m Meter
 		if u.Occupancy() != Full || m.Occupancy(testStart, u) != Full {
--- a/propagation/node_test.go
+++ b/propagation/node_test.go
@@ -326,7 +326,7 @@
 
 // Guards against processes that read the store repeatedly after a start of the whole fleet,
 // because the read of another process arrives before the answer to their own.
-func TestStartOfAllCostsOneReadEach(t *testing.T) {
+func TestStartOfAllCostsTwoCallsEachAtMost(t *testing.T) {
 	const processes = 12
 	for seed := range uint64(20) {
 		f := &fleet{rng: rand.New(rand.NewPCG(seed, 4)), now: time.Unix(1000, 0), delay: defaultDelay, revision: 1, failsCallsOf: func(int) bool { return false }}
--- a/test/packets/path_test.go
+++ b/test/packets/path_test.go
@@ -218,7 +218,7 @@
 	for _, v := range append(d.balancers[:1:1], d.agents...) {
 		v.process.Hangup()
 		d.await("the reload is logged", func() bool { return strings.Contains(v.process.Log(), `"reloaded"`) })
-		v.env["HEMLOCKSCALE_NODE_FILE"] = ""
+		v.env["HEMLOCKSCALE_NODE_FILE"] = "" // no effect on the running process; nothing is restarted here
 	}
 	d.serve(1, 3, "listing")
 }
--- a/test/packets/restore_start_test.go
+++ b/test/packets/restore_start_test.go
@@ -40,7 +40,7 @@
 				stop.do(b)
 				b.startProcess()
 				d.await("the restarted process has the route", func() bool { return b.inForce(d.revision) })
-				d.checkNeverInForce(b, old)
+				d.checkNeverApplied(b, old)
 			}
 			d.serveRoute()
 		})
@@ -123,11 +123,12 @@
 	d.serve(2, 5, "records")
 }
 
-// checkNeverInForce fails the test if the process ever had a configuration in force.
-func (d *deployment) checkNeverInForce(v *vm, revision uint64) {
+// checkNeverApplied fails the test if the process, since its last start, has logged a
+// configuration with the revision, whether or not it came into force.
+func (d *deployment) checkNeverApplied(v *vm, revision uint64) {
 	d.t.Helper()
 	if strings.Contains(v.process.Log(), fmt.Sprintf(`"revision":%d,"in_force"`, revision)) {
-		d.t.Errorf("%s had configuration %d in force", v.addr, revision)
+		d.t.Errorf("%s logged configuration %d, which it must never apply", v.addr, revision)
 	}
 }
 
